--- a/internal/process/hosted/backlogs.go
+++ b/internal/process/hosted/backlogs.go
@@ -19,7 +19,7 @@
 	node *Node
 
 	mu       sync.Mutex
-	ledger   *backlog.Ledger
+	ledger   *backlog.Tracker
 	sequence uint64
 	told     map[backlog.Key]bool // of which something waited here when it was last told
 	// asking has a token for each backlog of which a job is asked for: one at a time, and
@@ -128,17 +128,17 @@
 	return &v1.ReserveResponse{Verdict: wireVerdicts[verdict], Waiting: waiting}
 }
 
-var wireVerdicts = map[backlog.Verdict]v1.ReserveResponse_Verdict{
+var wireVerdicts = map[backlog.Decision]v1.ReserveResponse_Verdict{
 	backlog.Unsure: v1.ReserveResponse_UNSURE, backlog.Fits: v1.ReserveResponse_FITS, backlog.Full: v1.ReserveResponse_FULL,
 }
 
-func keyAndWord(w *v1.BacklogWord, node string, boot int64, sequence uint64) (backlog.Key, backlog.Word) {
-	return backlog.Key{Route: w.GetRoute(), Workspace: w.GetWorkspace()}, backlog.Word{Node: node, Boot: boot, Sequence: sequence, Tokens: w.GetTokens()}
+func keyAndWord(w *v1.BacklogWord, node string, boot int64, sequence uint64) (backlog.Key, backlog.Report) {
+	return backlog.Key{Route: w.GetRoute(), Workspace: w.GetWorkspace()}, backlog.Report{Node: node, Boot: boot, Sequence: sequence, Tokens: w.GetTokens()}
 }
 
 // Run tells owners what waits here until ctx ends.
 func (b *backlogs) Run(ctx context.Context) {
-	every(ctx, backlog.TellInterval, func() { b.tell(ctx) })
+	every(ctx, backlog.ReportInterval, func() { b.tell(ctx) })
 }
 
 func (b *backlogs) tell(ctx context.Context) {
@@ -162,7 +162,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.node.clock.Now()
-	b.ledger.Forget(now)
+	b.ledger.DropExpired(now)
 	waiting := b.node.jobs.WaitingTokens()
 	for key := range b.told {
 		waiting[key] += 0
@@ -186,7 +186,7 @@
 		}
 		owners := fleet.Owners(ownerName(key), func(string) bool { return false })
 		if len(owners) == 0 || owners[0].Node == self {
-			b.ledger.Told(now, key, backlog.Word{Node: self, Boot: b.node.boot, Sequence: b.sequence, Tokens: tokens})
+			b.ledger.Record(now, key, backlog.Report{Node: self, Boot: b.node.boot, Sequence: b.sequence, Tokens: tokens})
 			continue
 		}
 		address := b.addressOf(owners[0])
@@ -212,7 +212,7 @@
 	defer s.mu.Unlock()
 	for _, w := range req.Words {
 		key, word := keyAndWord(w, req.Node, req.Boot, req.Sequence)
-		s.ledger.Told(s.node.clock.Now(), key, word)
+		s.ledger.Record(s.node.clock.Now(), key, word)
 	}
 	return &v1.TellResponse{}, nil
 }
--- a/internal/process/hosted/evacuation.go
+++ b/internal/process/hosted/evacuation.go
@@ -44,7 +44,7 @@
 
 // shareOf returns which of the nodes that send work this one is. Nodes that are down are
 // among them until they are registered no more.
-func (n *Node) shareOf(nodes map[string]nodeRecord) warmup.Share {
+func (n *Node) shareOf(nodes map[string]nodeRecord) warmup.Position {
 	var names []string
 	for name, r := range nodes {
 		if r.Callers {
@@ -52,5 +52,5 @@
 		}
 	}
 	slices.Sort(names)
-	return warmup.ShareOf(n.settings.NodeID, names)
+	return warmup.PositionOf(n.settings.NodeID, names)
 }
--- a/internal/process/hosted/hosted.go
+++ b/internal/process/hosted/hosted.go
@@ -133,7 +133,7 @@
 	n.checker = invariant.New(n.recorder, s.StopOnViolated)
 	n.peers = newPeers(s)
 	n.cache = follow.NewCache(n.clock.Now, adapter.Kinds.Config, adapter.Kinds.Targets, adapter.Kinds.Retirements, adapter.Kinds.Evacuations, kindNodes, job.KindEnds)
-	n.pool = discovery.New(choose.Config{EjectAfter: s.EjectAfter, EjectTime: s.EjectTime, Policy: choose.LeastOfFew, Node: s.NodeID, Home: s.DataCentre, Seed: uint64(n.boot) ^ xxhash.Sum64String(s.NodeID), WarmUp: n.warmUp},
+	n.pool = discovery.New(choose.Config{EjectAfter: s.EjectAfter, EjectTime: s.EjectTime, Policy: choose.LeastOfFew, Node: s.NodeID, LocalDataCentre: s.DataCentre, Seed: uint64(n.boot) ^ xxhash.Sum64String(s.NodeID), WarmUp: n.warmUp},
 		time.Now, func() bool { return n.cache.Doubtful(adapter.Kinds.Targets) }, n.targetChanged)
 	n.crashes = n.newCrashWatch()
 	n.lending = n.newLending()
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -165,7 +165,7 @@
 	n.claims = claim.New(n.platform, n.recorder)
 	n.store = batch.NewStore(n.platform, n.recorder, s.ChunkItems)
 	n.worker = batch.NewWorker(batch.Config{LeaseTTL: s.LeaseTTL, OutageGrace: s.OutageGrace, CommitEvery: s.CommitEvery,
-		ItemAttempts: s.ItemAttempts, WatchTimeout: s.WatchTimeout, Pace: pace.Config{Fill: s.BatchFill, Reserve: s.BatchReserve, Quiet: quietTime, Unthrottled: n.variant.Unthrottled}},
+		ItemAttempts: s.ItemAttempts, WatchTimeout: s.WatchTimeout, Pace: pace.Config{FillShare: s.BatchFill, Reserve: s.BatchReserve, QuietTime: quietTime, Unthrottled: n.variant.Unthrottled}},
 		record.Holder{Node: n.self.ID, Incarnation: n.self.Incarnation},
 		batch.Parts{Store: n.store, Platform: n.platform, Runner: n.runner, Targets: n.targets, Members: n.membership.View,
 			Config: n.config.Current, Recorder: n.recorder, Checker: n.checker, Metrics: n.metrics.scope, Clock: n.clock})
--- a/internal/process/node/operators.go
+++ b/internal/process/node/operators.go
@@ -157,7 +157,7 @@
 	resp := &v1.TargetsResponse{}
 	for _, s := range list {
 		resp.Targets = append(resp.Targets, &v1.TargetStatus{
-			Target: s.ID, DataCentre: s.DataCentre, Service: s.Service, Addr: s.Addr, Owner: owners[s.ID], Leaving: s.Leaving, Ejected: string(s.Why),
+			Target: s.ID, DataCentre: s.DataCentre, Service: s.Service, Addr: s.Addr, Owner: owners[s.ID], Leaving: s.Leaving, Ejected: string(s.Reason),
 			Load: &v1.TargetLoad{Target: s.ID, Incarnation: s.Incarnation, Running: uint32(s.Load.Running), Waiting: uint32(s.Load.Waiting),
 				MaxRunning: uint32(s.Load.MaxRunning), Batch: uint32(s.Load.Batch), Healthy: s.Load.Healthy, Loaded: s.Load.Loaded},
 		})
--- a/internal/request/admit/admit.go
+++ b/internal/request/admit/admit.go
@@ -12,8 +12,8 @@
 	"github.com/marblepond/marblepond/internal/version/workspace"
 )
 
-// Supply is what the node knows of a service's targets at this moment.
-type Supply struct {
+// ServiceState is what the node knows of a service's targets at this moment.
+type ServiceState struct {
 	Usable     int     // targets that may be chosen
 	Capacity   int     // sequences they can run together
 	InFlight   int     // online sequences in flight at them, all nodes, as estimated
@@ -23,15 +23,15 @@
 	Evacuated  bool    // the own data centre is evacuated
 }
 
-// Away reports whether a request is to go to another data centre: the own one
+// UseRemote reports whether a request is to go to another data centre: the own one
 // has no target, or its targets are full.
-func (s Supply) Away() bool {
+func (s ServiceState) UseRemote() bool {
 	full := s.Capacity > 0 && float64(s.InFlight) >= queueFactor*float64(s.Capacity)
 	return s.Remote && (s.Usable == 0 || full)
 }
 
-// Demand describes the request.
-type Demand struct {
+// Request describes the request.
+type Request struct {
 	Workspace *workspace.Workspace
 	Service   *fleet.Service
 	Remaining time.Duration // until the deadline
@@ -42,8 +42,8 @@
 // to latency.
 const queueFactor = 1.25
 
-// Gate holds the counters. It is not safe for concurrent use.
-type Gate struct {
+// Controller holds the counters. It is not safe for concurrent use.
+type Controller struct {
 	maxInFlight int
 	inFlight    int
 	workspaces  map[string]*account
@@ -53,16 +53,16 @@
 type account struct{ inFlight int }
 
 // New returns a gate with the node's own limit.
-func New(maxInFlight int) *Gate {
-	return &Gate{maxInFlight: maxInFlight, workspaces: map[string]*account{}, services: map[string]int{}}
+func New(maxInFlight int) *Controller {
+	return &Controller{maxInFlight: maxInFlight, workspaces: map[string]*account{}, services: map[string]int{}}
 }
 
 // InFlight returns the number of admitted requests in progress.
-func (g *Gate) InFlight() int { return g.inFlight }
+func (g *Controller) InFlight() int { return g.inFlight }
 
 // Admit takes the request on or returns the refusal. Every admitted request
 // must be followed by one Done.
-func (g *Gate) Admit(d Demand, s Supply) error {
+func (g *Controller) Admit(d Request, s ServiceState) error {
 	if g.inFlight >= g.maxInFlight {
 		return errkind.Overloaded.New("this node has %d requests in progress, its limit", g.inFlight)
 	}
@@ -82,8 +82,8 @@
 	return nil
 }
 
-func (g *Gate) checkSupply(d Demand, s Supply) error {
-	if s.Away() {
+func (g *Controller) checkSupply(d Request, s ServiceState) error {
+	if s.UseRemote() {
 		return nil // the other data centre decides
 	}
 	if s.Usable == 0 && s.Evacuated {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-func (g *Gate) account(w *workspace.Workspace) *account {
+func (g *Controller) account(w *workspace.Workspace) *account {
 	a := g.workspaces[w.Name]
 	if a == nil {
 		a = &account{}
@@ -117,7 +117,7 @@
 }
 
 // Done ends an admitted request.
-func (g *Gate) Done(d Demand) {
+func (g *Controller) Done(d Request) {
 	g.inFlight--
 	g.services[d.Service.Name]--
 	if a := g.workspaces[d.Workspace.Name]; a != nil {
--- a/internal/request/admit/admit_test.go
+++ b/internal/request/admit/admit_test.go
@@ -13,19 +13,19 @@
 )
 
 func TestRefusals(t *testing.T) {
-	enough := Supply{Usable: 2, Capacity: 8, ServiceSec: 1}
+	enough := ServiceState{Usable: 2, Capacity: 8, ServiceSec: 1}
 	for _, c := range []struct {
 		name      string
 		workspace workspace.Workspace
 		service   fleet.Service
-		supply    Supply
+		supply    ServiceState
 		remaining time.Duration
 		admitted  int // before the refusal
 		kind      *errorx.Type
 	}{
-		{"no target", workspace.Workspace{}, fleet.Service{}, Supply{}, time.Minute, 0, errkind.NoTarget},
-		{"service full", workspace.Workspace{}, fleet.Service{}, Supply{Usable: 2, Capacity: 8, InFlight: 10}, time.Minute, 0, errkind.Overloaded},
-		{"too late", workspace.Workspace{}, fleet.Service{}, Supply{Usable: 2, Capacity: 8, InFlight: 9, ServiceSec: 100}, time.Second, 0, errkind.DeadlineUnmeetable},
+		{"no target", workspace.Workspace{}, fleet.Service{}, ServiceState{}, time.Minute, 0, errkind.NoTarget},
+		{"service full", workspace.Workspace{}, fleet.Service{}, ServiceState{Usable: 2, Capacity: 8, InFlight: 10}, time.Minute, 0, errkind.Overloaded},
+		{"too late", workspace.Workspace{}, fleet.Service{}, ServiceState{Usable: 2, Capacity: 8, InFlight: 9, ServiceSec: 100}, time.Second, 0, errkind.DeadlineUnmeetable},
 		{"workspace in flight", workspace.Workspace{MaxInFlight: 1}, fleet.Service{}, enough, time.Minute, 1, errkind.RateLimited},
 		{"service limit", workspace.Workspace{}, fleet.Service{MaxInFlight: 3}, enough, time.Minute, 3, errkind.Overloaded},
 		{"node limit", workspace.Workspace{}, fleet.Service{}, enough, time.Minute, 5, errkind.Overloaded},
@@ -33,7 +33,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			g := New(5)
-			d := Demand{&c.workspace, &c.service, c.remaining}
+			d := Request{&c.workspace, &c.service, c.remaining}
 			for range c.admitted {
 				is.NoErr(g.Admit(d, c.supply))
 			}
@@ -53,12 +53,12 @@
 // TestEmptyOrFullCentreAsksAnother: it refuses only when there is none to ask.
 func TestEmptyOrFullCentreAsksAnother(t *testing.T) {
 	is := is.New(t)
-	d := Demand{&workspace.Workspace{}, &fleet.Service{}, time.Minute}
-	for _, s := range []Supply{{}, {Usable: 2, Capacity: 8, InFlight: 10}} {
+	d := Request{&workspace.Workspace{}, &fleet.Service{}, time.Minute}
+	for _, s := range []ServiceState{{}, {Usable: 2, Capacity: 8, InFlight: 10}} {
 		is.True(New(5).Admit(d, s) != nil)
 		s.Remote = true
 		is.NoErr(New(5).Admit(d, s))
-		is.True(s.Away())
+		is.True(s.UseRemote())
 	}
-	is.True(!Supply{Usable: 2, Capacity: 8, InFlight: 9, Remote: true}.Away())
+	is.True(!ServiceState{Usable: 2, Capacity: 8, InFlight: 9, Remote: true}.UseRemote())
 }
--- a/internal/request/backlog/backlog.go
+++ b/internal/request/backlog/backlog.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// TellInterval is the time between a node's words on what waits with it.
-	TellInterval = 300 * time.Millisecond
+	// ReportInterval is the time between a node's words on what waits with it.
+	ReportInterval = 300 * time.Millisecond
 	// learnTime is how long an owner that is new to a backlog learns before it decides:
 	// every holder tells it in that time.
-	learnTime = TellInterval + 150*time.Millisecond
+	learnTime = ReportInterval + 150*time.Millisecond
 	// goneAfter is how long what a silent node held counts. Its jobs were taken over by
 	// then, and their new holders tell of them.
 	goneAfter = 30 * time.Second
@@ -30,27 +30,27 @@
 	Workspace string // empty: the configuration has no workspaces
 }
 
-// Word is what a node says waits with it.
-type Word struct {
+// Report is what a node says waits with it.
+type Report struct {
 	Node     string
 	Boot     int64  // of the node
 	Sequence uint64 // of the word in that boot; an older one than is known counts nothing
 	Tokens   int64
 }
 
-// Verdict is the owner's decision on a job.
-type Verdict int
+// Decision is the owner's decision on a job.
+type Decision int
 
 // The verdicts.
 const (
-	Unsure Verdict = iota // the owner has not heard from every holder yet
+	Unsure Decision = iota // the owner has not heard from every holder yet
 	Fits
 	Full
 )
 
-// Ledger is what one node knows of the backlogs that it owns. It is not safe for
+// Tracker is what one node knows of the backlogs that it owns. It is not safe for
 // concurrent use.
-type Ledger struct {
+type Tracker struct {
 	began    time.Time
 	over     float64 // share of a limit that may be let in before holders were heard
 	backlogs map[Key]*backlog
@@ -63,19 +63,19 @@
 }
 
 type heard struct {
-	Word
+	Report
 	at time.Time
 }
 
 // New returns the empty ledger of a node that starts now. over is the share of a limit by
 // which it may be exceeded by what an owner lets in that has not heard all holders yet: a
 // job that waits for that misses the objective of its answer and is refused.
-func New(now time.Time, over float64) *Ledger {
-	return &Ledger{began: now, over: over, backlogs: map[Key]*backlog{}}
+func New(now time.Time, over float64) *Tracker {
+	return &Tracker{began: now, over: over, backlogs: map[Key]*backlog{}}
 }
 
-// Told takes a node's word.
-func (l *Ledger) Told(now time.Time, key Key, w Word) {
+// Record takes a node's word.
+func (l *Tracker) Record(now time.Time, key Key, w Report) {
 	b := l.backlogs[key]
 	if b == nil {
 		b = &backlog{since: now, words: map[string]heard{}}
@@ -90,13 +90,13 @@
 // Reserve decides on a job of so many tokens, which the node's word counts already.
 // natural: this node is the first choice among all nodes, so that holders have told nobody
 // else. The word counts from then on if the job fits, and else the node's earlier one.
-func (l *Ledger) Reserve(now time.Time, key Key, w Word, job, limit int64, natural bool) (v Verdict, waiting int64) {
+func (l *Tracker) Reserve(now time.Time, key Key, w Report, job, limit int64, natural bool) (v Decision, waiting int64) {
 	known := l.backlogs[key] != nil
-	l.Told(now, key, w)
+	l.Record(now, key, w)
 	b := l.backlogs[key]
 	defer func() {
 		if v != Fits {
-			l.Told(now, key, Word{Node: w.Node, Boot: w.Boot, Sequence: w.Sequence, Tokens: w.Tokens - job})
+			l.Record(now, key, Report{Node: w.Node, Boot: w.Boot, Sequence: w.Sequence, Tokens: w.Tokens - job})
 		}
 	}()
 	if !known && natural && now.Sub(l.began) >= learnTime {
@@ -126,8 +126,8 @@
 	return total
 }
 
-// Forget drops what is too old to count.
-func (l *Ledger) Forget(now time.Time) {
+// DropExpired drops what is too old to count.
+func (l *Tracker) DropExpired(now time.Time) {
 	for key, b := range l.backlogs {
 		maps.DeleteFunc(b.words, func(_ string, w heard) bool { return now.Sub(w.at) >= goneAfter })
 		if len(b.words) == 0 {
--- a/internal/request/backlog/backlog_test.go
+++ b/internal/request/backlog/backlog_test.go
@@ -20,11 +20,11 @@
 )
 
 // settled returns the ledger of a node that has run for long.
-func settled() *Ledger { return New(start.Add(-time.Hour), over) }
+func settled() *Tracker { return New(start.Add(-time.Hour), over) }
 
 // says returns a word of a node.
-func says(node string, sequence uint64, tokens int64) Word {
-	return Word{Node: node, Boot: 1, Sequence: sequence, Tokens: tokens}
+func says(node string, sequence uint64, tokens int64) Report {
+	return Report{Node: node, Boot: 1, Sequence: sequence, Tokens: tokens}
 }
 
 // TestWaitingTokensOfAllCount: what waits at all nodes counts, by the newest word of each,
@@ -37,19 +37,19 @@
 		_, n := l.Reserve(now, key, says("asks", uint64(now.UnixNano()), 0), 0, limit, true)
 		return n
 	}
-	l.Told(start, key, says("n1", 1, 100))
-	l.Told(start, key, says("n1", 3, 10))
-	l.Told(start, key, says("n1", 2, 500))
-	l.Told(start, key, says("n2", 1, 20))
-	l.Told(start, Key{Route: "r", Workspace: "other"}, says("n1", 4, 1))
-	l.Told(start, Key{Route: "other", Workspace: "w"}, says("n1", 4, 1))
+	l.Record(start, key, says("n1", 1, 100))
+	l.Record(start, key, says("n1", 3, 10))
+	l.Record(start, key, says("n1", 2, 500))
+	l.Record(start, key, says("n2", 1, 20))
+	l.Record(start, Key{Route: "r", Workspace: "other"}, says("n1", 4, 1))
+	l.Record(start, Key{Route: "other", Workspace: "w"}, says("n1", 4, 1))
 	is.Equal(waiting(start), int64(30))
-	l.Told(start, key, Word{Node: "n1", Boot: 2, Sequence: 1, Tokens: 7}) // started again
-	l.Told(start, key, says("n1", 9, 500))
+	l.Record(start, key, Report{Node: "n1", Boot: 2, Sequence: 1, Tokens: 7}) // started again
+	l.Record(start, key, says("n1", 9, 500))
 	is.Equal(waiting(start), int64(27))
-	l.Told(start.Add(20*time.Second), key, says("n2", 2, 300))
+	l.Record(start.Add(20*time.Second), key, says("n2", 2, 300))
 	is.Equal(waiting(start.Add(goneAfter)), int64(300))
-	l.Forget(start.Add(2 * goneAfter))
+	l.DropExpired(start.Add(2 * goneAfter))
 	is.Equal(len(l.backlogs), 0)
 }
 
@@ -58,7 +58,7 @@
 func TestOneOfTwoTakesTheLastRoom(t *testing.T) {
 	is := is.New(t)
 	l := settled()
-	verdict := func(w Word) Verdict {
+	verdict := func(w Report) Decision {
 		v, _ := l.Reserve(start, key, w, w.Tokens, limit, true)
 		return v
 	}
@@ -66,7 +66,7 @@
 	is.Equal(verdict(says("n2", 1, 600)), Full) // and counts no more
 	is.Equal(verdict(says("n1", 2, 1000)), Fits)
 	is.Equal(verdict(says("n2", 3, 1)), Full)
-	l.Told(start, key, says("n1", 3, 400)) // items are finished
+	l.Record(start, key, says("n1", 3, 400)) // items are finished
 	is.Equal(verdict(says("n2", 4, 600)), Fits)
 }
 
@@ -77,9 +77,9 @@
 	is := is.New(t)
 	for _, c := range []struct {
 		name    string
-		ledger  *Ledger
+		ledger  *Tracker
 		natural bool
-		first   Verdict
+		first   Decision
 	}{{"natural", settled(), true, Fits}, {"substitute", settled(), false, Unsure}, {"just started", New(start, over), true, Unsure}} {
 		v, _ := c.ledger.Reserve(start, key, says("n1", 1, 100), 100, limit, c.natural)
 		is.Equal(v, c.first) // name
@@ -118,7 +118,7 @@
 			if rapid.Bool().Draw(t, "finish") {
 				accepted[node] -= min(accepted[node], rapid.Int64Range(0, 300).Draw(t, "finished"))
 				if rapid.Bool().Draw(t, "told") {
-					l.Told(now, key, says(node, sequence, accepted[node]))
+					l.Record(now, key, says(node, sequence, accepted[node]))
 				}
 				continue
 			}
@@ -127,7 +127,7 @@
 				accepted[node] += job
 			} else {
 				sequence++
-				l.Told(now, key, says(node, sequence, accepted[node]))
+				l.Record(now, key, says(node, sequence, accepted[node]))
 			}
 			if sum := accepted["n1"] + accepted["n2"] + accepted["n3"]; sum > limit {
 				t.Fatalf("%d tokens wait", sum)
--- a/internal/request/batch/worker.go
+++ b/internal/request/batch/worker.go
@@ -98,7 +98,7 @@
 // TakeReport takes an owned target's load report.
 func (w *Worker) TakeReport(target string, load choose.Load, usable bool) {
 	w.mu.Lock()
-	w.pacer.Report(target, load.MaxRunning, usable)
+	w.pacer.SetCapacity(target, load.MaxRunning, usable)
 	w.mu.Unlock()
 	w.signal()
 }
@@ -106,7 +106,7 @@
 // Own sets the owned targets.
 func (w *Worker) Own(ids []string) {
 	w.mu.Lock()
-	w.pacer.Own(ids)
+	w.pacer.SetOwned(ids)
 	w.mu.Unlock()
 	w.signal()
 }
@@ -116,7 +116,7 @@
 	now := time.Now()
 	w.mu.Lock()
 	for _, t := range req.Targets {
-		w.pacer.Online(now, t.Target, req.Node, req.Incarnation, req.Seq, int(t.Online))
+		w.pacer.RecordOnline(now, t.Target, req.Node, req.Incarnation, req.Seq, int(t.Online))
 	}
 	w.yield(now)
 	w.mu.Unlock()
@@ -129,7 +129,7 @@
 	defer w.mu.Unlock()
 	for _, m := range view.Members {
 		if m.State == member.Dead {
-			w.pacer.Forget(m.ID)
+			w.pacer.RemoveNode(m.ID)
 		}
 	}
 }
--- a/internal/request/choose/apart_test.go
+++ b/internal/request/choose/apart_test.go
@@ -19,7 +19,7 @@
 	for n := range 3 {
 		targets = append(targets, Target{ID: fmt.Sprint("t", n), Incarnation: 1, Service: "s", Slots: 8})
 	}
-	table.Set(targets)
+	table.SetTargets(targets)
 	suspect := Need{Service: "s", Apart: true}
 	table.SetNode("other", map[string]InFlight{"t2": {Online: 1, Apart: 1}})
 	placed := map[string]bool{}
@@ -30,7 +30,7 @@
 		table.Begin(target.ID)
 		table.BeginApart(target.ID)
 	}
-	is.Equal(table.Own()["t0"], InFlight{Online: 1, Apart: 1}) // told to others
+	is.Equal(table.OwnInFlight()["t0"], InFlight{Online: 1, Apart: 1}) // told to others
 	_, ok := table.Choose(now, suspect)
 	is.True(!ok)
 	target, ok := table.Choose(now, Need{Service: "s"})
--- a/internal/request/choose/choose.go
+++ b/internal/request/choose/choose.go
@@ -96,9 +96,9 @@
 	EjectAfter int
 	EjectTime  time.Duration
 	Policy     Policy
-	// LeastReserve is how many slots of a target items leave free however few online
+	// MinReserve is how many slots of a target items leave free however few online
 	// requests arrive: the baseline that reserves by arrivals are measured against.
-	LeastReserve int
+	MinReserve int
 	// Seed of the draws of LeastOfFew; it differs from node to node.
 	Seed uint64
 	// Node is the name of the node whose table it is, as other nodes tell theirs.
@@ -108,9 +108,9 @@
 	Group string
 	// WarmUp returns how targets of a service warm up; nil: they need not.
 	WarmUp func(service string) warmup.Rate
-	// Home is the data centre whose targets are preferred while they have room;
+	// LocalDataCentre is the data centre whose targets are preferred while they have room;
 	// empty: none is.
-	Home string
+	LocalDataCentre string
 }
 
 // loadBound is how far above the mean a target's load may be for a request to
@@ -136,7 +136,7 @@
 	members map[string]int // nodes of each other group
 
 	evacuated map[string]bool // data centres
-	turns     warmup.Share    // which of the nodes this one is
+	turns     warmup.Position    // which of the nodes this one is
 }
 
 // New returns an empty table.
@@ -145,9 +145,9 @@
 		nodes: map[string]map[string]InFlight{}, groups: map[string]map[string]InFlight{}, centres: map[string]map[string]InFlight{}, members: map[string]int{}}
 }
 
-// Set replaces the list of targets. Counters of targets that stay are kept; a
+// SetTargets replaces the list of targets. Counters of targets that stay are kept; a
 // target marked as leaving stays so for that incarnation.
-func (t *Table) Set(targets []Target) {
+func (t *Table) SetTargets(targets []Target) {
 	keep := map[string]bool{}
 	for _, target := range targets {
 		keep[target.ID] = true
@@ -186,9 +186,9 @@
 	}
 }
 
-// Leave marks one incarnation of a target as leaving, for good. It reports
+// MarkLeaving marks one incarnation of a target as leaving, for good. It reports
 // whether that was news.
-func (t *Table) Leave(id string, incarnation uint64) bool {
+func (t *Table) MarkLeaving(id string, incarnation uint64) bool {
 	if t.left[id] >= incarnation {
 		return false
 	}
@@ -199,12 +199,12 @@
 	return true
 }
 
-// Left returns the leaving incarnations known, to be passed on.
-func (t *Table) Left() map[string]uint64 { return t.left }
+// LeavingIncarnations returns the leaving incarnations known, to be passed on.
+func (t *Table) LeavingIncarnations() map[string]uint64 { return t.left }
 
-// Current reports whether a target is the incarnation that the table holds. What
+// IsCurrent reports whether a target is the incarnation that the table holds. What
 // is said of another one, which has ended, says nothing of this one.
-func (t *Table) Current(target Target) bool {
+func (t *Table) IsCurrent(target Target) bool {
 	e := t.entries[target.ID]
 	return e != nil && e.Incarnation == target.Incarnation
 }
@@ -215,11 +215,11 @@
 	return t.left[target.ID] >= target.Incarnation || (e != nil && e.Incarnation == target.Incarnation && e.leaving)
 }
 
-// Serving returns how many targets of a service are listed.
-func (t *Table) Serving(service string) int { return len(t.rank[service]) }
+// TargetCount returns how many targets of a service are listed.
+func (t *Table) TargetCount(service string) int { return len(t.rank[service]) }
 
-// Report takes a load report of the given incarnation.
-func (t *Table) Report(id string, incarnation uint64, load Load) {
+// RecordLoad takes a load report of the given incarnation.
+func (t *Table) RecordLoad(id string, incarnation uint64, load Load) {
 	e := t.entries[id]
 	if e == nil || e.Incarnation != incarnation || (e.known && load.At.Before(e.load.At)) {
 		return
@@ -243,10 +243,10 @@
 	// where there is none, no target can take the request. Items don't ask for it: they
 	// run for long, and online requests would have to wait for them.
 	Apart bool
-	// Scatter draws the target by the work asked for and not by load, among those with
+	// ScatterKey draws the target by the work asked for and not by load, among those with
 	// room; 0: it does not. Nodes that know the same loads choose alike at the same
 	// moment.
-	Scatter uint64
+	ScatterKey uint64
 	// Overflow is how many requests beyond its slots a target may be given
 	// when all are full; 0: no limit.
 	Overflow int
@@ -322,7 +322,7 @@
 		return least(usable, func(e *entry) int { return e.online })
 	case LeastOfFew:
 		if !need.Batch {
-			return t.leastOfFew(now, scattered(now, usable, need.Scatter))
+			return t.leastOfFew(now, scattered(now, usable, need.ScatterKey))
 		}
 	case Affinity:
 		if need.Prefix != "" {
--- a/internal/request/choose/choose_test.go
+++ b/internal/request/choose/choose_test.go
@@ -18,9 +18,9 @@
 	for i := range n {
 		list = append(list, Target{ID: fmt.Sprintf("t%d", i), Incarnation: 1, Service: "s"})
 	}
-	t.Set(list)
+	t.SetTargets(list)
 	for _, target := range list {
-		t.Report(target.ID, 1, Load{MaxRunning: 8, Healthy: true, Loaded: []string{"m@1"}, At: start})
+		t.RecordLoad(target.ID, 1, Load{MaxRunning: 8, Healthy: true, Loaded: []string{"m@1"}, At: start})
 	}
 	return t
 }
@@ -35,11 +35,11 @@
 			id := rapid.SampledFrom([]string{"t0", "t1"}).Draw(t, "target")
 			incarnation := uint64(rapid.IntRange(1, 3).Draw(t, "incarnation"))
 			if rapid.Bool().Draw(t, "leave") {
-				tab.Leave(id, incarnation)
+				tab.MarkLeaving(id, incarnation)
 				left[id] = max(left[id], incarnation)
 			} else {
-				tab.Set([]Target{{ID: id, Incarnation: incarnation, Service: "s"}, {ID: "t0", Incarnation: 1, Service: "s"}})
-				tab.Report(id, incarnation, Load{MaxRunning: 8, Healthy: true, Loaded: []string{"m@1"}, At: start})
+				tab.SetTargets([]Target{{ID: id, Incarnation: incarnation, Service: "s"}, {ID: "t0", Incarnation: 1, Service: "s"}})
+				tab.RecordLoad(id, incarnation, Load{MaxRunning: 8, Healthy: true, Loaded: []string{"m@1"}, At: start})
 			}
 			if target, ok := tab.Choose(start, Need{Service: "s", Loaded: "m@1"}); ok && target.Incarnation <= left[target.ID] {
 				t.Fatalf("%s incarnation %d chosen, %d is leaving", target.ID, target.Incarnation, left[target.ID])
@@ -125,8 +125,8 @@
 }
 
 func slotTable(now time.Time) *Table {
-	t := New(Config{EjectAfter: 2, EjectTime: time.Second, Policy: LeastLoad, Home: "here"})
-	t.Set([]Target{{ID: "a", Incarnation: 1, Service: "s", DataCentre: "here", Slots: 4}, {ID: "b", Incarnation: 1, Service: "s", DataCentre: "there", Slots: 4}})
+	t := New(Config{EjectAfter: 2, EjectTime: time.Second, Policy: LeastLoad, LocalDataCentre: "here"})
+	t.SetTargets([]Target{{ID: "a", Incarnation: 1, Service: "s", DataCentre: "here", Slots: 4}, {ID: "b", Incarnation: 1, Service: "s", DataCentre: "there", Slots: 4}})
 	return t
 }
 
@@ -168,8 +168,8 @@
 	table.SetDataCentre("there", map[string]InFlight{"b": {Online: 2}, "a": {Batch: 1}})
 	is.Equal(table.entries["a"].free(), 1)
 	is.Equal(table.entries["b"].free(), 1)
-	is.Equal(table.Here(), map[string]InFlight{"a": {Online: 2}, "b": {Batch: 1}})
-	is.Equal(table.BatchRoom(now, "there"), 2) // four slots, two taken by online requests
+	is.Equal(table.DataCentreInFlight(), map[string]InFlight{"a": {Online: 2}, "b": {Batch: 1}})
+	is.Equal(table.BatchCapacity(now, "there"), 2) // four slots, two taken by online requests
 	table.SetDataCentre("there", nil)
 	is.Equal(table.entries["b"].free(), 3)
 }
@@ -180,11 +180,11 @@
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	table := New(Config{EjectAfter: 2, EjectTime: time.Second, Policy: LeastLoad})
-	table.Set([]Target{{ID: "a", Incarnation: 1, Service: "s", Slots: 4}, {ID: "b", Incarnation: 1, Service: "s", Slots: 4}, {ID: "c", Incarnation: 1, Service: "s", Slots: 4}})
+	table.SetTargets([]Target{{ID: "a", Incarnation: 1, Service: "s", Slots: 4}, {ID: "b", Incarnation: 1, Service: "s", Slots: 4}, {ID: "c", Incarnation: 1, Service: "s", Slots: 4}})
 	for range 5 {
-		table.FirstEvent(now, "a", 50*time.Millisecond)
-		table.FirstEvent(now, "b", 50*time.Millisecond)
-		table.FirstEvent(now, "c", 400*time.Millisecond)
+		table.RecordFirstEvent(now, "a", 50*time.Millisecond)
+		table.RecordFirstEvent(now, "b", 50*time.Millisecond)
+		table.RecordFirstEvent(now, "c", 400*time.Millisecond)
 	}
 	for range 8 {
 		target, ok := table.Choose(now, Need{Service: "s"})
@@ -241,8 +241,8 @@
 	}
 	tables := make([]*Table, p.nodes)
 	for n := range tables {
-		tables[n] = New(Config{EjectAfter: 3, EjectTime: time.Second, Policy: p.policy, Home: "here", Seed: uint64(n)})
-		tables[n].Set(list)
+		tables[n] = New(Config{EjectAfter: 3, EjectTime: time.Second, Policy: p.policy, LocalDataCentre: "here", Seed: uint64(n)})
+		tables[n].SetTargets(list)
 	}
 	now := time.Unix(0, 0)
 	ends := map[int][]func(){}
@@ -282,7 +282,7 @@
 	for a := range tables {
 		for b := range tables {
 			if a != b {
-				tables[a].SetNode(fmt.Sprint("n", b), tables[b].Own())
+				tables[a].SetNode(fmt.Sprint("n", b), tables[b].OwnInFlight())
 			}
 		}
 	}
--- a/internal/request/choose/deal.go
+++ b/internal/request/choose/deal.go
@@ -6,11 +6,11 @@
 	"github.com/marblepond/marblepond/internal/process/rendezvous"
 )
 
-// Deal returns the share of name, a data centre or a node, when room at a target
+// Allot returns the share of name, a data centre or a node, when room at a target
 // is dealt out by claims: to each in proportion to its claim, never more than
 // that, and what is left over in an order of the target's own. Everyone who
 // knows the same claims computes the same deal.
-func Deal(target string, room int, name string, claims map[string]int) int {
+func Allot(target string, room int, name string, claims map[string]int) int {
 	total := 0
 	for _, claim := range claims {
 		total += claim
@@ -68,7 +68,7 @@
 			centres[name] = claim.Demand
 		}
 	}
-	here := Deal(t.ID, room, c.DataCentre, centres)
-	group := Deal(t.ID, here, c.Group, c.Groups)
-	return Deal(t.ID, group, c.Node, c.Nodes)
+	here := Allot(t.ID, room, c.DataCentre, centres)
+	group := Allot(t.ID, here, c.Group, c.Groups)
+	return Allot(t.ID, group, c.Node, c.Nodes)
 }
--- a/internal/request/choose/deal_test.go
+++ b/internal/request/choose/deal_test.go
@@ -19,7 +19,7 @@
 		}
 		dealt, wanted := 0, 0
 		for node, claim := range claims {
-			share := Deal("target", room, node, claims)
+			share := Allot("target", room, node, claims)
 			if share > claim {
 				t.Fatalf("%s gets %d of the %d that it claims", node, share, claim)
 			}
--- a/internal/request/choose/eject.go
+++ b/internal/request/choose/eject.go
@@ -13,11 +13,11 @@
 		return false, false
 	}
 	e.online = max(0, e.online-1)
-	return t.Judge(now, id, outcome)
+	return t.RecordOutcome(now, id, outcome)
 }
 
-// Judge counts an outcome for or against a target.
-func (t *Table) Judge(now time.Time, id string, outcome Outcome) (ejected, readmitted bool) {
+// RecordOutcome counts an outcome for or against a target.
+func (t *Table) RecordOutcome(now time.Time, id string, outcome Outcome) (ejected, readmitted bool) {
 	e := t.entries[id]
 	if e == nil {
 		return false, false
--- a/internal/request/choose/eligible.go
+++ b/internal/request/choose/eligible.go
@@ -12,7 +12,7 @@
 	Evacuated Reason = "its data centre is evacuated"
 	Unhealthy Reason = "unhealthy"
 	Failing   Reason = "failed several times in a row"
-	OnTrial   Reason = "on trial"
+	Probing   Reason = "on trial"
 	NotLoaded Reason = "what is asked for is not loaded"
 	WarmingUp Reason = "warming up"
 )
@@ -30,7 +30,7 @@
 	case !e.ejectedUntil.IsZero() && now.Before(e.ejectedUntil):
 		return Failing
 	case e.trial:
-		return OnTrial
+		return Probing
 	case need.Loaded != "" && !e.has(need.Loaded):
 		return NotLoaded
 	case !e.warm(now) && !t.takesCold(now, e, need):
@@ -51,9 +51,9 @@
 	return false
 }
 
-// Evacuate replaces the data centres whose targets get no work. Targets of one that is
+// SetEvacuated replaces the data centres whose targets get no work. Targets of one that is
 // evacuated no more are taken to warm up: they may have started again meanwhile.
-func (t *Table) Evacuate(now time.Time, dataCentres []string) {
+func (t *Table) SetEvacuated(now time.Time, dataCentres []string) {
 	before := t.evacuated
 	t.evacuated = make(map[string]bool, len(dataCentres))
 	for _, name := range dataCentres {
--- a/internal/request/choose/evacuate_test.go
+++ b/internal/request/choose/evacuate_test.go
@@ -18,15 +18,15 @@
 
 // centresTable returns a table of three data centres with targets of 8 slots, in the
 // first of which this node is.
-func centresTable(targets int, share warmup.Share) *Table {
-	t := New(Config{EjectAfter: 3, EjectTime: time.Second, Policy: LeastOfFew, Home: "dc0",
+func centresTable(targets int, share warmup.Position) *Table {
+	t := New(Config{EjectAfter: 3, EjectTime: time.Second, Policy: LeastOfFew, LocalDataCentre: "dc0",
 		WarmUp: func(string) warmup.Rate { return warmup.Rate{Time: coldFor, PerSecond: coldRate} }})
 	var list []Target
 	for i := range targets {
 		list = append(list, Target{ID: fmt.Sprintf("t%d", i), Incarnation: 1, Service: "s", DataCentre: fmt.Sprintf("dc%d", i%3), Slots: 8})
 	}
-	t.Set(list)
-	t.SetShare(share)
+	t.SetTargets(list)
+	t.SetPosition(share)
 	return t
 }
 
@@ -34,7 +34,7 @@
 // evacuation to its end, whatever else is said of the targets meanwhile.
 func TestEvacuatedTargetsGetNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tab := centresTable(9, warmup.Share{Place: 0, Nodes: 1})
+		tab := centresTable(9, warmup.Position{Index: 0, Nodes: 1})
 		now := start
 		evacuated := map[string]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -48,11 +48,11 @@
 						evacuated[name], names = true, append(names, name)
 					}
 				}
-				tab.Evacuate(now, names)
+				tab.SetEvacuated(now, names)
 			case 1:
-				tab.WarmUp(now, "t1", 1, time.Duration(rapid.IntRange(0, 4000).Draw(t, "cold ms"))*time.Millisecond)
+				tab.MarkWarmingUp(now, "t1", 1, time.Duration(rapid.IntRange(0, 4000).Draw(t, "cold ms"))*time.Millisecond)
 			case 2:
-				tab.Saturated(now, "t0")
+				tab.MarkSaturated(now, "t0")
 			default:
 				need := Need{Service: "s", Batch: rapid.Bool().Draw(t, "batch"), Overflow: 4}
 				if target, ok := tab.Choose(now, need); ok && evacuated[target.DataCentre] {
@@ -70,11 +70,11 @@
 // requests wait for them.
 func TestLeavingTargetsAreNotTakenForEvacuated(t *testing.T) {
 	is := is.New(t)
-	tab := centresTable(3, warmup.Share{Place: 0, Nodes: 1})
+	tab := centresTable(3, warmup.Position{Index: 0, Nodes: 1})
 	is.True(!tab.AllEvacuated("s"))
 	is.True(!tab.AllEvacuated("a service without targets"))
 	for _, id := range []string{"t0", "t1", "t2"} {
-		tab.Leave(id, 1)
+		tab.MarkLeaving(id, 1)
 	}
 	is.True(!tab.AllEvacuated("s"))
 }
@@ -83,10 +83,10 @@
 // requests at the rate of cold ones, and no items, until they had the time to warm up.
 func TestReturnedTargetsWarmUp(t *testing.T) {
 	is := is.New(t)
-	tab := centresTable(1, warmup.Share{Place: 0, Nodes: 1})
-	tab.Evacuate(start, []string{"dc0"})
-	is.Equal(tab.List(start)[0].Why, Evacuated)
-	tab.Evacuate(start, nil)
+	tab := centresTable(1, warmup.Position{Index: 0, Nodes: 1})
+	tab.SetEvacuated(start, []string{"dc0"})
+	is.Equal(tab.List(start)[0].Reason, Evacuated)
+	tab.SetEvacuated(start, nil)
 	sent := 0
 	for at := start; at.Before(start.Add(coldFor)); at = at.Add(5 * time.Millisecond) {
 		_, ok := tab.Choose(at, Need{Service: "s", Batch: true})
@@ -105,8 +105,8 @@
 // has room for it.
 func TestColdTargetsComeAfterWarmOnes(t *testing.T) {
 	is := is.New(t)
-	tab := centresTable(2, warmup.Share{Place: 0, Nodes: 1})
-	tab.WarmUp(start, "t0", 1, coldFor)
+	tab := centresTable(2, warmup.Position{Index: 0, Nodes: 1})
+	tab.MarkWarmingUp(start, "t0", 1, coldFor)
 	for range 8 {
 		target, ok := tab.Choose(start, Need{Service: "s"})
 		is.True(ok)
@@ -126,10 +126,10 @@
 // again, and only its time ends it.
 func TestWarmUpIsNotCutShort(t *testing.T) {
 	is := is.New(t)
-	tab := centresTable(1, warmup.Share{Place: 1, Nodes: 100})
-	tab.WarmUp(start, "t0", 1, coldFor)
-	tab.WarmUp(start, "t0", 1, 0)
-	tab.WarmUp(start, "t0", 1, time.Second)
-	is.Equal(tab.List(start.Add(2 * time.Second))[0].Why, WarmingUp)
-	is.Equal(tab.List(start.Add(coldFor))[0].Why, Reason(""))
+	tab := centresTable(1, warmup.Position{Index: 1, Nodes: 100})
+	tab.MarkWarmingUp(start, "t0", 1, coldFor)
+	tab.MarkWarmingUp(start, "t0", 1, 0)
+	tab.MarkWarmingUp(start, "t0", 1, time.Second)
+	is.Equal(tab.List(start.Add(2 * time.Second))[0].Reason, WarmingUp)
+	is.Equal(tab.List(start.Add(coldFor))[0].Reason, Reason(""))
 }
--- a/internal/request/choose/others.go
+++ b/internal/request/choose/others.go
@@ -42,8 +42,8 @@
 	return t.setOther(t.groups, name, counts)
 }
 
-// NodesHere returns how many nodes of this data centre are heard, with this one.
-func (t *Table) NodesHere() int {
+// NodesInDataCentre returns how many nodes of this data centre are heard, with this one.
+func (t *Table) NodesInDataCentre() int {
 	n := 1 + len(t.nodes)
 	for _, members := range t.members {
 		n += members
@@ -97,15 +97,15 @@
 	}
 }
 
-// InGroup returns what all nodes of this node's group have in flight, by target,
+// GroupInFlight returns what all nodes of this node's group have in flight, by target,
 // as far as this one knows.
-func (t *Table) InGroup() map[string]InFlight {
-	return addAll(t.Own(), t.nodes)
+func (t *Table) GroupInFlight() map[string]InFlight {
+	return addAll(t.OwnInFlight(), t.nodes)
 }
 
-// Here returns the same of all nodes of this data centre.
-func (t *Table) Here() map[string]InFlight {
-	return addAll(t.InGroup(), t.groups)
+// DataCentreInFlight returns the same of all nodes of this data centre.
+func (t *Table) DataCentreInFlight() map[string]InFlight {
+	return addAll(t.GroupInFlight(), t.groups)
 }
 
 // addAll adds the counts of words to a sum, which it returns.
@@ -118,9 +118,9 @@
 	return sum
 }
 
-// Own returns what this table has in flight, by target. Items that are making
+// OwnInFlight returns what this table has in flight, by target. Items that are making
 // room count no more.
-func (t *Table) Own() map[string]InFlight {
+func (t *Table) OwnInFlight() map[string]InFlight {
 	out := map[string]InFlight{}
 	for id, e := range t.entries {
 		if n := (InFlight{Online: e.online, Batch: e.staying(), Apart: e.apart}); n != (InFlight{}) {
--- a/internal/request/choose/others_test.go
+++ b/internal/request/choose/others_test.go
@@ -13,7 +13,7 @@
 // of the words that count now.
 func TestSumsOfOthersFollowTheirWords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := New(Config{Home: "here", Node: "self"})
+		table := New(Config{LocalDataCentre: "here", Node: "self"})
 		ids := []string{"a", "b", "c"}
 		words := map[string]map[string]InFlight{}
 		for range 30 {
@@ -26,7 +26,7 @@
 						list = append(list, Target{ID: id, Incarnation: 1, Service: "s", Slots: 4})
 					}
 				}
-				table.Set(list)
+				table.SetTargets(list)
 			case 1:
 				delete(words, name)
 				table.SetNode(name, nil)
@@ -61,12 +61,12 @@
 func BenchmarkHearNode(b *testing.B) {
 	for _, nodes := range []int{3, 16, 58, 72} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
-			table := New(Config{Home: "here", Node: "self"})
+			table := New(Config{LocalDataCentre: "here", Node: "self"})
 			var list []Target
 			for i := range 153 {
 				list = append(list, Target{ID: fmt.Sprint("t", i), Incarnation: 1, Service: "s", Slots: 7})
 			}
-			table.Set(list)
+			table.SetTargets(list)
 			word := func(i int) map[string]InFlight {
 				return map[string]InFlight{fmt.Sprint("t", i%153): {Online: 1}, fmt.Sprint("t", (i+7)%153): {Online: 1, Batch: 1}, fmt.Sprint("t", (i+31)%153): {Batch: 1}}
 			}
--- a/internal/request/choose/prefer.go
+++ b/internal/request/choose/prefer.go
@@ -13,7 +13,7 @@
 func (t *Table) preferred(now time.Time, need Need, entries []*entry) []*entry {
 	usual := t.usualFirstEvent(need.Service)
 	entries = keepIfAny(entries, func(e *entry) bool { return !e.slow(now, usual) })
-	if t.cfg.Home == "" || (t.cfg.Policy == LeastOfFew && !need.Batch) {
+	if t.cfg.LocalDataCentre == "" || (t.cfg.Policy == LeastOfFew && !need.Batch) {
 		return entries
 	}
 	return t.nearest(now, entries)
@@ -47,7 +47,7 @@
 }
 
 // atHome reports whether a target is in the own data centre; without one, all are.
-func (t *Table) atHome(e *entry) bool { return t.cfg.Home == "" || e.DataCentre == t.cfg.Home }
+func (t *Table) atHome(e *entry) bool { return t.cfg.LocalDataCentre == "" || e.DataCentre == t.cfg.LocalDataCentre }
 
 func keep(entries []*entry, wanted func(*entry) bool) []*entry {
 	var kept []*entry
@@ -114,7 +114,7 @@
 
 // few returns some targets drawn at random.
 func (t *Table) few(entries []*entry) []*entry {
-	draws := max(few, fewByNodes/t.NodesHere())
+	draws := max(few, fewByNodes/t.NodesInDataCentre())
 	if len(entries) <= draws {
 		return entries
 	}
--- a/internal/request/choose/reserve.go
+++ b/internal/request/choose/reserve.go
@@ -29,13 +29,13 @@
 // to a target in the time for which one holds a slot.
 func (c *Config) reserve(target Target, perSlot float64, occupied time.Duration) int {
 	if occupied <= 0 {
-		return c.LeastReserve
+		return c.MinReserve
 	}
 	reaction := awayReaction
-	if c.Home == "" || target.DataCentre == c.Home {
+	if c.LocalDataCentre == "" || target.DataCentre == c.LocalDataCentre {
 		reaction = homeReaction
 	}
-	return max(c.LeastReserve, poissonQuantile(perSlot*reaction.Seconds()/occupied.Seconds(), reserveMiss, target.Slots))
+	return max(c.MinReserve, poissonQuantile(perSlot*reaction.Seconds()/occupied.Seconds(), reserveMiss, target.Slots))
 }
 
 // onlinePerTarget returns, by service, how many online requests each target has
@@ -78,8 +78,8 @@
 	return k
 }
 
-// Occupied takes how long an online request of a service held a slot.
-func (t *Table) Occupied(service string, took time.Duration) {
+// RecordSlotTime takes how long an online request of a service held a slot.
+func (t *Table) RecordSlotTime(service string, took time.Duration) {
 	if old := t.occupied[service]; old > 0 {
 		took = old + time.Duration(occupiedWeight*float64(took-old))
 	}
--- a/internal/request/choose/room.go
+++ b/internal/request/choose/room.go
@@ -19,24 +19,24 @@
 	return keepIfAny(entries, func(e *entry) bool { return e.estimate() == lowest })
 }
 
-// Saturated notes that a target refused an online request because it was full.
-func (t *Table) Saturated(now time.Time, id string) {
+// MarkSaturated notes that a target refused an online request because it was full.
+func (t *Table) MarkSaturated(now time.Time, id string) {
 	if e := t.entries[id]; e != nil {
 		e.saturated = now.Add(saturatedFor)
 	}
 }
 
-// RefusedItem notes that a target refused a batch item because it was full. No other is
+// MarkItemRefused notes that a target refused a batch item because it was full. No other is
 // sent there for a while; those that are there stay, since no request waits for that.
-func (t *Table) RefusedItem(now time.Time, id string) {
+func (t *Table) MarkItemRefused(now time.Time, id string) {
 	if e := t.entries[id]; e != nil {
 		e.full = now.Add(saturatedFor)
 	}
 }
 
-// BatchRoom returns how many batch items the usable targets of a data centre
+// BatchCapacity returns how many batch items the usable targets of a data centre
 // have room for beside online requests.
-func (t *Table) BatchRoom(now time.Time, dataCentre string) int {
+func (t *Table) BatchCapacity(now time.Time, dataCentre string) int {
 	room := 0
 	reserve := t.Reserve()
 	for _, e := range t.entries {
@@ -47,8 +47,8 @@
 	return room
 }
 
-// ItemsAt reports whether batch items of any node are at usable targets of a service.
-func (t *Table) ItemsAt(now time.Time, service string) bool {
+// HasItems reports whether batch items of any node are at usable targets of a service.
+func (t *Table) HasItems(now time.Time, service string) bool {
 	for _, id := range t.rank[service] {
 		if e := t.entries[id]; e.batch+e.elsewhere.Batch > 0 && t.reason(now, e, Need{}) == "" {
 			return true
@@ -110,7 +110,7 @@
 			e.yielding = max(0, e.yielding-1)
 		}
 	}
-	return t.Judge(now, id, outcome)
+	return t.RecordOutcome(now, id, outcome)
 }
 
 // BeginApart counts an online request that was placed apart, besides what Begin counts;
@@ -135,8 +135,8 @@
 	}
 }
 
-// Supply sums up a service's usable targets.
-func (t *Table) Supply(now time.Time, service, loaded string) (usable, capacity, inFlight, waiting int) {
+// ServiceTotals sums up a service's usable targets.
+func (t *Table) ServiceTotals(now time.Time, service, loaded string) (usable, capacity, inFlight, waiting int) {
 	for _, id := range t.rank[service] {
 		e := t.entries[id]
 		if t.reason(now, e, Need{Loaded: loaded}) != "" {
--- a/internal/request/choose/scatter_test.go
+++ b/internal/request/choose/scatter_test.go
@@ -26,8 +26,8 @@
 			lost := map[string]bool{}
 			met := 0
 			for range steps {
-				a, _ := first.Choose(start, Need{Service: "s", Exclude: lost, Scatter: key(2 * pair)})
-				b, _ := second.Choose(start, Need{Service: "s", Exclude: lost, Scatter: key(2*pair + 1)})
+				a, _ := first.Choose(start, Need{Service: "s", Exclude: lost, ScatterKey: key(2 * pair)})
+				b, _ := second.Choose(start, Need{Service: "s", Exclude: lost, ScatterKey: key(2*pair + 1)})
 				if a.ID == b.ID {
 					met++
 				}
@@ -59,18 +59,18 @@
 		}
 	}
 	for key := range uint64(50) {
-		got, ok := tab.Choose(start, Need{Service: "s", Scatter: key + 1})
+		got, ok := tab.Choose(start, Need{Service: "s", ScatterKey: key + 1})
 		is.True(ok)
 		is.Equal(got.ID, "t1")
 	}
 	for range 8 {
 		tab.Begin("t1")
 	}
-	_, ok := tab.Choose(start, Need{Service: "s", Scatter: 1, Overflow: 4})
+	_, ok := tab.Choose(start, Need{Service: "s", ScatterKey: 1, Overflow: 4})
 	is.True(ok)
 	used := map[string]bool{}
 	for i := range 30 {
-		got, _ := table(3, LeastOfFew).Choose(start, Need{Service: "s", Scatter: uint64(i+1) * 0x9e3779b97f4a7c15})
+		got, _ := table(3, LeastOfFew).Choose(start, Need{Service: "s", ScatterKey: uint64(i+1) * 0x9e3779b97f4a7c15})
 		used[fmt.Sprint(got.ID)] = true
 	}
 	is.Equal(len(used), 3)
--- a/internal/request/choose/slow.go
+++ b/internal/request/choose/slow.go
@@ -36,8 +36,8 @@
 	return usual > 0 && now.Sub(e.firstAt) < slowFor && float64(e.firstEvent) > slowFactor*float64(usual)
 }
 
-// FirstEvent takes a measurement of the time to the first event.
-func (t *Table) FirstEvent(now time.Time, id string, took time.Duration) {
+// RecordFirstEvent takes a measurement of the time to the first event.
+func (t *Table) RecordFirstEvent(now time.Time, id string, took time.Duration) {
 	e := t.entries[id]
 	if e == nil {
 		return
--- a/internal/request/choose/warm.go
+++ b/internal/request/choose/warm.go
@@ -23,15 +23,15 @@
 	}
 }
 
-// WarmUp notes that one incarnation of a target is cold and warms up for so long.
-func (t *Table) WarmUp(now time.Time, id string, incarnation uint64, left time.Duration) {
+// MarkWarmingUp notes that one incarnation of a target is cold and warms up for so long.
+func (t *Table) MarkWarmingUp(now time.Time, id string, incarnation uint64, left time.Duration) {
 	if e := t.entries[id]; e != nil && e.Incarnation == incarnation {
 		t.warmUp(now, e, left)
 	}
 }
 
-// SetShare says which of the nodes that send work this one is.
-func (t *Table) SetShare(s warmup.Share) { t.turns = s }
+// SetPosition says which of the nodes that send work this one is.
+func (t *Table) SetPosition(s warmup.Position) { t.turns = s }
 
 // warmUpOf returns how targets of a service warm up.
 func (t *Table) warmUpOf(service string) warmup.Rate {
--- a/internal/request/choose/yield.go
+++ b/internal/request/choose/yield.go
@@ -63,10 +63,10 @@
 	}
 	nodes, inGroup := itemsAt(t.nodes, id, t.cfg.Node, own)
 	groups, here := itemsAt(t.groups, id, t.cfg.Group, inGroup)
-	centres, _ := itemsAt(t.centres, id, t.cfg.Home, here)
-	mine := Deal(id, over, t.cfg.Home, centres)
-	mine = Deal(id, mine, t.cfg.Group, groups)
-	return Deal(id, mine, t.cfg.Node, nodes)
+	centres, _ := itemsAt(t.centres, id, t.cfg.LocalDataCentre, here)
+	mine := Allot(id, over, t.cfg.LocalDataCentre, centres)
+	mine = Allot(id, mine, t.cfg.Group, groups)
+	return Allot(id, mine, t.cfg.Node, nodes)
 }
 
 // itemsAt returns how many items each of the others named in words, and self, has
@@ -80,9 +80,9 @@
 	return items, sum
 }
 
-// Yielding notes that one of this table's items at a target was told to make
+// MarkYielding notes that one of this table's items at a target was told to make
 // room; EndBatch takes its end.
-func (t *Table) Yielding(id string) {
+func (t *Table) MarkYielding(id string) {
 	if e := t.entries[id]; e != nil {
 		e.yielding++
 	}
@@ -95,19 +95,19 @@
 	DataCentres []string // other ones
 }
 
-// None reports whether nobody has.
-func (h Holders) None() bool { return len(h.Nodes)+len(h.Groups)+len(h.DataCentres) == 0 }
+// Empty reports whether nobody has.
+func (h Holders) Empty() bool { return len(h.Nodes)+len(h.Groups)+len(h.DataCentres) == 0 }
 
 // Holders returns who else has batch items at a target, as far as this node knows.
 func (t *Table) Holders(id string) Holders {
 	return Holders{Nodes: withItems(t.nodes, id), Groups: withItems(t.groups, id), DataCentres: withItems(t.centres, id)}
 }
 
-// Displace is called for an online request that was begun at a target. If that
+// Preemption is called for an online request that was begun at a target. If that
 // has no free slot left, it returns whether an own item is to make room, which is
 // the soonest that any can; else who has items there and must hear of the
 // request at once.
-func (t *Table) Displace(now time.Time, id string) (own bool, others Holders) {
+func (t *Table) Preemption(now time.Time, id string) (own bool, others Holders) {
 	e := t.entries[id]
 	if e == nil || e.over(now) <= 0 {
 		return false, Holders{}
--- a/internal/request/choose/yield_test.go
+++ b/internal/request/choose/yield_test.go
@@ -45,14 +45,14 @@
 	}
 	home, away := reserve()
 	is.Equal([]int{home, away}, []int{0, 0}) // nothing is known yet
-	table.Occupied("s", 700*time.Millisecond)
+	table.RecordSlotTime("s", 700*time.Millisecond)
 	for _, c := range []struct{ online, home, away int }{{0, 0, 0}, {1, 1, 1}, {2, 1, 2}, {6, 1, 4}, {60, 4, 4}} {
 		table.SetDataCentre("there", map[string]InFlight{"a": {Online: c.online}, "b": {Online: c.online}})
 		home, away := reserve()
 		is.Equal([]int{home, away}, []int{c.home, c.away})
 	}
 	for range 200 {
-		table.Occupied("s", 70*time.Millisecond) // ten times as many arrive
+		table.RecordSlotTime("s", 70*time.Millisecond) // ten times as many arrive
 	}
 	table.SetDataCentre("there", map[string]InFlight{"a": {Online: 6}, "b": {Online: 6}})
 	home, away = reserve()
@@ -61,7 +61,7 @@
 	home, away = reserve()
 	is.Equal([]int{home, away}, []int{6, 23})
 	for range 400 {
-		table.Occupied("s", time.Microsecond) // more arrive than can be computed
+		table.RecordSlotTime("s", time.Microsecond) // more arrive than can be computed
 	}
 	home, away = reserve()
 	is.Equal([]int{home, away}, []int{64, 64})
@@ -72,8 +72,8 @@
 func holders(items ...int) []*Table {
 	tables := make([]*Table, len(items))
 	for n := range items {
-		tables[n] = New(Config{Policy: LeastOfFew, Node: fmt.Sprint("n", n), Home: "here", Seed: uint64(n)})
-		tables[n].Set([]Target{{ID: "t", Incarnation: 1, Service: "s", DataCentre: "here", Slots: 8}})
+		tables[n] = New(Config{Policy: LeastOfFew, Node: fmt.Sprint("n", n), LocalDataCentre: "here", Seed: uint64(n)})
+		tables[n].SetTargets([]Target{{ID: "t", Incarnation: 1, Service: "s", DataCentre: "here", Slots: 8}})
 		for range items[n] {
 			tables[n].BeginBatch("t")
 		}
@@ -99,7 +99,7 @@
 				for _, table := range tables {
 					table.SetDataCentre("there", map[string]InFlight{"t": {Online: c.online}})
 					for range table.Excess(now)["t"] {
-						table.Yielding("t")
+						table.MarkYielding("t")
 						asked++
 					}
 				}
@@ -134,9 +134,9 @@
 	now := time.Unix(0, 0)
 	table := holders(2)[0]
 	is.Equal(len(table.Excess(now)), 0)
-	table.Saturated(now, "t")
+	table.MarkSaturated(now, "t")
 	is.Equal(table.Excess(now)["t"], 1)
-	table.Yielding("t")
+	table.MarkYielding("t")
 	is.Equal(len(table.Excess(now)), 0)
 	_, _ = table.EndBatch(now, "t", Neutral, true)
 	is.Equal(table.Excess(now)["t"], 1) // still refused: one more
@@ -156,13 +156,13 @@
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	table := holders(5)[0]
-	table.RefusedItem(now, "t")
+	table.MarkItemRefused(now, "t")
 	is.Equal(len(table.Excess(now)), 0)
 	_, ok := table.Choose(now, Need{Service: "s", Batch: true})
 	is.True(!ok)
 	_, ok = table.Choose(now.Add(saturatedFor), Need{Service: "s", Batch: true})
 	is.True(ok)
-	table.Saturated(now, "t") // and now a request
+	table.MarkSaturated(now, "t") // and now a request
 	is.Equal(table.Excess(now)["t"], 1)
 }
 
@@ -174,16 +174,16 @@
 	table := holders(1, 6)[0]
 	table.SetDataCentre("there", map[string]InFlight{"t": {Batch: 1}})
 	table.Begin("t")
-	own, others := table.Displace(now, "t")
+	own, others := table.Preemption(now, "t")
 	is.True(own)
 	is.Equal(others, Holders{})
-	table.Yielding("t")
-	is.Equal(table.Own()["t"], InFlight{Online: 1}) // others count on the slot already
+	table.MarkYielding("t")
+	is.Equal(table.OwnInFlight()["t"], InFlight{Online: 1}) // others count on the slot already
 	table.Begin("t")
-	own, others = table.Displace(now, "t")
+	own, others = table.Preemption(now, "t")
 	is.True(!own)
 	is.Equal(others, Holders{Nodes: []string{"n1"}, DataCentres: []string{"there"}})
-	own, others = holders(1, 2)[0].Displace(now, "t")
+	own, others = holders(1, 2)[0].Preemption(now, "t")
 	is.True(!own)
 	is.Equal(others, Holders{}) // there are free slots
 }
@@ -193,8 +193,8 @@
 func TestItemsMakeRoomSooner(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	table := New(Config{EjectAfter: 2, EjectTime: time.Second, Policy: LeastOfFew, Home: "here"})
-	table.Set([]Target{{ID: "a", Incarnation: 1, Service: "s", DataCentre: "here", Slots: 4}, {ID: "b", Incarnation: 1, Service: "s", DataCentre: "here", Slots: 4},
+	table := New(Config{EjectAfter: 2, EjectTime: time.Second, Policy: LeastOfFew, LocalDataCentre: "here"})
+	table.SetTargets([]Target{{ID: "a", Incarnation: 1, Service: "s", DataCentre: "here", Slots: 4}, {ID: "b", Incarnation: 1, Service: "s", DataCentre: "here", Slots: 4},
 		{ID: "c", Incarnation: 1, Service: "s", DataCentre: "there", Slots: 4}})
 	table.SetNode("other", map[string]InFlight{"a": {Online: 4}, "b": {Online: 2, Batch: 2}})
 	for range 2 {
@@ -214,8 +214,8 @@
 	need := Need{Service: "s", Overflow: 2}
 	table := slotTable(now)
 	counts := func(b InFlight) { table.SetNode("other", map[string]InFlight{"a": {Online: 5}, "b": b}) }
-	better := func() bool { return table.Better(now, "a", need, heard) }
-	table.Heard(now, "a")
+	better := func() bool { return table.BetterElsewhere(now, "a", need, heard) }
+	table.RecordEvent(now, "a")
 	for _, c := range []struct {
 		b    InFlight
 		want bool
--- a/internal/request/forward/place.go
+++ b/internal/request/forward/place.go
@@ -73,7 +73,7 @@
 	// of them must not meet: apart, the proper ones are answered and clear of it.
 	need := choose.Need{Service: req.Service, Exclude: c.exclude, Overflow: overflow, Apart: f.Quarantine.Suspected(&req.Work)}
 	if c.lost {
-		need.Scatter = req.Work.ID().Key()
+		need.ScatterKey = req.Work.ID().Key()
 	}
 	return need
 }
--- a/internal/request/job/evacuate.go
+++ b/internal/request/job/evacuate.go
@@ -33,7 +33,7 @@
 		m.moving = now
 	}
 	within := m.cfg.EvacuatedWithin.Seconds()
-	for _, item := range schedule.Yielding(items, movesDue(len(items), now.Sub(m.moving).Seconds()/within, scheduleTick.Seconds()/within)) {
+	for _, item := range schedule.SelectYielding(items, movesDue(len(items), now.Sub(m.moving).Seconds()/within, scheduleTick.Seconds()/within)) {
 		m.move(item)
 	}
 }
--- a/internal/request/job/manager.go
+++ b/internal/request/job/manager.go
@@ -159,7 +159,7 @@
 	saving      sync.Mutex         // held while checkpoints are sent: keepers get them in order
 
 	mu        sync.Mutex
-	fair      *schedule.Fair // among workspaces
+	fair      *schedule.FairQueue // among workspaces
 	held      map[string]*held
 	reserved  map[backlog.Key]int64 // tokens of submissions in progress
 	draining  bool
@@ -200,7 +200,7 @@
 // NewManager returns a manager; Run starts it.
 func NewManager(cfg Config, parts Parts) *Manager {
 	return &Manager{cfg: cfg, Parts: parts, results: newResultCache(cfg.ResultMemory), wakeUp: make(chan struct{}, 1), sweepSoon: make(chan struct{}, 1), stopped: make(chan struct{}),
-		fair: schedule.NewFair(), held: map[string]*held{}, reserved: map[backlog.Key]int64{}, absent: map[string]time.Time{}, orphans: map[string]time.Time{}, heads: map[string]knownHead{},
+		fair: schedule.NewFairQueue(), held: map[string]*held{}, reserved: map[backlog.Key]int64{}, absent: map[string]time.Time{}, orphans: map[string]time.Time{}, heads: map[string]knownHead{},
 		ends: map[string]time.Time{}, forget: map[string][]string{}, keepers: map[string]keeperState{}}
 }
 
--- a/internal/request/job/room.go
+++ b/internal/request/job/room.go
@@ -41,7 +41,7 @@
 // counted them, so that none of them ends there before.
 func (m *Manager) yield(id string, n int) {
 	here := m.runningWhere(func(t choose.Target) bool { return t.ID == id })
-	for _, item := range schedule.Yielding(here, n) {
+	for _, item := range schedule.SelectYielding(here, n) {
 		h := m.held[item.Job]
 		stop := h.stops[item.Index]
 		delete(h.stops, item.Index)
--- a/internal/request/job/run.go
+++ b/internal/request/job/run.go
@@ -167,7 +167,7 @@
 		return
 	}
 	t.Sent = m.Clock.Now()
-	m.fair.Sent(item)
+	m.fair.MarkSent(item)
 	h.progress.sent(i, t, now)
 	attempt, cancel := context.WithCancelCause(ctx)
 	h.stops[i] = func(cause error) bool {
--- a/internal/request/pace/pace.go
+++ b/internal/request/pace/pace.go
@@ -10,10 +10,10 @@
 
 // Config of a pacer.
 type Config struct {
-	Fill    float64 // share of MaxRunning that online and batch together may fill
+	FillShare    float64 // share of MaxRunning that online and batch together may fill
 	Reserve int     // sequences kept free for the next online request
-	// Quiet is how long after an online rise the freed sequences stay free.
-	Quiet time.Duration
+	// QuietTime is how long after an online rise the freed sequences stay free.
+	QuietTime time.Duration
 	// Unthrottled ignores online requests: the baseline that pacing is
 	// measured against.
 	Unthrottled bool
@@ -45,8 +45,8 @@
 // New returns a pacer that owns nothing.
 func New(cfg Config) *Pacer { return &Pacer{cfg: cfg, targets: map[string]*target{}} }
 
-// Own sets the owned targets. Counts of targets that stay are kept.
-func (p *Pacer) Own(ids []string) {
+// SetOwned sets the owned targets. Counts of targets that stay are kept.
+func (p *Pacer) SetOwned(ids []string) {
 	keep := map[string]bool{}
 	for _, id := range ids {
 		keep[id] = true
@@ -73,18 +73,18 @@
 	return ids
 }
 
-// Report takes what the engine can run. usable is false for a target that is
+// SetCapacity takes what the engine can run. usable is false for a target that is
 // leaving, unhealthy or out. What it does run is not taken: reports lag, and
 // every online request passes a node of the data centre, which tells.
-func (p *Pacer) Report(id string, maxRunning int, usable bool) {
+func (p *Pacer) SetCapacity(id string, maxRunning int, usable bool) {
 	if t := p.targets[id]; t != nil {
 		t.maxRunning, t.usable = maxRunning, usable
 	}
 }
 
-// Online takes one node's absolute count of online requests at a target.
+// RecordOnline takes one node's absolute count of online requests at a target.
 // Reports that are older than one already taken change nothing.
-func (p *Pacer) Online(now time.Time, id, node string, incarnation, seq uint64, online int) {
+func (p *Pacer) RecordOnline(now time.Time, id, node string, incarnation, seq uint64, online int) {
 	t := p.targets[id]
 	if t == nil {
 		return
@@ -94,13 +94,13 @@
 		return
 	}
 	t.online[node] = reported{incarnation, seq, online}
-	if total := t.onlineTotal(); total >= t.peak || now.Sub(t.peakAt) > p.cfg.Quiet {
+	if total := t.onlineTotal(); total >= t.peak || now.Sub(t.peakAt) > p.cfg.QuietTime {
 		t.peak, t.peakAt = total, now
 	}
 }
 
-// Forget drops the counts of a node that is gone.
-func (p *Pacer) Forget(node string) {
+// RemoveNode drops the counts of a node that is gone.
+func (p *Pacer) RemoveNode(node string) {
 	for _, t := range p.targets {
 		delete(t.online, node)
 	}
@@ -124,19 +124,19 @@
 		return t.maxRunning
 	}
 	online := t.onlineTotal()
-	if now.Sub(t.peakAt) <= p.cfg.Quiet {
+	if now.Sub(t.peakAt) <= p.cfg.QuietTime {
 		online = max(online, t.peak)
 	}
-	return max(0, int(p.cfg.Fill*float64(t.maxRunning))-online-p.cfg.Reserve)
+	return max(0, int(p.cfg.FillShare*float64(t.maxRunning))-online-p.cfg.Reserve)
 }
 
 // Free returns the owned targets that may take more batch items now and how
 // many, most free first.
-func (p *Pacer) Free(now time.Time) []Slot {
-	var out []Slot
+func (p *Pacer) Free(now time.Time) []ItemCount {
+	var out []ItemCount
 	for id, t := range p.targets {
 		if n := p.Allowed(now, id) - t.batch; n > 0 {
-			out = append(out, Slot{id, n})
+			out = append(out, ItemCount{id, n})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool {
@@ -145,18 +145,18 @@
 	return out
 }
 
-// Slot is room for Count batch items at a target.
-type Slot struct {
+// ItemCount is room for Count batch items at a target.
+type ItemCount struct {
 	Target string
 	Count  int
 }
 
 // Excess returns how many batch items must leave each target now.
-func (p *Pacer) Excess(now time.Time) []Slot {
-	var out []Slot
+func (p *Pacer) Excess(now time.Time) []ItemCount {
+	var out []ItemCount
 	for id, t := range p.targets {
 		if n := t.batch - p.Allowed(now, id); n > 0 {
-			out = append(out, Slot{id, n})
+			out = append(out, ItemCount{id, n})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Target < out[j].Target })
--- a/internal/request/schedule/fair.go
+++ b/internal/request/schedule/fair.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Fair shares what a node sends of batch work among workspaces by start-time fair queueing
+// FairQueue shares what a node sends of batch work among workspaces by start-time fair queueing
 // (Goyal, Vin and Cheng, 1996): each workspace has a tag, by which it is served and
 // which grows by the tokens of what is sent of it. One that had nothing to send starts at
 // the tag that is served now, so that nothing is saved up. Of its items the earliest due
@@ -12,16 +12,16 @@
 // item to be as cheap, and lets one workspace run further ahead of another.
 //
 // It is not safe for concurrent use.
-type Fair struct {
+type FairQueue struct {
 	virtual float64            // the tag served last
 	tags    map[string]float64 // of workspaces that are ahead of it
 }
 
-// NewFair returns a scheduler that has sent nothing.
-func NewFair() *Fair { return &Fair{tags: map[string]float64{}} }
+// NewFairQueue returns a scheduler that has sent nothing.
+func NewFairQueue() *FairQueue { return &FairQueue{tags: map[string]float64{}} }
 
 // Order puts waiting items into the order in which they get room.
-func (f *Fair) Order(items []Item) {
+func (f *FairQueue) Order(items []Item) {
 	Sort(items)
 	queues, names := f.queues(items)
 	if len(names) < 2 {
@@ -46,7 +46,7 @@
 
 // queues returns the items of each workspace, and the workspaces in the order of their
 // first items.
-func (f *Fair) queues(items []Item) (map[string][]Item, []string) {
+func (f *FairQueue) queues(items []Item) (map[string][]Item, []string) {
 	queues := map[string][]Item{}
 	var names []string
 	for _, item := range items {
@@ -58,8 +58,8 @@
 	return queues, slices.Clip(names)
 }
 
-// Sent notes that an item got room.
-func (f *Fair) Sent(item Item) {
+// MarkSent notes that an item got room.
+func (f *FairQueue) MarkSent(item Item) {
 	f.virtual = f.start(item.Workspace)
 	f.tags[item.Workspace] = f.virtual + cost(item)
 	for name, tag := range f.tags {
@@ -70,7 +70,7 @@
 }
 
 // start returns the tag at which a workspace is served next.
-func (f *Fair) start(name string) float64 { return max(f.virtual, f.tags[name]) }
+func (f *FairQueue) start(name string) float64 { return max(f.virtual, f.tags[name]) }
 
 // cost returns what an item counts; one without a size counts as one token.
 func cost(item Item) float64 { return float64(max(1, item.Tokens)) }
--- a/internal/request/schedule/fair_test.go
+++ b/internal/request/schedule/fair_test.go
@@ -48,11 +48,11 @@
 
 // byFair sends in the order of Fair.
 func byFair() func([]Item) Item {
-	f := NewFair()
+	f := NewFairQueue()
 	return func(waiting []Item) Item {
 		order := slices.Clone(waiting)
 		f.Order(order)
-		f.Sent(order[0])
+		f.MarkSent(order[0])
 		return order[0]
 	}
 }
@@ -124,12 +124,12 @@
 	draw := rand.New(rand.NewPCG(1, 2))
 	items := backlogOf("", 30, draw)
 	draw.Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
-	f := NewFair()
+	f := NewFairQueue()
 	f.Order(items)
 	is.True(slices.IsSortedFunc(items, func(a, b Item) int { return a.Due.Compare(b.Due) }))
 
 	for i := range 100 {
-		f.Sent(Item{Workspace: "busy", Index: i, Tokens: 1000})
+		f.MarkSent(Item{Workspace: "busy", Index: i, Tokens: 1000})
 	}
 	back := append(backlogOf("back", 10, draw), backlogOf("busy", 10, draw)...)
 	f.Order(back)
--- a/internal/request/schedule/schedule.go
+++ b/internal/request/schedule/schedule.go
@@ -30,9 +30,9 @@
 	})
 }
 
-// Yielding returns up to n of the running items that are to give room up: latest
+// SelectYielding returns up to n of the running items that are to give room up: latest
 // due first, then those that were sent last, which lose least.
-func Yielding(items []Item, n int) []Item {
+func SelectYielding(items []Item, n int) []Item {
 	slices.SortFunc(items, func(a, b Item) int {
 		return cmp.Or(b.Due.Compare(a.Due), b.Sent.Compare(a.Sent), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
 	})
--- a/internal/request/serve/serve.go
+++ b/internal/request/serve/serve.go
@@ -77,7 +77,7 @@
 	active  sync.WaitGroup // executions and calls in progress
 
 	mu      sync.Mutex
-	gate    *admit.Gate
+	gate    *admit.Controller
 	meanSec float64 // moving mean of a request's time
 }
 
@@ -205,8 +205,8 @@
 	usable, capacity, inFlight, waiting := s.Targets.Supply(service.Name, loaded)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	demand := admit.Demand{Workspace: c.workspace, Service: service, Remaining: deadline.Sub(now)}
-	supply := admit.Supply{Usable: usable, Capacity: capacity, InFlight: inFlight, Waiting: waiting, ServiceSec: s.meanSec,
+	demand := admit.Request{Workspace: c.workspace, Service: service, Remaining: deadline.Sub(now)}
+	supply := admit.ServiceState{Usable: usable, Capacity: capacity, InFlight: inFlight, Waiting: waiting, ServiceSec: s.meanSec,
 		Remote: service.Kind == fleet.KindModel && !c.forwarded && s.Runner.RemoteReachable(), Evacuated: s.Targets.AllEvacuated(service.Name)}
 	if err := s.gate.Admit(demand, supply); err != nil {
 		return nil, false, err
@@ -216,7 +216,7 @@
 		defer s.mu.Unlock()
 		s.gate.Done(demand)
 		s.observe(time.Since(now))
-	}, supply.Away(), nil
+	}, supply.UseRemote(), nil
 }
 
 // meanWeight is the weight of one request in the moving mean of their times.
--- a/internal/request/warmup/warmup.go
+++ b/internal/request/warmup/warmup.go
@@ -26,20 +26,20 @@
 	PerSecond float64
 }
 
-// Share is which of the nodes that send work a node is.
-type Share struct {
-	Place int // in the list of all nodes by name, from 0
+// Position is which of the nodes that send work a node is.
+type Position struct {
+	Index int // in the list of all nodes by name, from 0
 	Nodes int // 0: not known, the node has no turns
 }
 
-// ShareOf returns the share of a node among all that send work, whose names are sorted.
+// PositionOf returns the share of a node among all that send work, whose names are sorted.
 // One that is not among them has no turns: the others do not count it.
-func ShareOf(node string, sorted []string) Share {
+func PositionOf(node string, sorted []string) Position {
 	place, found := slices.BinarySearch(sorted, node)
 	if !found {
-		return Share{}
+		return Position{}
 	}
-	return Share{Place: place, Nodes: len(sorted)}
+	return Position{Index: place, Nodes: len(sorted)}
 }
 
 // NoTurn is what Turn returns while another node has its turn.
@@ -51,12 +51,12 @@
 
 // Turn returns the number of the turn that the node has at a target that has been cold
 // for so long, or NoTurn.
-func (s Share) Turn(target string, cold time.Duration, perSecond float64) int {
+func (s Position) Turn(target string, cold time.Duration, perSecond float64) int {
 	if s.Nodes <= 0 || perSecond <= 0 {
 		return NoTurn
 	}
 	round := float64(s.Nodes) / perSecond // seconds
-	place := (uint64(s.Place) + xxhash.Sum64String(target)%uint64(s.Nodes)) % uint64(s.Nodes)
+	place := (uint64(s.Index) + xxhash.Sum64String(target)%uint64(s.Nodes)) % uint64(s.Nodes)
 	since := cold.Seconds() - float64(place)/perSecond
 	if since < 0 {
 		return NoTurn
--- a/internal/request/warmup/warmup_test.go
+++ b/internal/request/warmup/warmup_test.go
@@ -22,7 +22,7 @@
 	}
 	for now := time.Duration(0); now < length; now += step {
 		for i := range nodes {
-			share := Share{Place: i, Nodes: nodes}
+			share := Position{Index: i, Nodes: nodes}
 			turn := share.Turn("target", now-learned[i], perSecond)
 			ends := late[i] && share.Turn("target", now-learned[i]+step, perSecond) == turn
 			if now < learned[i] || turn == NoTurn || turn == last[i] || ends {
@@ -73,7 +73,7 @@
 			for place := range nodes {
 				turns := map[int]bool{}
 				for at := time.Duration(0); at < 4*round; at += time.Millisecond {
-					if turn := (Share{place, nodes}).Turn("target", at, perSecond); turn != NoTurn {
+					if turn := (Position{place, nodes}).Turn("target", at, perSecond); turn != NoTurn {
 						turns[turn] = true
 					}
 				}
@@ -85,7 +85,7 @@
 
 func TestUnknownShareHasNoTurn(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Share{}.Turn("target", time.Second, 8), NoTurn)
-	is.Equal(ShareOf("n-c", []string{"n-a", "n-b"}), Share{})
-	is.Equal(ShareOf("n-b", []string{"n-a", "n-b"}), Share{Place: 1, Nodes: 2})
+	is.Equal(Position{}.Turn("target", time.Second, 8), NoTurn)
+	is.Equal(PositionOf("n-c", []string{"n-a", "n-b"}), Position{})
+	is.Equal(PositionOf("n-b", []string{"n-a", "n-b"}), Position{Index: 1, Nodes: 2})
 }
--- a/internal/version/discovery/discovery.go
+++ b/internal/version/discovery/discovery.go
@@ -73,14 +73,14 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.ItemsAt(p.now(), service)
+	return p.table.HasItems(p.now(), service)
 }
 
 // InFlight returns what this node has in flight, by target.
 func (p *Pool) InFlight() map[string]choose.InFlight {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.Own()
+	return p.table.OwnInFlight()
 }
 
 // InFlightHere returns what all nodes of this data centre have in flight, by
@@ -88,14 +88,14 @@
 func (p *Pool) InFlightHere() map[string]choose.InFlight {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.Here()
+	return p.table.DataCentreInFlight()
 }
 
 // InFlightInGroup returns the same of this node's group.
 func (p *Pool) InFlightInGroup() map[string]choose.InFlight {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.InGroup()
+	return p.table.GroupInFlight()
 }
 
 // Counts returns what is held against the slots of a target.
@@ -161,8 +161,8 @@
 func (p *Pool) Yielding(t choose.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.table.Current(t) {
-		p.table.Yielding(t.ID)
+	if p.table.IsCurrent(t) {
+		p.table.MarkYielding(t.ID)
 	}
 }
 
@@ -170,7 +170,7 @@
 // another one.
 func (p *Pool) Leave(t choose.Target, why string) {
 	p.mu.Lock()
-	news := p.table.Leave(t.ID, t.Incarnation)
+	news := p.table.MarkLeaving(t.ID, t.Incarnation)
 	p.mu.Unlock()
 	if news {
 		p.onChange(t.ID, why)
@@ -188,7 +188,7 @@
 func (p *Pool) Evacuate(dataCentres []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.table.Evacuate(p.now(), dataCentres)
+	p.table.SetEvacuated(p.now(), dataCentres)
 }
 
 // Evacuated reports whether a target stands in a data centre that is evacuated.
@@ -207,10 +207,10 @@
 }
 
 // SetShare says which of the nodes that send work this one is.
-func (p *Pool) SetShare(s warmup.Share) {
+func (p *Pool) SetShare(s warmup.Position) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.table.SetShare(s)
+	p.table.SetPosition(s)
 }
 
 // List returns all targets, with the reason why any of them gets no work.
@@ -224,7 +224,7 @@
 func (p *Pool) Serving(service string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.Serving(service)
+	return p.table.TargetCount(service)
 }
 
 // Choose returns a target for an online request and counts it there.
@@ -239,7 +239,7 @@
 	if target.Apart {
 		p.table.BeginApart(target.ID)
 	}
-	own, others := p.table.Displace(p.now(), target.ID)
+	own, others := p.table.Preemption(p.now(), target.ID)
 	p.mu.Unlock()
 	p.displaced(target.ID, own, others)
 	p.onOwn()
@@ -251,7 +251,7 @@
 	switch {
 	case own:
 		p.displacer.MakeRoom(id)
-	case !others.None():
+	case !others.Empty():
 		p.displacer.TellHolders(id)
 	}
 }
@@ -261,15 +261,15 @@
 func (p *Pool) Better(id string, need choose.Need, heard time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.Better(p.now(), id, need, heard)
+	return p.table.BetterElsewhere(p.now(), id, need, heard)
 }
 
 // Heard notes an event of a target.
 func (p *Pool) Heard(t choose.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.table.Current(t) {
-		p.table.Heard(p.now(), t.ID)
+	if p.table.IsCurrent(t) {
+		p.table.RecordEvent(p.now(), t.ID)
 	}
 }
 
@@ -299,7 +299,7 @@
 // again: the counts of the new incarnation began without it.
 func (p *Pool) end(t choose.Target, count func() (ejected, readmitted bool)) {
 	p.mu.Lock()
-	if !p.table.Current(t) {
+	if !p.table.IsCurrent(t) {
 		p.mu.Unlock()
 		return
 	}
@@ -325,8 +325,8 @@
 func (p *Pool) FirstEvent(t choose.Target, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.table.Current(t) {
-		p.table.FirstEvent(p.now(), t.ID, took)
+	if p.table.IsCurrent(t) {
+		p.table.RecordFirstEvent(p.now(), t.ID, took)
 	}
 }
 
@@ -334,16 +334,16 @@
 func (p *Pool) RefusedItem(t choose.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.table.Current(t) {
-		p.table.RefusedItem(p.now(), t.ID)
+	if p.table.IsCurrent(t) {
+		p.table.MarkItemRefused(p.now(), t.ID)
 	}
 }
 
 // Saturated notes that a target refused an online request because it was full.
 func (p *Pool) Saturated(t choose.Target) {
 	p.mu.Lock()
-	if p.table.Current(t) {
-		p.table.Saturated(p.now(), t.ID)
+	if p.table.IsCurrent(t) {
+		p.table.MarkSaturated(p.now(), t.ID)
 	}
 	p.mu.Unlock()
 	p.onOwn() // batch items there make room
@@ -354,7 +354,7 @@
 func (p *Pool) BatchRoom(dataCentre string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.BatchRoom(p.now(), dataCentre)
+	return p.table.BatchCapacity(p.now(), dataCentre)
 }
 
 // Reserve returns the function that tells, by what is known now, how many slots
@@ -369,5 +369,5 @@
 func (p *Pool) Occupied(service string, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.table.Occupied(service, took)
+	p.table.RecordSlotTime(service, took)
 }
--- a/internal/version/discovery/list.go
+++ b/internal/version/discovery/list.go
@@ -40,9 +40,9 @@
 	p.set()
 	for _, r := range listed {
 		if r.Draining {
-			p.table.Leave(r.ID, r.Incarnation)
+			p.table.MarkLeaving(r.ID, r.Incarnation)
 		}
-		p.table.WarmUp(p.now(), r.ID, r.Incarnation, r.WarmUpLeft)
+		p.table.MarkWarmingUp(p.now(), r.ID, r.Incarnation, r.WarmUpLeft)
 	}
 	p.mu.Unlock()
 	for _, attempt := range ended {
@@ -147,5 +147,5 @@
 			list = append(list, r.Target)
 		}
 	}
-	p.table.Set(list)
+	p.table.SetTargets(list)
 }
--- a/internal/version/targets/gossip.go
+++ b/internal/version/targets/gossip.go
@@ -27,7 +27,7 @@
 			state.Loads = append(state.Loads, loadProto(s, full || now.Sub(p.renamed) < m.membership.News()))
 		}
 	}
-	for vm, incarnation := range m.table.Left() {
+	for vm, incarnation := range m.table.LeavingIncarnations() {
 		if full || now.Sub(m.marked[vm]) < m.membership.News() {
 			state.Leaving = append(state.Leaving, &v1.LeavingVM{Vm: vm, Incarnation: incarnation})
 		}
--- a/internal/version/targets/targets.go
+++ b/internal/version/targets/targets.go
@@ -159,14 +159,14 @@
 			m.leave(vm.ID, vm.Incarnation, "VM list")
 		}
 	}
-	m.table.Set(list)
+	m.table.SetTargets(list)
 	m.mu.Unlock()
 	m.membership.Learn(nodes)
 	m.Reown(m.membership.View())
 }
 
 func (m *Manager) leave(vm string, incarnation uint64, source string) {
-	if m.table.Leave(vm, incarnation) {
+	if m.table.MarkLeaving(vm, incarnation) {
 		m.marked[vm] = time.Now()
 		m.recorder.Record(timeline.VMLeaving, "", vm, source)
 	}
@@ -176,7 +176,7 @@
 func (m *Manager) Evacuate(dataCentres []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.Evacuate(time.Now(), dataCentres)
+	m.table.SetEvacuated(time.Now(), dataCentres)
 }
 
 // AllEvacuated reports whether all targets of a service stand in data centres that are
@@ -190,7 +190,7 @@
 // Reown computes the owners anew.
 func (m *Manager) Reown(view *member.View) {
 	m.mu.Lock()
-	m.table.SetShare(warmup.ShareOf(view.Self.ID, view.Duty))
+	m.table.SetPosition(warmup.PositionOf(view.Self.ID, view.Duty))
 	var own []string
 	for _, s := range m.table.List(time.Now()) {
 		owner := rendezvous.First(s.ID, view.Duty)
@@ -279,7 +279,7 @@
 	due := err == nil && time.Since(p.ordered) > orderPause
 	m.mu.Unlock()
 	m.tellEnded(ended)
-	m.onReport(s.ID, load, now.Why == "")
+	m.onReport(s.ID, load, now.Reason == "")
 	if due {
 		m.order(ctx, s, report, p)
 	}
@@ -289,7 +289,7 @@
 // target with its start as incarnation. The caller holds m.mu.
 func (m *Manager) report(id string, incarnation uint64, load choose.Load) (ended []choose.Target) {
 	before, known := m.table.Get(time.Now(), id)
-	m.table.Report(id, incarnation, load)
+	m.table.RecordLoad(id, incarnation, load)
 	m.warmUp(id, incarnation, load.Started)
 	if known && before.Load.Started > 0 && load.Started > before.Load.Started {
 		ended = append(ended, ofProcess(before))
@@ -305,7 +305,7 @@
 		return
 	}
 	ran := time.Since(time.UnixMilli(int64(started)))
-	m.table.WarmUp(time.Now(), id, incarnation, m.cfg.Choose.WarmUp(s.Service).Time-ran)
+	m.table.MarkWarmingUp(time.Now(), id, incarnation, m.cfg.Choose.WarmUp(s.Service).Time-ran)
 }
 
 // ofProcess returns a target whose incarnation is the start of its process, which
@@ -379,7 +379,7 @@
 
 func (m *Manager) otherVersion(need choose.Need) string {
 	for _, s := range m.table.List(time.Now()) {
-		if s.Service != need.Service || s.Why != "" {
+		if s.Service != need.Service || s.Reason != "" {
 			continue
 		}
 		for _, loaded := range s.Load.Loaded {
@@ -423,7 +423,7 @@
 
 // Judge counts the outcome of a batch item, whose place the pacer counts.
 func (m *Manager) Judge(id string, outcome choose.Outcome) {
-	m.finish(id, outcome, m.table.Judge)
+	m.finish(id, outcome, m.table.RecordOutcome)
 }
 
 func (m *Manager) finish(id string, outcome choose.Outcome, end func(time.Time, string, choose.Outcome) (bool, bool)) {
@@ -444,10 +444,10 @@
 func (m *Manager) Supply(service, loaded string) (usable, capacity, inFlight, waiting int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	usable, capacity, inFlight, waiting = m.table.Supply(time.Now(), service, loaded)
+	usable, capacity, inFlight, waiting = m.table.ServiceTotals(time.Now(), service, loaded)
 	if usable == 0 {
 		if older := m.otherVersion(choose.Need{Service: service, Loaded: loaded}); older != "" {
-			return m.table.Supply(time.Now(), service, older)
+			return m.table.ServiceTotals(time.Now(), service, older)
 		}
 	}
 	return usable, capacity, inFlight, waiting
@@ -465,7 +465,7 @@
 func (m *Manager) Serving(service string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.Serving(service)
+	return m.table.TargetCount(service)
 }
 
 // Usable reports whether a target may get new work now.
@@ -473,7 +473,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s, ok := m.table.Get(time.Now(), id)
-	return s.Target, ok && s.Why == ""
+	return s.Target, ok && s.Reason == ""
 }
 
 // List returns all targets with their owners.
--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -201,10 +201,10 @@
 	for i := range n {
 		list = append(list, choose.Target{ID: fmt.Sprintf("dc00-target%03d", i), Incarnation: 1, Service: "service", Addr: fmt.Sprintf("10.0.0.%d:8000", i), DataCentre: "data-centre-00"})
 	}
-	table.Set(list)
+	table.SetTargets(list)
 	now := time.Now()
 	for _, t := range list {
-		table.Report(t.ID, 1, choose.Load{MaxRunning: 32, Healthy: true, Loaded: []string{"m@1", "n@1"}, At: now})
+		table.RecordLoad(t.ID, 1, choose.Load{MaxRunning: 32, Healthy: true, Loaded: []string{"m@1", "n@1"}, At: now})
 	}
 	memory := (heap() - before) / uint64(n)
 	took := perCall(5000, func(i int) {
@@ -218,18 +218,18 @@
 }
 
 func pacing(out io.Writer, n int) {
-	p := pace.New(pace.Config{Fill: 0.9, Reserve: 1, Quiet: 100 * time.Millisecond})
+	p := pace.New(pace.Config{FillShare: 0.9, Reserve: 1, QuietTime: 100 * time.Millisecond})
 	var ids []string
 	for i := range n {
 		ids = append(ids, fmt.Sprint("t", i))
 	}
-	p.Own(ids)
+	p.SetOwned(ids)
 	now := time.Now()
 	for _, id := range ids {
-		p.Report(id, 32, true)
+		p.SetCapacity(id, 32, true)
 	}
 	took := perCall(20000, func(i int) {
-		p.Online(now, ids[i%n], fmt.Sprint("n", i%nodesPerDC), 1, uint64(i+1), i%20)
+		p.RecordOnline(now, ids[i%n], fmt.Sprint("n", i%nodesPerDC), 1, uint64(i+1), i%20)
 		p.Excess(now)
 		p.Free(now)
 	})
--- a/lab/model/fleet.go
+++ b/lab/model/fleet.go
@@ -186,7 +186,7 @@
 		f.clock.after(unlistedAfter, func() {
 			f.list = f.list[len(struck):]
 			for _, n := range f.nodes {
-				n.table.Set(f.list)
+				n.table.SetTargets(f.list)
 			}
 		})
 	case TargetsSlow:
--- a/lab/model/news.go
+++ b/lab/model/news.go
@@ -161,7 +161,7 @@
 }
 
 func (n *node) ofNode() word {
-	own, demand := n.table.Own(), n.demand()
+	own, demand := n.table.OwnInFlight(), n.demand()
 	return func(o *node) {
 		o.claims[n.name] = demand
 		if o.table.SetNode(n.name, own) {
@@ -174,7 +174,7 @@
 }
 
 func (n *node) ofGroup() word {
-	counts, group, members, demand := n.table.InGroup(), n.view.Group(), 1+len(n.view.Members()), sum(n.nodeClaims())
+	counts, group, members, demand := n.table.GroupInFlight(), n.view.Group(), 1+len(n.view.Members()), sum(n.nodeClaims())
 	return func(o *node) {
 		o.groups[group] = demand
 		if o.table.SetGroup(group, members, counts) {
@@ -184,7 +184,7 @@
 }
 
 func (n *node) ofCentre() word {
-	counts, claim := n.table.Here(), n.claim()
+	counts, claim := n.table.DataCentreInFlight(), n.claim()
 	return func(o *node) {
 		o.centres[n.centre] = claim
 		if o.table.SetDataCentre(n.centre, counts) {
@@ -217,7 +217,7 @@
 
 func (n *node) claim() choose.Claim {
 	demand := sum(n.groupClaims())
-	return choose.Claim{Demand: demand, Overflow: max(0, demand-n.table.BatchRoom(n.f.clock.wall(), n.centre))}
+	return choose.Claim{Demand: demand, Overflow: max(0, demand-n.table.BatchCapacity(n.f.clock.wall(), n.centre))}
 }
 
 // shares returns how many items this node may have at a target.
--- a/lab/model/node.go
+++ b/lab/model/node.go
@@ -50,9 +50,9 @@
 	n.down = false
 	n.life++
 	n.news = newNews(n)
-	n.table = choose.New(choose.Config{EjectAfter: ejectAfter, EjectTime: ejectTime, Policy: choose.LeastOfFew, Node: n.name, Home: n.centre, Group: n.view.Group(),
-		Seed: n.seed, LeastReserve: n.f.variant.LeastReserve})
-	n.table.Set(n.f.list)
+	n.table = choose.New(choose.Config{EjectAfter: ejectAfter, EjectTime: ejectTime, Policy: choose.LeastOfFew, Node: n.name, LocalDataCentre: n.centre, Group: n.view.Group(),
+		Seed: n.seed, MinReserve: n.f.variant.LeastReserve})
+	n.table.SetTargets(n.f.list)
 }
 
 // stop ends the process: its connections break and engines end its runs.
@@ -131,10 +131,10 @@
 			}
 		}
 	}
-	for _, item := range schedule.Yielding(at, count) {
+	for _, item := range schedule.SelectYielding(at, count) {
 		it := &n.job(item.Job).items[item.Index]
 		it.stopped = true
-		n.table.Yielding(target)
+		n.table.MarkYielding(target)
 		n.f.result.Yields++
 		run := it.run
 		n.f.clock.after(n.f.delay(n.centre, n.f.centres[target]), func() { n.f.engines[target].drop(run) })
--- a/lab/model/warmup/warmup.go
+++ b/lab/model/warmup/warmup.go
@@ -67,7 +67,7 @@
 func Turns(w *World) func(node, target int, now time.Duration) bool {
 	used := map[[2]int]int{}
 	return func(node, target int, now time.Duration) bool {
-		turn := (warmup.Share{Place: node, Nodes: w.Nodes}).Turn(w.targets[target], now-w.learned[node], Rate.PerSecond)
+		turn := (warmup.Position{Index: node, Nodes: w.Nodes}).Turn(w.targets[target], now-w.learned[node], Rate.PerSecond)
 		last, any := used[[2]int{node, target}]
 		if turn == warmup.NoTurn || (any && last == turn) {
 			return false
--- a/lab/model/work.go
+++ b/lab/model/work.go
@@ -201,9 +201,9 @@
 func (q *request) send(target string) {
 	f, n := q.n.f, q.n
 	n.table.Begin(target)
-	if own, others := n.table.Displace(f.clock.wall(), target); own {
+	if own, others := n.table.Preemption(f.clock.wall(), target); own {
 		n.yield(target, 1)
-	} else if !others.None() {
+	} else if !others.Empty() {
 		n.tellHolders(others)
 	}
 	n.ownLoadChanged()
@@ -220,7 +220,7 @@
 		f.deliver(n, target, func() {
 			if a.current() {
 				a.finish(choose.Success)
-				n.table.Occupied(service, f.clock.now-a.sent)
+				n.table.RecordSlotTime(service, f.clock.now-a.sent)
 				q.whole()
 			}
 		})
@@ -262,7 +262,7 @@
 			a.end(&f.result.Online.Failed)
 		case a.left != seen:
 			a.watch(gap)
-		case a.tried+1 < attempts && a.n.table.Better(f.clock.wall(), a.target, a.need(), gap):
+		case a.tried+1 < attempts && a.n.table.BetterElsewhere(f.clock.wall(), a.target, a.need(), gap):
 			a.tried++
 			a.elsewhere(choose.Failure)
 		default:
@@ -274,10 +274,10 @@
 func (q *request) event(target string, sent time.Duration) {
 	f := q.n.f
 	now := f.clock.now
-	q.n.table.Heard(f.clock.wall(), target)
+	q.n.table.RecordEvent(f.clock.wall(), target)
 	if q.first == 0 {
 		q.first = now - q.arrived
-		q.n.table.FirstEvent(f.clock.wall(), target, now-sent)
+		q.n.table.RecordFirstEvent(f.clock.wall(), target, now-sent)
 	} else {
 		q.pause = max(q.pause, now-q.newest)
 	}
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -69,7 +69,7 @@
 mutant 8 internal/request/job/handover.go 's/m\.handOver\(ctx, jobs\)//' lab/hosted TestLeavingNodeHandsOver
 mutant 9 internal/version/follow/cache.go 's/old\.Revision > o\.Revision \|\|/old.Revision > o.Revision+9 ||/' internal/version/follow TestOrderOfDeliveryDoesNotMatter
 mutant 9 internal/version/follow/refresh.go 's/objects\.ErrHistoryGone\)/objects.ErrNotFound)/' internal/version/follow TestLostHistoryIsListedAgain
-mutant 7 internal/version/discovery/list.go 's/if r\.Draining \{\n\t\t\tp\.table\.Leave/if r.Draining \&\& r.Slots == 0 {\n\t\t\tp.table.Leave/' lab/hosted TestDrainingTarget
+mutant 7 internal/version/discovery/list.go 's/if r\.Draining \{\n\t\t\tp\.table\.MarkLeaving/if r.Draining \&\& r.Slots == 0 {\n\t\t\tp.table.MarkLeaving/' lab/hosted TestDrainingTarget
 mutant 7 internal/version/discovery/list.go 's/if r\.Incarnation < p\.newest\[r\.ID\] \{/if r.Incarnation < p.newest[r.ID] \&\& r.Slots == 0 {/' internal/version/discovery TestOlderWordOverridesNoNewerOne
 mutant 6 internal/version/discovery/list.go 's/ended = p\.running\[r\.ID\]/_ = p.running[r.ID]/' internal/version/discovery TestAttemptsHearOfARestart
 mutant 7 platform/wire.go 's/\*w\.State != stateDraining\)/*w.State == "")/' platform TestEntriesOfAnotherWriterNameNoTarget
@@ -123,7 +123,7 @@
 mutant 11 internal/request/job/evacuate.go 's/items := m\.runningWhere\(m\.Pool\.Evacuated\)/items := m.runningWhere(m.Pool.Evacuated)[:0]/' lab/hosted TestItemsLeaveAnEvacuatedDataCentre
 mutant 11 internal/request/forward/place.go 's/if f\.evacuated\(req, c\) \|\| /if /' internal/request/forward TestNoTargetLeftIsSaidAtOnce
 mutant 11 internal/process/node/remotes.go 's/ && !r\.node\.config\.Current\(\)\.IsEvacuated\(c\.DataCentre\)//' lab/e2e TestOperatorEvacuatesADataCentre
-mutant 12 internal/request/warmup/warmup.go 's/place := \(uint64\(s\.Place\) \+ /place := uint64(0) * (uint64(s.Place) + /' internal/request/warmup TestTurnsKeepTheRate
+mutant 12 internal/request/warmup/warmup.go 's/place := \(uint64\(s\.Index\) \+ /place := uint64(0) * (uint64(s.Index) + /' internal/request/warmup TestTurnsKeepTheRate
 mutant 12 internal/request/choose/warm.go 's/turn != warmup\.NoTurn && turn != e\.lastTurn/turn != warmup.NoTurn/' internal/request/choose TestReturnedTargetsWarmUp
 mutant 12 internal/request/choose/warm.go 's/if until := now\.Add\(left\); until\.After\(e\.warmAt\)/if until := now.Add(left); left > 0/' internal/request/choose TestWarmUpIsNotCutShort
 mutant 12 internal/request/choose/choose.go 's/case len\(cold\) > 0 && !hasRoom\(now, out\) && !hasRoom\(now, full\):/case len(cold) > 0:/' internal/request/choose TestColdTargetsComeAfterWarmOnes
