--- a/internal/process/hosted/batchwork.go
+++ b/internal/process/hosted/batchwork.go
@@ -92,7 +92,7 @@
 // HeardJobs implements beacon.BatchWork.
 func (w *batchWork) HeardJobs(node string, jobs []string) {
 	if r, ok := w.node.registered()[node]; ok {
-		w.node.jobs.HeldBy(job.Holder{Node: node, Boot: r.Boot, Address: r.Address}, jobs)
+		w.node.jobs.ObserveHolder(job.Holder{Node: node, Boot: r.Boot, Address: r.Address}, jobs)
 	}
 }
 
@@ -136,7 +136,7 @@
 	return claims
 }
 
-// shares implements job.Parts.Shares: nodes together never send a target more
+// shares implements job.Dependencies.Allotments: nodes together never send a target more
 // items than it has room for beside online requests, and need not ask each other.
 func (w *batchWork) shares() func(t choose.Target) int {
 	claims, reserve := w.claims(), w.node.pool.Reserve()
--- a/internal/process/hosted/changes.go
+++ b/internal/process/hosted/changes.go
@@ -28,7 +28,7 @@
 }
 
 // MakeRoom implements discovery.Displacer.
-func (n *Node) MakeRoom(target string) { n.jobs.MakeRoomAt(target) }
+func (n *Node) MakeRoom(target string) { n.jobs.PreemptItemAt(target) }
 
 // TellHolders implements discovery.Displacer.
 func (n *Node) TellHolders(target string) { n.beacon.Tell(target) }
@@ -40,7 +40,7 @@
 		case <-ctx.Done():
 			return
 		case <-n.makeRoom:
-			n.jobs.MakeRoom()
+			n.jobs.PreemptItems()
 		}
 	}
 }
@@ -64,7 +64,7 @@
 			n.configChanged(o, from)
 		case job.KindEnds:
 			if !o.Deleted { // deleted with the rest of an expired job
-				n.jobs.EndSeen(o.Name)
+				n.jobs.MarkEnded(o.Name)
 			}
 		case n.adapter.Kinds.Retirements:
 			n.retirementSeen(o)
--- a/internal/process/hosted/holders.go
+++ b/internal/process/hosted/holders.go
@@ -56,8 +56,8 @@
 	return rendezvous.Rank(job.KindHeads, append(n.nearHolders(), n.settings.NodeID), sweepersHere)
 }
 
-// Sweeps implements job.Peers.
-func (n *Node) Sweeps() bool { return slices.Contains(n.sweepers(), n.settings.NodeID) }
+// IsSweeper implements job.Peers.
+func (n *Node) IsSweeper() bool { return slices.Contains(n.sweepers(), n.settings.NodeID) }
 
 // AdoptRank implements job.Peers.
 func (n *Node) AdoptRank(job string) int {
@@ -74,8 +74,8 @@
 	return n.peers.saves.at(address)
 }
 
-// SilentSince implements job.Peers.
-func (n *Node) SilentSince(node string) (time.Time, bool) { return n.beacon.SilentSince(node) }
+// UnreachableSince implements job.Peers.
+func (n *Node) UnreachableSince(node string) (time.Time, bool) { return n.beacon.SilentSince(node) }
 
 // keepersOfJob is how many nodes keep a job's checkpoint: one in the data centre
 // of its holder, which is near, and one elsewhere, for the loss of a disk or of
--- a/internal/process/hosted/hosted.go
+++ b/internal/process/hosted/hosted.go
@@ -140,14 +140,14 @@
 	n.backlogs = newBacklogs(n)
 	n.forwarder = &forward.Forwarder{Targets: n.pool, Sender: adapter.Sender, Quarantine: n.crashes, Log: &requestLog{n}, Checker: n.checker, Now: n.clock.Now}
 	n.jobs = job.NewManager(job.Config{
-		Self: job.Holder{Node: s.NodeID, Boot: n.boot, Address: s.PeerAdvertise}, MaxValue: s.StoreMaxValue,
+		Self: job.Holder{Node: s.NodeID, Boot: n.boot, Address: s.PeerAdvertise}, MaxValueBytes: s.StoreMaxValue,
 		KeepResults: s.KeepResults, Selectors: adapter.Selectors, TakeOverAfter: s.TakeOverAfter, SweepInterval: s.SweepInterval, EvacuatedWithin: s.EvacuatedWithin,
-		Holds: s.CallerListen != "", ResultMemory: s.ResultMemory, CheckpointInterval: s.CheckpointInterval,
-	}, job.Parts{Store: n.relay(), StoreTook: n.storeTook, Pool: n.pool, Quarantine: n.crashes, Sender: adapter.Sender, Routes: n.Table, RoutesFresh: n.TableFresh, Peers: n,
-		Backlogs: n.backlogs, Ended: n.ended, Clock: n.clock, Shares: n.batch.shares, Recorder: n.recorder, Checker: n.checker, Metrics: n.metrics})
+		HoldsJobs: s.CallerListen != "", ResultCacheBytes: s.ResultMemory, CheckpointInterval: s.CheckpointInterval,
+	}, job.Dependencies{Store: n.relay(), StoreLatency: n.storeTook, Pool: n.pool, Quarantine: n.crashes, Sender: adapter.Sender, Routes: n.Table, RoutesFresh: n.TableFresh, Peers: n,
+		Backlogs: n.backlogs, Ended: n.ended, Clock: n.clock, Allotments: n.batch.shares, Recorder: n.recorder, Checker: n.checker, Metrics: n.metrics})
 	n.checkpoints = checkpoint.NewStore(checkpoint.Limits{Bytes: s.CheckpointMemory, Keep: s.KeepResults}, n.clock.Now)
 	n.beacon = beacon.New(beacon.Options{Node: s.NodeID, DataCentre: s.DataCentre, Boot: n.boot, Loads: n.pool, Copies: n.cache, Batch: n.batch, Store: adapter.Health, Crashes: n.crashes, Suspended: n.clock.Suspended,
-		View: n.view.Load, Behind: n.behind, Silent: func(string) { n.jobs.LookForLostJobs() },
+		View: n.view.Load, Behind: n.behind, Silent: func(string) { n.jobs.TriggerSweep() },
 		HeardFirst: func(node string) { n.recorder.Record(timeline.NodeHeard, "", node, "") }})
 	n.cache.OnVerified(n.beacon.Touch)
 	n.pool.OnLoad(n.ownLoadChanged, n.othersLoadChanged)
--- a/internal/request/job/commit.go
+++ b/internal/request/job/commit.go
@@ -131,7 +131,7 @@
 
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
-	for _, part := range segments(batch, m.cfg.MaxValue*valueShare/100) {
+	for _, part := range segments(batch, m.cfg.MaxValueBytes*valueShare/100) {
 		segment, err := m.writeSegment(ctx, h, part)
 		if err != nil {
 			return true // tried again at the next tick
--- a/internal/request/job/demand.go
+++ b/internal/request/job/demand.go
@@ -45,8 +45,8 @@
 	return out
 }
 
-// HeldBy takes the news that a node holds jobs.
-func (m *Manager) HeldBy(holder Holder, jobs []string) {
+// ObserveHolder takes the news that a node holds jobs.
+func (m *Manager) ObserveHolder(holder Holder, jobs []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, id := range jobs {
--- a/internal/request/job/heads_test.go
+++ b/internal/request/job/heads_test.go
@@ -206,7 +206,7 @@
 	store := newMemoryStore()
 	former, next := newTestManager("n0", store), newTestManager("n1", store)
 	is.NoErr(former.Submit(ctx, submission("job")))
-	former.HeldBy(Holder{Node: "n2", Address: "n2"}, []string{"job"}) // not true: the store says otherwise
+	former.ObserveHolder(Holder{Node: "n2", Address: "n2"}, []string{"job"}) // not true: the store says otherwise
 	time.Sleep(20 * time.Millisecond)
 	is.True(former.known("job"))
 	next.adopt(ctx, "job", former.cfg.Self)
@@ -214,7 +214,7 @@
 	former.mu.Lock()
 	former.held["job"].verified = time.Time{}
 	former.mu.Unlock()
-	former.HeldBy(next.cfg.Self, next.Announced())
+	former.ObserveHolder(next.cfg.Self, next.Announced())
 	for range 100 {
 		former.mu.Lock()
 		held := former.held["job"] != nil
--- a/internal/request/job/idle_test.go
+++ b/internal/request/job/idle_test.go
@@ -33,7 +33,7 @@
 	m := newTestManager("n", newMemoryStore())
 	m.cfg.SweepInterval, m.cfg.CheckpointInterval = time.Hour, time.Hour
 	m.Pool = pool
-	m.Shares = func() func(choose.Target) int {
+	m.Allotments = func() func(choose.Target) int {
 		shares.Add(1)
 		return func(choose.Target) int { return 0 }
 	}
@@ -45,7 +45,7 @@
 		m.Run(ctx)
 	}()
 	for range 50 {
-		m.MakeRoom()
+		m.PreemptItems()
 	}
 	<-done
 	is.Equal(shares.Load(), int32(0))
@@ -56,7 +56,7 @@
 // jobs of others.
 type fewSweepers struct{ noPeers }
 
-func (fewSweepers) Sweeps() bool { return false }
+func (fewSweepers) IsSweeper() bool { return false }
 
 // TestFewNodesSweep: of 250 nodes before ten jobs a second each listed the heads of
 // all jobs every five seconds. A node lists them at its start, for jobs of its own
--- a/internal/request/job/manager.go
+++ b/internal/request/job/manager.go
@@ -81,15 +81,15 @@
 	// Locator returns the address of the node of this data centre that looks
 	// the head of a job up for all others, "" when this node does.
 	Locator(job string) string
-	// Sweeps reports whether this node is one of the few of its data centre that
+	// IsSweeper reports whether this node is one of the few of its data centre that
 	// look for lost jobs of others.
-	Sweeps() bool
+	IsSweeper() bool
 	// AdoptRank returns the place of this node in the order of those that may
 	// take a job over, 0 for the first.
 	AdoptRank(job string) int
-	// SilentSince returns when a node that is heard no more was last heard; false:
+	// UnreachableSince returns when a node that is heard no more was last heard; false:
 	// it is heard, or never was.
-	SilentSince(node string) (time.Time, bool)
+	UnreachableSince(node string) (time.Time, bool)
 	// Checkpoints reaches the checkpoint service of another node, and Keepers
 	// returns the addresses of the nodes that are to keep a job's checkpoint, among
 	// those that are usable: the present ones while they are there.
@@ -100,9 +100,9 @@
 // Config of a manager.
 type Config struct {
 	Self Holder
-	// Holds says whether this node holds jobs; one that does not only reads.
-	Holds         bool
-	MaxValue      int // largest value of the store, in bytes
+	// HoldsJobs says whether this node holds jobs; one that does not only reads.
+	HoldsJobs     bool
+	MaxValueBytes int // largest value of the store, in bytes
 	KeepResults   time.Duration
 	TakeOverAfter time.Duration
 	SweepInterval time.Duration
@@ -114,20 +114,20 @@
 	CheckpointInterval time.Duration
 	// Selectors are the headers of an item whose values change what it asks for.
 	Selectors []string
-	// ResultMemory bounds the results kept in memory, in bytes.
-	ResultMemory int
+	// ResultCacheBytes bounds the results kept in memory, in bytes.
+	ResultCacheBytes int
 }
 
-// Parts are what a manager works with.
-type Parts struct {
+// Dependencies are what a manager works with.
+type Dependencies struct {
 	Store objects.Store
-	// StoreTook returns how long the store takes to answer, 0 while that is not
+	// StoreLatency returns how long the store takes to answer, 0 while that is not
 	// known or it does not answer.
-	StoreTook  func() time.Duration
-	Pool       Pool
-	Quarantine Quarantine
-	Sender     target.Sender
-	Peers      Peers
+	StoreLatency func() time.Duration
+	Pool         Pool
+	Quarantine   Quarantine
+	Sender       target.Sender
+	Peers        Peers
 	// Routes returns the routing table in force, nil before the first.
 	Routes func() *route.Table
 	// RoutesFresh reports whether the table is trusted to hold every route.
@@ -137,19 +137,19 @@
 	Ended func(job string) bool
 	// Clock counts suspensions of the machine.
 	Clock *clock.Clock
-	// Shares returns the function that tells how many items this node may have
+	// Allotments returns the function that tells how many items this node may have
 	// at a target at once, by what is known now. It must not be called, but its
 	// result may be, while the manager or the pool is locked.
-	Shares   func() func(t choose.Target) int
-	Recorder *timeline.Recorder
-	Checker  *invariant.Checker
-	Metrics  tally.Scope
+	Allotments func() func(t choose.Target) int
+	Recorder   *timeline.Recorder
+	Checker    *invariant.Checker
+	Metrics    tally.Scope
 }
 
 // Manager keeps the jobs of one node. It is safe for concurrent use.
 type Manager struct {
 	cfg Config
-	Parts
+	Dependencies
 	results     *resultCache
 	lookUps     singleflight.Group // of heads, by job
 	headsListed atomic.Bool        // all heads were listed in this life of the process
@@ -198,15 +198,15 @@
 type stopRun func(cause error) bool
 
 // NewManager returns a manager; Run starts it.
-func NewManager(cfg Config, parts Parts) *Manager {
-	return &Manager{cfg: cfg, Parts: parts, results: newResultCache(cfg.ResultMemory), wakeUp: make(chan struct{}, 1), sweepSoon: make(chan struct{}, 1), stopped: make(chan struct{}),
+func NewManager(cfg Config, deps Dependencies) *Manager {
+	return &Manager{cfg: cfg, Dependencies: deps, results: newResultCache(cfg.ResultCacheBytes), wakeUp: make(chan struct{}, 1), sweepSoon: make(chan struct{}, 1), stopped: make(chan struct{}),
 		fair: schedule.NewFair(), held: map[string]*held{}, reserved: map[backlog.Key]int64{}, absent: map[string]time.Time{}, orphans: map[string]time.Time{}, heads: map[string]knownHead{},
 		ends: map[string]time.Time{}, forget: map[string][]string{}, keepers: map[string]keeperState{}}
 }
 
 // Run schedules items and looks for jobs without a holder until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
-	if !m.cfg.Holds {
+	if !m.cfg.HoldsJobs {
 		<-ctx.Done()
 		return
 	}
@@ -288,8 +288,8 @@
 	m.Recorder.Record(timeline.JobReleased, h.id, "", why)
 }
 
-// EndSeen takes the news that the caller of a job has ended it.
-func (m *Manager) EndSeen(id string) {
+// MarkEnded takes the news that the caller of a job has ended it.
+func (m *Manager) MarkEnded(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ends[id] = time.Now()
--- a/internal/request/job/manager_test.go
+++ b/internal/request/job/manager_test.go
@@ -122,10 +122,10 @@
 }
 func (noPeers) Holders() []string                                    { return nil }
 func (noPeers) Locator(string) string                                { return "" }
-func (noPeers) Sweeps() bool                                         { return true }
+func (noPeers) IsSweeper() bool                                      { return true }
 func (noPeers) AdoptRank(string) int                                 { return 0 }
 func (noPeers) Keepers(string, []string, func(string) bool) []string { return nil }
-func (noPeers) SilentSince(string) (time.Time, bool)                 { return time.Time{}, false }
+func (noPeers) UnreachableSince(string) (time.Time, bool)            { return time.Time{}, false }
 func (noPeers) Checkpoints(string) marblepondv1connect.CheckpointServiceClient {
 	return marblepondv1connect.UnimplementedCheckpointServiceHandler{}
 }
@@ -133,11 +133,11 @@
 func newTestManager(node string, store objects.Store) *Manager {
 	recorder := timeline.NewRecorder(node, 100, &log.Logger{Handler: discard.New()}, tally.NoopScope)
 	table := route.NewTable(1, []route.Route{{Name: "r", Host: "h", Prefix: "/j/", Kind: route.Batch, Attempts: 3, CompleteWithin: time.Minute, AbandonAfter: time.Hour}}, route.Limits{})
-	return NewManager(Config{Self: Holder{Node: node, Boot: 1, Address: node}, Holds: true, MaxValue: 1 << 20, KeepResults: time.Hour, ResultMemory: 1 << 20},
-		Parts{Store: store, StoreTook: func() time.Duration { return time.Millisecond }, Pool: noPool{}, Quarantine: noQuarantine{}, Peers: noPeers{}, Routes: func() *route.Table { return table }, RoutesFresh: func() bool { return true },
+	return NewManager(Config{Self: Holder{Node: node, Boot: 1, Address: node}, HoldsJobs: true, MaxValueBytes: 1 << 20, KeepResults: time.Hour, ResultCacheBytes: 1 << 20},
+		Dependencies{Store: store, StoreLatency: func() time.Duration { return time.Millisecond }, Pool: noPool{}, Quarantine: noQuarantine{}, Peers: noPeers{}, Routes: func() *route.Table { return table }, RoutesFresh: func() bool { return true },
 			Backlogs: roomForAll{}, Ended: func(string) bool { return false }, Clock: clock.New(),
-			Shares:   func() func(choose.Target) int { return func(choose.Target) int { return 0 } },
-			Recorder: recorder, Checker: invariant.New(recorder, false), Metrics: tally.NoopScope})
+			Allotments: func() func(choose.Target) int { return func(choose.Target) int { return 0 } },
+			Recorder:   recorder, Checker: invariant.New(recorder, false), Metrics: tally.NoopScope})
 }
 
 func submission(id string) *Submission {
@@ -199,7 +199,7 @@
 	since time.Time
 }
 
-func (p silentPeers) SilentSince(string) (time.Time, bool) { return p.since, true }
+func (p silentPeers) UnreachableSince(string) (time.Time, bool) { return p.since, true }
 
 // The time after which a silent holder is taken for lost counts from when it was
 // last heard, also when the store could not be asked for its jobs until now.
--- a/internal/request/job/peer.go
+++ b/internal/request/job/peer.go
@@ -30,13 +30,13 @@
 
 // End implements the peers' service.
 func (s PeerService) End(_ context.Context, req *v1.EndRequest) (*v1.EndResponse, error) {
-	s.m.EndSeen(req.Job)
+	s.m.MarkEnded(req.Job)
 	return &v1.EndResponse{}, nil
 }
 
 // Adopt implements the peers' service: it takes over jobs that nobody holds.
 func (s PeerService) Adopt(_ context.Context, req *v1.AdoptRequest) (*v1.AdoptResponse, error) {
-	if !s.m.cfg.Holds {
+	if !s.m.cfg.HoldsJobs {
 		return &v1.AdoptResponse{}, nil
 	}
 	go func() {
@@ -72,7 +72,7 @@
 			return errkind.PlatformUnavailable.New("the end of the job is not in the object store: %v", err)
 		}
 	}
-	m.EndSeen(id)
+	m.MarkEnded(id)
 	if holder != (Holder{}) && holder.Node != m.cfg.Self.Node {
 		m.tellEnd(holder, id)
 	}
--- a/internal/request/job/room.go
+++ b/internal/request/job/room.go
@@ -6,9 +6,9 @@
 	"github.com/marblepond/marblepond/internal/request/schedule"
 )
 
-// MakeRoom stops items at targets that online requests have filled. They go on
+// PreemptItems stops items at targets that online requests have filled. They go on
 // later from the events they hold.
-func (m *Manager) MakeRoom() {
+func (m *Manager) PreemptItems() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.anyRunning() {
@@ -30,8 +30,8 @@
 	return false
 }
 
-// MakeRoomAt stops one item at a target.
-func (m *Manager) MakeRoomAt(id string) {
+// PreemptItemAt stops one item at a target.
+func (m *Manager) PreemptItemAt(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.yield(id, 1)
--- a/internal/request/job/room_test.go
+++ b/internal/request/job/room_test.go
@@ -83,12 +83,12 @@
 			pool.yielding, pool.ending = c.pool.yielding, c.pool.ending
 			m := newTestManager("n", newMemoryStore())
 			m.Pool, m.Sender = pool, c.sends
-			m.Shares = func() func(choose.Target) int { return func(choose.Target) int { return 2 } }
+			m.Allotments = func() func(choose.Target) int { return func(choose.Target) int { return 2 } }
 			is.NoErr(m.Submit(context.Background(), submission("job")))
 			m.fill(context.Background())
 			time.Sleep(35 * time.Millisecond)
-			m.MakeRoomAt("t")
-			m.MakeRoomAt("t")
+			m.PreemptItemAt("t")
+			m.PreemptItemAt("t")
 			m.mu.Lock()
 			m.draining = true // none is sent again
 			m.mu.Unlock()
--- a/internal/request/job/run.go
+++ b/internal/request/job/run.go
@@ -53,7 +53,7 @@
 	for m.waitForWork(ctx) {
 		looked := m.Clock.Now()
 		m.moveEvacuated(looked)
-		m.MakeRoom() // also while nothing changes: the time for which requests wait for a slot grows
+		m.PreemptItems() // also while nothing changes: the time for which requests wait for a slot grows
 		m.fill(ctx)
 		timer.Reset(m.lookAgainIn())
 		select {
@@ -110,7 +110,7 @@
 	if !m.anyWaiting(now) {
 		return
 	}
-	limit := m.Shares()
+	limit := m.Allotments()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	full := map[string]bool{} // services without room
--- a/internal/request/job/run_test.go
+++ b/internal/request/job/run_test.go
@@ -29,7 +29,7 @@
 	sender := callSender{make(chan target.Call, 8)}
 	m := newTestManager("n", newMemoryStore())
 	m.Pool, m.Sender = newSlowPool(2), sender
-	m.Shares = func() func(choose.Target) int { return func(choose.Target) int { return 2 } }
+	m.Allotments = func() func(choose.Target) int { return func(choose.Target) int { return 2 } }
 	is.NoErr(m.Submit(ctx, submission("job")))
 	m.fill(ctx)
 	is.Equal((<-sender.calls).Incarnation, uint64(1))
--- a/internal/request/job/submit.go
+++ b/internal/request/job/submit.go
@@ -73,7 +73,7 @@
 // answer, two are better: the first one, of the items, may be given up with the
 // promise that nothing of the job runs.
 func (m *Manager) fitsInline(s *Submission) bool {
-	took := m.StoreTook()
+	took := m.StoreLatency()
 	if took == 0 || s.Route.Objective <= 0 || float64(2*took) < slowShare*float64(s.Route.Objective) {
 		return false
 	}
@@ -151,7 +151,7 @@
 // storeItems puts the items of a job into objects of their own and returns their
 // number. Those that are there already are left: they are the same.
 func (m *Manager) storeItems(ctx context.Context, id string, items []Item) (int, error) {
-	parts := split(items, m.cfg.MaxValue*valueShare/100, itemSize)
+	parts := split(items, m.cfg.MaxValueBytes*valueShare/100, itemSize)
 	errs := make([]error, len(parts))
 	var wg sync.WaitGroup
 	for n, part := range parts {
--- a/internal/request/job/submit_test.go
+++ b/internal/request/job/submit_test.go
@@ -33,7 +33,7 @@
 // slow makes a manager take the store for slow, and the job for one that has to
 // be accepted soon.
 func slow(m *Manager, s *Submission) {
-	m.StoreTook = func() time.Duration { return 200 * time.Millisecond }
+	m.StoreLatency = func() time.Duration { return 200 * time.Millisecond }
 	s.Route.Objective = 300 * time.Millisecond
 }
 
@@ -102,7 +102,7 @@
 	for _, took := range []time.Duration{0, 5 * time.Millisecond} { // it does not answer, or in time
 		s := submission(took.String())
 		slow(m, s)
-		m.StoreTook = func() time.Duration { return took }
+		m.StoreLatency = func() time.Duration { return took }
 		is.NoErr(m.Submit(context.Background(), s))
 	}
 	is.Equal(store.count(KindItems), 3)
--- a/internal/request/job/sweep.go
+++ b/internal/request/job/sweep.go
@@ -45,7 +45,7 @@
 	for m.sweepPause(ctx, pause*3/4+rand.N(pause/2)) {
 		m.forgetOld()
 		pause = m.cfg.SweepInterval
-		if !ownLeft && !m.Peers.Sweeps() {
+		if !ownLeft && !m.Peers.IsSweeper() {
 			continue
 		}
 		var suspected bool
@@ -55,9 +55,9 @@
 	}
 }
 
-// LookForLostJobs makes the next sweep come at once, because a node is heard no
+// TriggerSweep makes the next sweep come at once, because a node is heard no
 // more.
-func (m *Manager) LookForLostJobs() {
+func (m *Manager) TriggerSweep() {
 	select {
 	case m.sweepSoon <- struct{}{}:
 	default: // asked for already
@@ -204,7 +204,7 @@
 	since, known := m.absent[holder.String()]
 	if !known {
 		since = time.Now()
-		if at, silent := m.Peers.SilentSince(holder.Node); silent {
+		if at, silent := m.Peers.UnreachableSince(holder.Node); silent {
 			since = at // before the store could be asked what the node holds
 		}
 		m.absent[holder.String()] = since
