--- a/internal/connection/lending/datagrams.go
+++ b/internal/connection/lending/datagrams.go
@@ -59,8 +59,8 @@
 	x.mu.Lock()
 	x.lived[m.Node] = x.Now()
 	if _, known := x.Limit(m.Workspace); known && m.Need > 0 {
-		g := x.lend(allowance.Ask{Workspace: m.Workspace, Borrower: m.Node, Boot: m.Boot, Sequence: m.Sequence, DataCentre: m.DataCentre,
-			Need: int(m.Need), Ahead: int(m.Ahead), Back: int(m.Back), Share: float64(m.Share)}, false)
+		g := x.lend(allowance.BorrowRequest{Workspace: m.Workspace, Borrower: m.Node, Boot: m.Boot, Sequence: m.Sequence, DataCentre: m.DataCentre,
+			Need: int(m.Need), Prefetch: int(m.Ahead), Returned: int(m.Back), Share: float64(m.Share)}, false)
 		grant.Lent, grant.WaitMs, grant.Share = uint32(g.Lent), uint32(g.Wait.Milliseconds()), float32(g.Share)
 	} else {
 		grant.Unsure = true
@@ -108,12 +108,12 @@
 }
 
 // sendAsk asks a node.
-func (x *Exchange) sendAsk(lender Lender, ask allowance.Ask) {
+func (x *Exchange) sendAsk(lender Lender, ask allowance.BorrowRequest) {
 	if lender.Address == nil {
 		return
 	}
 	x.write(lender.Address, &v1.Lending{Kind: &v1.Lending_Ask{Ask: &v1.LendingAsk{Workspace: ask.Workspace, Node: ask.Borrower, Boot: ask.Boot, Sequence: ask.Sequence,
-		DataCentre: ask.DataCentre, Need: uint32(ask.Need), Ahead: uint32(ask.Ahead), Back: uint32(ask.Back), Share: float32(ask.Share), ForCentre: lender.ForCentre}}})
+		DataCentre: ask.DataCentre, Need: uint32(ask.Need), Ahead: uint32(ask.Prefetch), Back: uint32(ask.Returned), Share: float32(ask.Share), ForCentre: lender.ForCentre}}})
 }
 
 func (x *Exchange) write(to net.Addr, m *v1.Lending) {
--- a/internal/connection/lending/lenders.go
+++ b/internal/connection/lending/lenders.go
@@ -54,4 +54,6 @@
 }
 
 // Natural returns the first choice among all nodes.
-func (l *Lenders) Natural(name string) Lender { return l.byName[allowance.Natural(name, l.names)] }
+func (l *Lenders) Natural(name string) Lender {
+	return l.byName[allowance.PreferredOwner(name, l.names)]
+}
--- a/internal/connection/lending/lending.go
+++ b/internal/connection/lending/lending.go
@@ -62,8 +62,8 @@
 	conn atomic.Pointer[net.PacketConn] // nil before Run
 
 	mu       sync.Mutex
-	ledger   *allowance.Ledger
-	purse    *allowance.Purse
+	ledger   *allowance.Buckets
+	purse    *allowance.Balances
 	sequence uint64
 	pending  map[string]*pending  // asks under way, by workspace
 	waiting  map[string]int       // requests that wait for a token, by workspace
@@ -81,14 +81,14 @@
 
 // New returns an exchange; Run starts it.
 func New(o Options) *Exchange {
-	return &Exchange{Options: o, ledger: allowance.NewLedger(o.Now(), o.Tolerance), purse: allowance.NewPurse(), pending: map[string]*pending{}, waiting: map[string]int{},
+	return &Exchange{Options: o, ledger: allowance.NewBuckets(o.Now(), o.Tolerance), purse: allowance.NewBalances(), pending: map[string]*pending{}, waiting: map[string]int{},
 		lived: map[string]time.Time{}, probed: map[string]time.Time{}, suspects: map[string]time.Time{}}
 }
 
 // Take takes a token for a request of a workspace, and asks for one if need be. The error
 // is of errkind: it says when there is room.
 func (x *Exchange) Take(ctx context.Context, w *workspace.Workspace) error {
-	if !allowance.Borrows(w) {
+	if !allowance.NeedsToken(w) {
 		return nil
 	}
 	x.mu.Lock()
@@ -131,7 +131,7 @@
 
 // Return gives back the token of a request that no target got.
 func (x *Exchange) Return(w *workspace.Workspace) {
-	if !allowance.Borrows(w) {
+	if !allowance.NeedsToken(w) {
 		return
 	}
 	x.mu.Lock()
@@ -156,7 +156,7 @@
 func (x *Exchange) ask(name string, p *pending) {
 	x.mu.Lock()
 	owners := x.Fleet.Owners(name, x.suspected)
-	ask := x.purse.Ask(x.Now(), name, x.waiting[name])
+	ask := x.purse.Request(x.Now(), name, x.waiting[name])
 	x.mu.Unlock()
 	ask.Borrower, ask.Boot, ask.Sequence, ask.DataCentre = x.Node, x.Boot, p.sequence, x.DataCentre
 	var grant allowance.Grant
@@ -175,7 +175,7 @@
 
 // granted takes the answer to an ask, or lends in place of owners that do not answer. The
 // caller holds x.mu.
-func (x *Exchange) granted(ask allowance.Ask, grant allowance.Grant, answered bool) {
+func (x *Exchange) granted(ask allowance.BorrowRequest, grant allowance.Grant, answered bool) {
 	if !answered {
 		x.Metrics.Counter("allowance_unanswered").Inc(1)
 		grant = x.lend(ask, true)
@@ -184,13 +184,13 @@
 }
 
 // borrow sends an ask along its course.
-func (x *Exchange) borrow(owners []Lender, ask allowance.Ask, p *pending) (allowance.Grant, bool) {
+func (x *Exchange) borrow(owners []Lender, ask allowance.BorrowRequest, p *pending) (allowance.Grant, bool) {
 	lenders := make(map[string]Lender, len(owners))
 	names := make([]string, len(owners))
 	for i, owner := range owners {
 		names[i], lenders[owner.Node] = owner.Node, owner
 	}
-	course := allowance.NewCourse(x.Node, names)
+	course := allowance.NewAttempts(x.Node, names)
 	for {
 		owner, wait, ok := course.Next()
 		if !ok {
@@ -220,7 +220,7 @@
 }
 
 // lend answers an ask from this node's own ledger. The caller holds x.mu.
-func (x *Exchange) lend(ask allowance.Ask, alone bool) allowance.Grant {
+func (x *Exchange) lend(ask allowance.BorrowRequest, alone bool) allowance.Grant {
 	limit, ok := x.Limit(ask.Workspace)
 	if !ok {
 		return allowance.Grant{Wait: time.Second} // it was taken out of the configuration
@@ -229,15 +229,15 @@
 }
 
 // around returns what this node knows of the fleet as it lends. The caller holds x.mu.
-func (x *Exchange) around(name string, alone bool) allowance.Surroundings {
-	around := allowance.Surroundings{Alone: alone, Nodes: x.Fleet.Nodes(), Heard: map[string]bool{}}
+func (x *Exchange) around(name string, alone bool) allowance.FleetView {
+	around := allowance.FleetView{Isolated: alone, Nodes: x.Fleet.Nodes(), Reachable: map[string]bool{}}
 	for dc := range around.Nodes {
-		around.Heard[dc] = dc == x.DataCentre || x.Fleet.Heard(dc)
+		around.Reachable[dc] = dc == x.DataCentre || x.Fleet.Heard(dc)
 	}
 	natural := x.Fleet.Natural(name)
-	around.Natural = natural.Node == x.Node
-	if !around.Natural && !alone {
-		around.Substitute = x.lives(natural)
+	around.Preferred = natural.Node == x.Node
+	if !around.Preferred && !alone {
+		around.PreferredReachable = x.lives(natural)
 	}
 	return around
 }
@@ -262,7 +262,7 @@
 	}
 	if now.Sub(x.probed[node]) >= probePause {
 		x.probed[node] = now
-		x.sendAsk(owner, allowance.Ask{Borrower: x.Node, Boot: x.Boot, DataCentre: x.DataCentre})
+		x.sendAsk(owner, allowance.BorrowRequest{Borrower: x.Node, Boot: x.Boot, DataCentre: x.DataCentre})
 	}
 	return heard.Sub(x.lived[node]) < deadAfter
 }
--- a/internal/connection/lending/lending_test.go
+++ b/internal/connection/lending/lending_test.go
@@ -111,7 +111,7 @@
 	is.True(time.Since(started) < 400*time.Millisecond)
 	x := all[last]
 	x.mu.Lock()
-	x.granted(allowance.Ask{Workspace: small.Name, Borrower: last, Boot: 1, Sequence: 99, DataCentre: "a", Need: 1}, allowance.Grant{}, false)
+	x.granted(allowance.BorrowRequest{Workspace: small.Name, Borrower: last, Boot: 1, Sequence: 99, DataCentre: "a", Need: 1}, allowance.Grant{}, false)
 	x.mu.Unlock()
 	err := x.Take(context.Background(), small)
 	is.True(errkind.Is(err, errkind.PlatformUnavailable))
--- a/internal/connection/lending/report.go
+++ b/internal/connection/lending/report.go
@@ -35,7 +35,7 @@
 
 func (x *Exchange) fill(line *v1.WorkspaceUse, use allowance.Use) {
 	line.Portion, line.Available, line.Taken, line.Refused = use.Portion, use.Level, use.Lent, use.Refused
-	line.RefusedAgoMs, line.Refusal = -1, string(use.Why)
+	line.RefusedAgoMs, line.Refusal = -1, string(use.Cause)
 	if !use.RefusedAt.IsZero() {
 		line.RefusedAgoMs = x.Now().Sub(use.RefusedAt).Milliseconds()
 	}
--- a/internal/process/crashes/exchange.go
+++ b/internal/process/crashes/exchange.go
@@ -66,7 +66,7 @@
 // pullFrom takes what another node knows.
 func (w *Watch) pullFrom(ctx context.Context, node string, client marblepondv1connect.QuarantineServiceClient) error {
 	w.mu.Lock()
-	known := w.table.Known(w.Now())
+	known := w.table.Hashes(w.Now())
 	w.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
@@ -95,7 +95,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.Now()
-	return &v1.PullCrashesResponse{Crashes: pack(w.table.Unknown(now, req.Known)), Digest: w.table.Digest(now)}, nil
+	return &v1.PullCrashesResponse{Crashes: pack(w.table.Missing(now, req.Known)), Digest: w.table.Digest(now)}, nil
 }
 
 // Quarantine implements the operators' call that lists refused work.
@@ -103,7 +103,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.Now()
-	answer := &v1.QuarantineResponse{Crashes: uint32(len(w.table.Known(now)))}
+	answer := &v1.QuarantineResponse{Crashes: uint32(len(w.table.Hashes(now)))}
 	for id, v := range w.table.Verdicts(now) {
 		refused := &v1.RefusedWork{Work: id.String(), SinceMs: milliseconds(now.Sub(v.Since)), LeftMs: milliseconds(v.Until.Sub(now))}
 		for _, t := range v.Targets {
@@ -129,7 +129,7 @@
 	var out []*v1.TargetCrash
 	for _, c := range crashes {
 		out = append(out, &v1.TargetCrash{Target: c.Target.ID, Incarnation: c.Target.Incarnation, AgeMs: milliseconds(c.Age), Targets: uint32(c.Targets),
-			Accused: packIDs(c.Accused), Cleared: packIDs(c.Cleared)})
+			Accused: packIDs(c.Suspects), Cleared: packIDs(c.Cleared)})
 	}
 	return out
 }
@@ -146,7 +146,7 @@
 	var out []quarantine.Crash
 	for _, c := range crashes {
 		out = append(out, quarantine.Crash{Target: quarantine.Target{ID: c.Target, Incarnation: c.Incarnation}, Age: time.Duration(c.AgeMs) * time.Millisecond,
-			Targets: int(c.Targets), Accused: unpackIDs(c.Accused), Cleared: unpackIDs(c.Cleared)})
+			Targets: int(c.Targets), Suspects: unpackIDs(c.Accused), Cleared: unpackIDs(c.Cleared)})
 	}
 	return out
 }
--- a/internal/process/crashes/probe.go
+++ b/internal/process/crashes/probe.go
@@ -72,7 +72,7 @@
 		}
 	}
 	w.change(func(time.Time) bool {
-		w.table.Lives(keyOf(t), began)
+		w.table.Alive(keyOf(t), began)
 		return false
 	})
 }
--- a/internal/process/crashes/verdicts.go
+++ b/internal/process/crashes/verdicts.go
@@ -117,7 +117,7 @@
 	var out []quarantine.Crash
 	for _, c := range w.table.All(now) {
 		if decided[c.Target] {
-			c.Accused, c.Cleared = []fingerprint.ID{id}, nil
+			c.Suspects, c.Cleared = []fingerprint.ID{id}, nil
 			out = append(out, c)
 		}
 	}
--- a/internal/process/crashes/watch.go
+++ b/internal/process/crashes/watch.go
@@ -171,8 +171,8 @@
 	w.noticed[t] = true
 }
 
-// Whole takes work that was answered whole.
-func (w *Watch) Whole(work *fingerprint.Work) {
+// Completed takes work that was answered whole.
+func (w *Watch) Completed(work *fingerprint.Work) {
 	if !w.idle.Load() {
 		w.release(work.ID())
 	}
@@ -183,9 +183,9 @@
 	return w.change(func(time.Time) bool { return w.table.Clear(id) })
 }
 
-// Running has a function called when work is refused that is under way; done takes
+// OnRefusal has a function called when work is refused that is under way; done takes
 // it back.
-func (w *Watch) Running(work *fingerprint.Work, stop func()) (done func()) {
+func (w *Watch) OnRefusal(work *fingerprint.Work, stop func()) (done func()) {
 	a := &attempt{work, stop}
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/process/crashes/watch_test.go
+++ b/internal/process/crashes/watch_test.go
@@ -78,7 +78,7 @@
 func (w *world) start(t *testing.T, node string) *Watch {
 	recorder := timeline.NewRecorder(node, 100, &log.Logger{Handler: discard.New()}, tally.NoopScope)
 	watch := New(Options{
-		Config: quarantine.Config{Limit: 3, Keep: time.Hour}, Probe: w.probe, Keeper: w, Recorder: recorder, Metrics: tally.NoopScope, News: func() {},
+		Config: quarantine.Config{Limit: 3, Retention: time.Hour}, Probe: w.probe, Keeper: w, Recorder: recorder, Metrics: tally.NoopScope, News: func() {},
 		Now:     w.time,
 		Serving: func(string) int { return 12 },
 		Leaving: func(t choose.Target) bool {
@@ -131,7 +131,7 @@
 func (w *Watch) crashesKnown() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.table.Known(w.Now()))
+	return len(w.table.Hashes(w.Now()))
 }
 
 // TestCrashesAtThreeNodes: three nodes see one crash each. All refuse the work once
@@ -147,8 +147,8 @@
 		watches = append(watches, w.start(t, fmt.Sprint("n", n)))
 	}
 	stopped := make(chan struct{}, 2)
-	defer watches[0].Running(work, func() { stopped <- struct{}{} })()
-	defer watches[0].Running(other, func() { t.Error("other work is stopped") })()
+	defer watches[0].OnRefusal(work, func() { stopped <- struct{}{} })()
+	defer watches[0].OnRefusal(other, func() { t.Error("other work is stopped") })()
 	for n, watch := range watches {
 		w.crash(watch, n, work)
 		eventually(t, "the crash is proved", func() bool { return watch.crashesKnown() == 1 })
@@ -177,7 +177,7 @@
 		defer w.mu.Unlock()
 		return len(w.kept[work.ID()]) == 3
 	})
-	watches[1].Whole(work) // an attempt that was under way is answered after all
+	watches[1].Completed(work) // an attempt that was under way is answered after all
 	is.NoErr(watches[1].Refuse(work))
 }
 
@@ -267,7 +267,7 @@
 		watch.mu.Lock()
 		defer watch.mu.Unlock()
 		all := watch.table.All(w.now)
-		return len(all) == 1 && len(all[0].Accused) == 20
+		return len(all) == 1 && len(all[0].Suspects) == 20
 	})
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -282,7 +282,7 @@
 	var unread *fingerprint.Work // reading it would end the test
 	is.NoErr(watch.Refuse(unread))
 	is.True(!watch.Suspected(unread))
-	watch.Whole(unread)
+	watch.Completed(unread)
 	is.Equal(watch.Digest(), uint64(0))
 }
 
@@ -296,7 +296,7 @@
 	eventually(t, "the crash is proved", func() bool { return b.crashesKnown() == 1 })
 	is.True(a.lacks("b", b.Digest()))
 	is.NoErr(a.pullFrom(context.Background(), "b", b))
-	a.Whole(&fingerprint.Work{Path: "/x"}) // now a knows more than b
+	a.Completed(&fingerprint.Work{Path: "/x"}) // now a knows more than b
 	is.True(a.Digest() != b.Digest())
 	is.True(!a.lacks("b", b.Digest()))
 	is.True(b.lacks("a", a.Digest()))
@@ -308,12 +308,12 @@
 	for _, known := range []int{0, 256} {
 		for _, size := range []int{1 << 10, 1 << 20} {
 			b.Run(fmt.Sprintf("known=%d/body=%d", known, size), func(b *testing.B) {
-				watch := New(Options{Config: quarantine.Config{Limit: 3, Keep: time.Hour}, Now: time.Now, Metrics: tally.NoopScope, News: func() {}})
+				watch := New(Options{Config: quarantine.Config{Limit: 3, Retention: time.Hour}, Now: time.Now, Metrics: tally.NoopScope, News: func() {}})
 				var crashes []quarantine.Crash
 				for n := range known {
 					c := quarantine.Crash{Target: quarantine.Target{ID: fmt.Sprint(n), Incarnation: 1}, Age: time.Duration(n) * time.Second, Targets: 12}
 					for i := range 8 {
-						c.Accused = append(c.Accused, (&fingerprint.Work{Path: fmt.Sprint(n, i)}).ID())
+						c.Suspects = append(c.Suspects, (&fingerprint.Work{Path: fmt.Sprint(n, i)}).ID())
 					}
 					crashes = append(crashes, c)
 				}
--- a/internal/process/hosted/crashes.go
+++ b/internal/process/hosted/crashes.go
@@ -21,7 +21,7 @@
 
 func (n *Node) newCrashWatch() *crashes.Watch {
 	s := n.settings
-	return crashes.New(crashes.Options{Config: quarantine.Config{Limit: s.CrashLimit, Keep: s.CrashMemory}, Now: n.clock.Now, Probe: dial.Probe, Serving: n.pool.Serving, Leaving: n.pool.Leaving,
+	return crashes.New(crashes.Options{Config: quarantine.Config{Limit: s.CrashLimit, Retention: s.CrashMemory}, Now: n.clock.Now, Probe: dial.Probe, Serving: n.pool.Serving, Leaving: n.pool.Leaving,
 		Client: n.crashesOf, News: func() { n.beacon.Touch() }, Keeper: verdictKeeper{n}, Recorder: n.recorder, Metrics: n.metrics})
 }
 
@@ -127,7 +127,7 @@
 	var evidence []quarantine.Crash
 	for _, c := range kept {
 		evidence = append(evidence, quarantine.Crash{Target: quarantine.Target{ID: c.Target, Incarnation: c.Incarnation}, Targets: c.Targets,
-			Age: max(0, time.Since(time.UnixMilli(c.At))), Accused: []fingerprint.ID{work}})
+			Age: max(0, time.Since(time.UnixMilli(c.At))), Suspects: []fingerprint.ID{work}})
 	}
 	return evidence, nil
 }
--- a/internal/process/hosted/log.go
+++ b/internal/process/hosted/log.go
@@ -69,10 +69,10 @@
 	l.n.metrics.Counter("attempts_failed").Inc(1)
 }
 
-func (l *requestLog) Answered(req *forward.Request, t choose.Target, answer forward.Answer) {
+func (l *requestLog) Answered(req *forward.Request, t choose.Target, answer forward.AnswerSummary) {
 	took := l.n.clock.Since(req.Arrived)
 	l.n.recorder.Record(timeline.RequestAnswered, req.ID, t.ID, "", field("status", answer.Status), field("events", answer.Events), field("took_ms", took.Milliseconds()),
-		field("first_ms", answer.First.Milliseconds()), field("pause_ms", answer.Pause.Milliseconds()))
+		field("first_ms", answer.FirstEvent.Milliseconds()), field("pause_ms", answer.LongestGap.Milliseconds()))
 	l.n.metrics.Counter("requests_answered").Inc(1)
 	l.n.metrics.Histogram("request", requestBuckets).RecordDuration(took)
 }
--- a/internal/process/node/crashes.go
+++ b/internal/process/node/crashes.go
@@ -13,7 +13,7 @@
 
 func (n *Node) newCrashWatch(client *http.Client) *crashes.Watch {
 	s := n.settings
-	return crashes.New(crashes.Options{Config: quarantine.Config{Limit: s.CrashLimit, Keep: s.CrashMemory}, Now: n.clock.Now,
+	return crashes.New(crashes.Options{Config: quarantine.Config{Limit: s.CrashLimit, Retention: s.CrashMemory}, Now: n.clock.Now,
 		Serving: n.targets.Serving, Leaving: n.targets.Leaving, News: func() {}, // the next heartbeat tells it
 		Client: func(node string) (marblepondv1connect.QuarantineServiceClient, bool) {
 			address := peerAddress(n.membership.View(), node)
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -179,7 +179,7 @@
 	n.membership.Carry(n.targets)
 	n.membership.Carry(crashNews{n.crashes})
 	n.config.OnChange(func(c *fleet.Config) { n.targets.Evacuate(c.Evacuated) })
-	n.targets.OnEnded(func(t choose.Target) { n.crashes.Ended(t, quarantine.StartedAgain) })
+	n.targets.OnEnded(func(t choose.Target) { n.crashes.Ended(t, quarantine.Restarted) })
 	n.membership.OnChange(n.targets.Reown)
 	n.membership.OnChange(n.keeper.Takeover)
 	n.membership.OnChange(n.worker.Forget)
--- a/internal/request/allowance/allowance_test.go
+++ b/internal/request/allowance/allowance_test.go
@@ -19,14 +19,14 @@
 )
 
 // natural is what the natural owner knows when all is well.
-var natural = Surroundings{Natural: true, Nodes: threeDCs, Heard: allHeard}
+var natural = FleetView{Preferred: true, Nodes: threeDCs, Reachable: allHeard}
 
 // settled returns the ledger of a node that has run for long.
-func settled() *Ledger { return NewLedger(start.Add(-time.Hour), tolerated) }
+func settled() *Buckets { return NewBuckets(start.Add(-time.Hour), tolerated) }
 
 // ask returns an ask with a sequence of its own.
-func ask(sequence uint64, need int) Ask {
-	return Ask{Workspace: "w", Borrower: "n", Boot: 1, Sequence: sequence, DataCentre: "a", Need: need}
+func ask(sequence uint64, need int) BorrowRequest {
+	return BorrowRequest{Workspace: "w", Borrower: "n", Boot: 1, Sequence: sequence, DataCentre: "a", Need: need}
 }
 
 // TestLedgerKeepsTheAllowance: whatever is asked for, given back and asked for again, no
@@ -45,14 +45,14 @@
 		for i := range rapid.IntRange(1, 200).Draw(t, "asks") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
 			a := ask(uint64(i+1), rapid.IntRange(0, 50).Draw(t, "need"))
-			a.Ahead = rapid.IntRange(0, 20).Draw(t, "ahead")
-			a.Back = rapid.IntRange(0, outstanding).Draw(t, "back")
-			outstanding -= a.Back
+			a.Prefetch = rapid.IntRange(0, 20).Draw(t, "ahead")
+			a.Returned = rapid.IntRange(0, outstanding).Draw(t, "back")
+			outstanding -= a.Returned
 			g := l.Lend(now, limit, natural, a)
 			if again := l.Lend(now, limit, natural, a); again != g {
 				t.Fatalf("the same ask got %+v and then %+v", g, again)
 			}
-			lent = append(lent, lending{now, g.Lent - a.Back})
+			lent = append(lent, lending{now, g.Lent - a.Returned})
 			outstanding += g.Lent
 		}
 		most := limit.PerSecond*tolerated.Window.Seconds() + limit.Burst + tolerated.of(limit)
@@ -77,16 +77,16 @@
 	is := is.New(t)
 	is.True(settled().Lend(start, limit, natural, ask(1, 500)).Lent >= int(limit.Burst))
 	credit := int(creditShare * tolerated.of(limit))
-	is.Equal(NewLedger(start, tolerated).Lend(start, limit, natural, ask(1, 500)).Lent, int(freshShare*tolerated.of(limit)))
+	is.Equal(NewBuckets(start, tolerated).Lend(start, limit, natural, ask(1, 500)).Lent, int(freshShare*tolerated.of(limit)))
 	substitute := natural
-	substitute.Natural = false
+	substitute.Preferred = false
 	is.Equal(settled().Lend(start, limit, substitute, ask(1, 500)).Lent, credit)
-	substitute.Substitute = true
+	substitute.PreferredReachable = true
 	l := settled()
 	is.Equal(l.Lend(start, limit, substitute, ask(1, 500)).Lent, credit)
 	is.True(l.Lend(start.Add(time.Second), limit, substitute, ask(2, 500)).Lent <= 3) // while the natural owner lives
 	alone := substitute
-	alone.Alone = true
+	alone.Isolated = true
 	is.Equal(settled().Lend(start, limit, alone, ask(1, 500)).Lent, max(1, credit/12))
 }
 
@@ -96,12 +96,12 @@
 func TestCreditOfAJustStartedSubstituteIsPaidBack(t *testing.T) {
 	is := is.New(t)
 	substitute := natural
-	substitute.Natural = false
+	substitute.Preferred = false
 	credit := int(creditShare * tolerated.of(limit))
-	lentBy := func(l *Ledger, at time.Duration, sequence uint64) int {
+	lentBy := func(l *Buckets, at time.Duration, sequence uint64) int {
 		return l.Lend(start.Add(at), limit, substitute, ask(sequence, 500)).Lent
 	}
-	young, old := NewLedger(start, tolerated), settled()
+	young, old := NewBuckets(start, tolerated), settled()
 	is.Equal(lentBy(young, 0, 1), credit)
 	is.Equal(lentBy(old, 0, 1), credit)
 	back := time.Duration(float64(credit)/limit.PerSecond*float64(time.Second)) + time.Millisecond
@@ -126,10 +126,10 @@
 		}
 	}
 	is.True(shares["a"] > 0.6 && shares["a"] < 0.7)
-	side := func(natural bool, heard ...string) Surroundings {
-		s := Surroundings{Natural: natural, Nodes: threeDCs, Heard: map[string]bool{}}
+	side := func(natural bool, heard ...string) FleetView {
+		s := FleetView{Preferred: natural, Nodes: threeDCs, Reachable: map[string]bool{}}
 		for _, dc := range heard {
-			s.Heard[dc] = true
+			s.Reachable[dc] = true
 		}
 		return s
 	}
@@ -160,7 +160,7 @@
 func TestRateRefills(t *testing.T) {
 	is := is.New(t)
 	two := workspace.Allowance{PerSecond: 2, Burst: 2}
-	l := NewLedger(start.Add(-time.Hour), Tolerance{Window: 5 * time.Second})
+	l := NewBuckets(start.Add(-time.Hour), Tolerance{Window: 5 * time.Second})
 	is.Equal(l.Lend(start, two, natural, ask(1, 1)).Lent, 1)
 	is.Equal(l.Lend(start, two, natural, ask(2, 1)).Lent, 1)
 	refusal := l.Lend(start, two, natural, ask(3, 1))
@@ -174,32 +174,32 @@
 // node refuses by itself for a while, and says when to come back.
 func TestPurse(t *testing.T) {
 	is := is.New(t)
-	p := NewPurse()
-	take := func(now time.Time) Answer {
+	p := NewBalances()
+	take := func(now time.Time) Decision {
 		answer, _ := p.Take(now, "w")
 		return answer
 	}
-	is.Equal(take(start), MustAsk)
+	is.Equal(take(start), MustBorrow)
 	p.Granted(start, "w", Grant{Lent: 3}, false)
 	is.Equal(take(start), Taken)
 	p.Return(start, "w")
 	is.Equal(take(start), Taken)
 	is.Equal(take(start), Taken)
 	late := start.Add(lapseTime + time.Millisecond)
-	is.Equal(take(late), MustAsk)
-	is.Equal(p.Ask(late, "w", 1).Back, 1)
-	is.Equal(p.Ask(late, "w", 1).Back, 0) // given back once
+	is.Equal(take(late), MustBorrow)
+	is.Equal(p.Request(late, "w", 1).Returned, 1)
+	is.Equal(p.Request(late, "w", 1).Returned, 0) // given back once
 	p.Granted(late, "w", Grant{Wait: time.Second}, false)
 	answer, wait := p.Take(late, "w")
 	is.Equal(answer, Refused)
 	is.Equal(wait, time.Second)
-	is.Equal(take(late.Add(time.Second)), MustAsk)
+	is.Equal(take(late.Add(time.Second)), MustBorrow)
 	p.Granted(late, "w", Grant{Wait: time.Second}, true)
 	is.Equal(take(late), Unanswered)
 	for range 40 { // often used: a lot in place of one token
 		p.Arrived(late, "w")
 	}
-	is.True(p.Ask(late, "w", 1).Ahead >= 5)
+	is.True(p.Request(late, "w", 1).Prefetch >= 5)
 }
 
 // TestCourse: each owner is asked several times, then the next, and the node itself is the
@@ -208,7 +208,7 @@
 	is := is.New(t)
 	owners := Owners("w", []string{"n1", "n2", "n3", "n4", "n5", "n6"})
 	is.Equal(len(owners), ownersAsked)
-	c := NewCourse("none", owners)
+	c := NewAttempts("none", owners)
 	var asked []string
 	for {
 		owner, _, ok := c.Next()
@@ -223,7 +223,7 @@
 	is.Equal(len(asked), (ownersAsked-1)*asksEach+1)
 	is.Equal(asked[0], owners[0])
 	is.Equal(asked[asksEach+1], owners[2])
-	c = NewCourse(owners[1], owners)
+	c = NewAttempts(owners[1], owners)
 	for range asksEach {
 		c.Next()
 	}
--- a/internal/request/allowance/course.go
+++ b/internal/request/allowance/course.go
@@ -24,28 +24,28 @@
 // heard, the first choice first.
 func Owners(name string, heard []string) []string { return rendezvous.Rank(name, heard, ownersAsked) }
 
-// Natural returns the natural owner of a workspace: the first choice among all nodes that
+// PreferredOwner returns the natural owner of a workspace: the first choice among all nodes that
 // are registered.
-func Natural(name string, nodes []string) string { return rendezvous.First(name, nodes) }
+func PreferredOwner(name string, nodes []string) string { return rendezvous.First(name, nodes) }
 
-// Course is the way of one ask: whom to send it to, and how long to wait.
-type Course struct {
+// Attempts is the way of one ask: whom to send it to, and how long to wait.
+type Attempts struct {
 	owners []string
 	sent   int
 }
 
-// NewCourse returns the way along owners that are heard, at the most to the node itself,
+// NewAttempts returns the way along owners that are heard, at the most to the node itself,
 // which knows no better owner than itself then.
-func NewCourse(self string, owners []string) *Course {
+func NewAttempts(self string, owners []string) *Attempts {
 	if i := slices.Index(owners, self); i >= 0 {
 		owners = owners[:i+1]
 	}
-	return &Course{owners: owners}
+	return &Attempts{owners: owners}
 }
 
 // Next returns the node to send the ask to and how long to wait for its answer. false:
 // nobody is left to be asked.
-func (c *Course) Next() (owner string, wait time.Duration, ok bool) {
+func (c *Attempts) Next() (owner string, wait time.Duration, ok bool) {
 	i := c.sent / asksEach
 	if i >= len(c.owners) {
 		return "", 0, false
@@ -55,7 +55,7 @@
 }
 
 // Skip gives the present owner up, because it can't tell.
-func (c *Course) Skip() { c.sent = (c.sent + asksEach - 1) / asksEach * asksEach }
+func (c *Attempts) Skip() { c.sent = (c.sent + asksEach - 1) / asksEach * asksEach }
 
 // Last reports whether the owner asked last has been asked as often as it is.
-func (c *Course) Last() bool { return c.sent%asksEach == 0 }
+func (c *Attempts) Last() bool { return c.sent%asksEach == 0 }
--- a/internal/request/allowance/ledger.go
+++ b/internal/request/allowance/ledger.go
@@ -49,16 +49,16 @@
 	idleAccount = time.Minute
 )
 
-// Ask is a node's wish for tokens.
-type Ask struct {
+// BorrowRequest is a node's wish for tokens.
+type BorrowRequest struct {
 	Workspace  string
 	Borrower   string // the node
 	Boot       int64  // of the node
 	Sequence   uint64 // of the ask; one that is sent again has the same
 	DataCentre string // of the node
 	Need       int    // requests that wait for a token
-	Ahead      int    // requests that are expected while the lot lasts
-	Back       int    // tokens lent before and not used
+	Prefetch   int    // requests that are expected while the lot lasts
+	Returned   int    // tokens lent before and not used
 	// Share is what the node's data centre has of the workspace's demand, as an owner
 	// told it last; 0: not known.
 	Share float64
@@ -74,8 +74,8 @@
 	Share float64
 }
 
-// Ledger keeps the accounts that this node owns. It is not safe for concurrent use.
-type Ledger struct {
+// Buckets keeps the accounts that this node owns. It is not safe for concurrent use.
+type Buckets struct {
 	tolerance Tolerance
 	began     time.Time
 	accounts  map[string]*account
@@ -110,13 +110,13 @@
 	grant    Grant
 }
 
-// NewLedger returns an empty ledger of a node that starts now.
-func NewLedger(now time.Time, t Tolerance) *Ledger {
-	return &Ledger{tolerance: t, began: now, accounts: map[string]*account{}, swept: now}
+// NewBuckets returns an empty ledger of a node that starts now.
+func NewBuckets(now time.Time, t Tolerance) *Buckets {
+	return &Buckets{tolerance: t, began: now, accounts: map[string]*account{}, swept: now}
 }
 
 // Lend answers an ask under the limit that is in force.
-func (l *Ledger) Lend(now time.Time, limit workspace.Allowance, around Surroundings, ask Ask) Grant {
+func (l *Buckets) Lend(now time.Time, limit workspace.Allowance, around FleetView, ask BorrowRequest) Grant {
 	l.sweep(now)
 	a := l.account(now, limit, around, ask)
 	if last := a.answers[ask.Borrower]; last.boot == ask.Boot && last.sequence == ask.Sequence && ask.Sequence > 0 {
@@ -124,12 +124,12 @@
 	}
 	l.refill(now, a, limit, around)
 	a.note(now, ask)
-	l.fill(a, float64(max(0, ask.Back)), limit, around)
+	l.fill(a, float64(max(0, ask.Returned)), limit, around)
 	grant := a.lend(now, ask, limit)
 	if grant.Lent < ask.Need {
 		a.refusedAt, a.why = now, cause(around)
 	}
-	if around.Natural && !a.oneSided { // a substitute may see one side of a cut before it shows
+	if around.Preferred && !a.oneSided { // a substitute may see one side of a cut before it shows
 		grant.Share = a.shareOf(now, ask.DataCentre, around.partOfNodes(ask.DataCentre))
 	}
 	a.answers[ask.Borrower] = answer{ask.Boot, ask.Sequence, grant}
@@ -137,7 +137,7 @@
 }
 
 // account returns the account of a workspace, a new one if there is none.
-func (l *Ledger) account(now time.Time, limit workspace.Allowance, around Surroundings, ask Ask) *account {
+func (l *Buckets) account(now time.Time, limit workspace.Allowance, around FleetView, ask BorrowRequest) *account {
 	a := l.accounts[ask.Workspace]
 	if a != nil {
 		return a
@@ -148,12 +148,12 @@
 		a.told[ask.DataCentre] = ask.Share
 	}
 	a.portion = a.portionOf(now, around)
-	if around.Natural && !l.justStarted(now) {
+	if around.Preferred && !l.justStarted(now) {
 		a.level = l.capacity(limit, a.portion) // nobody else lends, and in all of a window nobody has borrowed
 		return a
 	}
 	a.level = l.credit(limit, around, a.portion)
-	if !around.Natural && l.justStarted(now) {
+	if !around.Preferred && l.justStarted(now) {
 		// It takes over from one that lent on credit in the same window, as that one did
 		// from the owner before it: the credits of all may not add up.
 		a.owed = a.level
@@ -162,29 +162,29 @@
 }
 
 // justStarted reports whether this node has run for less than a window.
-func (l *Ledger) justStarted(now time.Time) bool { return now.Sub(l.began) < l.tolerance.Window }
+func (l *Buckets) justStarted(now time.Time) bool { return now.Sub(l.began) < l.tolerance.Window }
 
 // credit returns what an account starts with whose owner does not know what was lent
 // before. A node that hears no other has its part of that.
-func (l *Ledger) credit(limit workspace.Allowance, around Surroundings, portion float64) float64 {
+func (l *Buckets) credit(limit workspace.Allowance, around FleetView, portion float64) float64 {
 	credit := creditShare * l.tolerance.of(limit)
 	switch {
-	case around.Alone:
+	case around.Isolated:
 		credit *= portion
-	case around.Natural:
+	case around.Preferred:
 		credit = freshShare * l.tolerance.of(limit)
 	}
 	return max(1, credit)
 }
 
 // capacity returns up to how many tokens an account fills.
-func (l *Ledger) capacity(limit workspace.Allowance, portion float64) float64 {
+func (l *Buckets) capacity(limit workspace.Allowance, portion float64) float64 {
 	return max(1, portion*(limit.Burst+capShare*l.tolerance.of(limit)))
 }
 
 // fill adds tokens to an account as far as its capacity goes. What it started with may be
 // more than that, and is not filled up again.
-func (l *Ledger) fill(a *account, tokens float64, limit workspace.Allowance, around Surroundings) {
+func (l *Buckets) fill(a *account, tokens float64, limit workspace.Allowance, around FleetView) {
 	most := l.capacity(limit, a.portion)
 	if a.level < most {
 		a.level = min(most, a.level+tokens)
@@ -193,7 +193,7 @@
 }
 
 // refill adds the tokens of the time since the last look.
-func (l *Ledger) refill(now time.Time, a *account, limit workspace.Allowance, around Surroundings) {
+func (l *Buckets) refill(now time.Time, a *account, limit workspace.Allowance, around FleetView) {
 	a.limit, a.portion, a.oneSided = limit, a.portionOf(now, around), around.silent()
 	if passed := now.Sub(a.at).Seconds(); passed > 0 {
 		l.fill(a, a.repay(passed*a.portion*limit.PerSecond), limit, around)
@@ -209,11 +209,11 @@
 }
 
 // lend takes tokens from the account.
-func (a *account) lend(now time.Time, ask Ask, limit workspace.Allowance) Grant {
+func (a *account) lend(now time.Time, ask BorrowRequest, limit workspace.Allowance) Grant {
 	need := min(max(0, ask.Need), max(0, int(a.level)))
 	ahead := 0
 	if spare := a.level - float64(need) - aheadLevel*a.portion*limit.Burst; need == ask.Need && spare > 0 {
-		ahead = min(max(0, ask.Ahead), int(spare))
+		ahead = min(max(0, ask.Prefetch), int(spare))
 	}
 	a.level -= float64(need + ahead)
 	a.lent.add(now, float64(need+ahead), windowTime)
@@ -244,7 +244,7 @@
 )
 
 // sweep drops accounts that nobody borrows from any more.
-func (l *Ledger) sweep(now time.Time) {
+func (l *Buckets) sweep(now time.Time) {
 	if now.Sub(l.swept) < idleAccount/6 {
 		return
 	}
--- a/internal/request/allowance/portion.go
+++ b/internal/request/allowance/portion.go
@@ -6,7 +6,7 @@
 
 // note takes what an ask says of demand. While some data centres are not heard it says
 // nothing of how demand is spread.
-func (a *account) note(now time.Time, ask Ask) {
+func (a *account) note(now time.Time, ask BorrowRequest) {
 	if ask.Share > 0 {
 		a.told[ask.DataCentre] = ask.Share
 	}
@@ -37,20 +37,20 @@
 
 // portionOf returns the part of the allowance that this node lends: all of it while every
 // data centre is heard.
-func (a *account) portionOf(now time.Time, around Surroundings) float64 {
+func (a *account) portionOf(now time.Time, around FleetView) float64 {
 	switch {
 	case len(around.Nodes) == 0:
 		return 1
-	case around.Alone:
+	case around.Isolated:
 		return 1 / float64(around.nodes())
-	case around.Substitute:
+	case around.PreferredReachable:
 		return substituteShare
 	case !around.silent():
 		return 1
 	}
 	part := 0.0
 	for dc := range around.Nodes {
-		if around.Heard[dc] {
+		if around.Reachable[dc] {
 			part += a.partOf(now, dc, around)
 		}
 	}
@@ -60,8 +60,8 @@
 // partOf returns the part of a data centre in the demand. The natural owner has seen that
 // itself; a substitute sees one side of a cut only, and goes by what that owner told
 // those that borrow. A data centre that nobody was told of had no demand then.
-func (a *account) partOf(now time.Time, dc string, around Surroundings) float64 {
-	if len(a.told) > 0 && !around.Natural {
+func (a *account) partOf(now time.Time, dc string, around FleetView) float64 {
+	if len(a.told) > 0 && !around.Preferred {
 		return a.told[dc]
 	}
 	return a.shareOf(now, dc, around.partOfNodes(dc))
--- a/internal/request/allowance/purse.go
+++ b/internal/request/allowance/purse.go
@@ -24,20 +24,20 @@
 	idleLot = time.Minute
 )
 
-// Answer says whether a request has its token.
-type Answer int
+// Decision says whether a request has its token.
+type Decision int
 
 // The answers.
 const (
-	MustAsk Answer = iota // the owner is to be asked
+	MustBorrow Decision = iota // the owner is to be asked
 	Taken
 	Refused
 	// Unanswered: no owner answered, and the node's own part of the allowance is used up.
 	Unanswered
 )
 
-// Purse keeps the lots that one node has borrowed. It is not safe for concurrent use.
-type Purse struct {
+// Balances keeps the lots that one node has borrowed. It is not safe for concurrent use.
+type Balances struct {
 	lots  map[string]*lot
 	swept time.Time
 }
@@ -54,17 +54,17 @@
 	share    float64 // of the own data centre in the demand, as an owner told it
 }
 
-// NewPurse returns an empty purse.
-func NewPurse() *Purse { return &Purse{lots: map[string]*lot{}} }
+// NewBalances returns an empty purse.
+func NewBalances() *Balances { return &Balances{lots: map[string]*lot{}} }
 
 // Arrived notes a request of a workspace, before its first Take.
-func (p *Purse) Arrived(now time.Time, name string) {
+func (p *Balances) Arrived(now time.Time, name string) {
 	p.sweep(now)
 	p.lot(name).arrivals.add(now, 1, arrivalTime)
 }
 
 // Take takes a token for a request. wait tells, of a refusal, when to come back.
-func (p *Purse) Take(now time.Time, name string) (answer Answer, wait time.Duration) {
+func (p *Balances) Take(now time.Time, name string) (answer Decision, wait time.Duration) {
 	l := p.lot(name)
 	l.lapse(now)
 	switch {
@@ -76,11 +76,11 @@
 	case now.Before(l.refused):
 		return Refused, l.refused.Sub(now)
 	}
-	return MustAsk, 0
+	return MustBorrow, 0
 }
 
 // Return gives back the token of a request that no target got.
-func (p *Purse) Return(now time.Time, name string) {
+func (p *Balances) Return(now time.Time, name string) {
 	l := p.lot(name)
 	l.lapse(now)
 	if l.left > 0 {
@@ -90,23 +90,23 @@
 	l.giveBack(now, 1)
 }
 
-// Ask returns what to ask the owner for when so many requests wait. What it gives back
+// Request returns what to ask the owner for when so many requests wait. What it gives back
 // is given back once.
-func (p *Purse) Ask(now time.Time, name string, waiting int) Ask {
+func (p *Balances) Request(now time.Time, name string, waiting int) BorrowRequest {
 	l := p.lot(name)
 	l.lapse(now)
-	ask := Ask{Workspace: name, Need: waiting, Share: l.share}
+	ask := BorrowRequest{Workspace: name, Need: waiting, Share: l.share}
 	perSecond := l.arrivals.value(now, arrivalTime) / arrivalTime.Seconds()
-	ask.Ahead = max(0, int(perSecond*lotTime.Seconds())-waiting)
+	ask.Prefetch = max(0, int(perSecond*lotTime.Seconds())-waiting)
 	if now.Sub(l.backAt) < backTime {
-		ask.Back = l.back
+		ask.Returned = l.back
 	}
 	l.back = 0
 	return ask
 }
 
 // Granted takes an owner's answer; alone: none answered, and the node lent to itself.
-func (p *Purse) Granted(now time.Time, name string, g Grant, alone bool) {
+func (p *Balances) Granted(now time.Time, name string, g Grant, alone bool) {
 	l := p.lot(name)
 	l.lapse(now)
 	l.left += g.Lent
@@ -135,7 +135,7 @@
 	l.backAt = now
 }
 
-func (p *Purse) lot(name string) *lot {
+func (p *Balances) lot(name string) *lot {
 	l := p.lots[name]
 	if l == nil {
 		l = &lot{}
@@ -145,7 +145,7 @@
 }
 
 // sweep forgets workspaces that send this node nothing any more.
-func (p *Purse) sweep(now time.Time) {
+func (p *Balances) sweep(now time.Time) {
 	if now.Sub(p.swept) < idleLot/6 {
 		return
 	}
@@ -157,5 +157,5 @@
 	}
 }
 
-// Borrows reports whether requests of a workspace need a token at all.
-func Borrows(w *workspace.Workspace) bool { return w != nil && w.Allowance.Limited() }
+// NeedsToken reports whether requests of a workspace need a token at all.
+func NeedsToken(w *workspace.Workspace) bool { return w != nil && w.Allowance.Limited() }
--- a/internal/request/allowance/use.go
+++ b/internal/request/allowance/use.go
@@ -12,18 +12,18 @@
 
 // The causes.
 const (
-	UsedUp      Cause = "the allowance is used up"
-	CutOff      Cause = "data centres are not heard, and their part is left to them"
-	NotTheOwner Cause = "the owner lives, and only a small part is lent in its place"
+	UsedUp       Cause = "the allowance is used up"
+	Partitioned  Cause = "data centres are not heard, and their part is left to them"
+	NotPreferred Cause = "the owner lives, and only a small part is lent in its place"
 )
 
 // cause returns why an owner with these surroundings has no more to lend.
-func cause(around Surroundings) Cause {
+func cause(around FleetView) Cause {
 	switch {
-	case around.Substitute:
-		return NotTheOwner
-	case around.Alone, around.silent():
-		return CutOff
+	case around.PreferredReachable:
+		return NotPreferred
+	case around.Isolated, around.silent():
+		return Partitioned
 	}
 	return UsedUp
 }
@@ -41,15 +41,15 @@
 	Refused   float64 // requests a second, the same
 	// RefusedAt is when one was last refused, zero: none was; Why says why.
 	RefusedAt time.Time
-	Why       Cause
+	Cause     Cause
 }
 
 // Uses returns what is lent now, in no order.
-func (l *Ledger) Uses(now time.Time) []Use {
+func (l *Buckets) Uses(now time.Time) []Use {
 	out := make([]Use, 0, len(l.accounts))
 	for name, a := range l.accounts {
 		out = append(out, Use{Workspace: name, Limit: a.limit, Portion: a.portion, Level: a.level,
-			Lent: a.lent.value(now, windowTime) / windowTime.Seconds(), Refused: a.refused.value(now, windowTime) / windowTime.Seconds(), RefusedAt: a.refusedAt, Why: a.why})
+			Lent: a.lent.value(now, windowTime) / windowTime.Seconds(), Refused: a.refused.value(now, windowTime) / windowTime.Seconds(), RefusedAt: a.refusedAt, Cause: a.why})
 	}
 	return out
 }
--- a/internal/request/forward/attempt.go
+++ b/internal/request/forward/attempt.go
@@ -32,7 +32,7 @@
 			live.Replaced(longestGap(req.Route), func() { cancel(errReplaced) })
 		}
 	})()
-	defer f.Quarantine.Running(&req.Work, func() { cancel(errRefused) })()
+	defer f.Quarantine.OnRefusal(&req.Work, func() { cancel(errRefused) })()
 	sent := f.Now()
 	answer, err := f.Sender.Send(ctx, target.Call{
 		Address: t.Addr, InstanceID: t.ID, Incarnation: t.Incarnation, RequestID: req.ID, Workspace: req.Workspace, Method: req.Method, Host: req.Host, Path: req.Path,
@@ -55,9 +55,9 @@
 	for {
 		event, err := answer.Stream.Next()
 		if errors.Is(err, io.EOF) {
-			f.Quarantine.Whole(&req.Work)
+			f.Quarantine.Completed(&req.Work)
 			f.Targets.Occupied(req.Service, f.Now().Sub(sent))
-			f.Log.Answered(req, t, Answer{Status: answer.Status, Events: c.events, First: c.first, Pause: c.pause})
+			f.Log.Answered(req, t, AnswerSummary{Status: answer.Status, Events: c.events, FirstEvent: c.first, LongestGap: c.pause})
 			return f.ended(caller)
 		}
 		if err != nil {
@@ -118,9 +118,9 @@
 	if c.begun {
 		return &target.Error{End: target.Broken, Cause: errors.New("the target answered a resumed stream with " + http.StatusText(answer.Status))}
 	}
-	f.Quarantine.Whole(&req.Work)
-	f.Log.Answered(req, t, Answer{Status: answer.Status})
-	if err := caller.Whole(answer); err != nil {
+	f.Quarantine.Completed(&req.Work)
+	f.Log.Answered(req, t, AnswerSummary{Status: answer.Status})
+	if err := caller.Respond(answer); err != nil {
 		return errCallerGone
 	}
 	return nil
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -98,13 +98,13 @@
 // noQuarantine knows of no work under which targets crash.
 type noQuarantine struct{}
 
-func (noQuarantine) Refuse(*fingerprint.Work) error           { return nil }
-func (noQuarantine) Suspected(*fingerprint.Work) bool         { return false }
-func (noQuarantine) Lost(*fingerprint.Work, choose.Target)    {}
-func (noQuarantine) Whole(*fingerprint.Work)                  {}
-func (noQuarantine) Ended(choose.Target, quarantine.Proof)    {}
-func (noQuarantine) EndedBefore(choose.Target) bool           { return false }
-func (noQuarantine) Running(*fingerprint.Work, func()) func() { return func() {} }
+func (noQuarantine) Refuse(*fingerprint.Work) error             { return nil }
+func (noQuarantine) Suspected(*fingerprint.Work) bool           { return false }
+func (noQuarantine) Lost(*fingerprint.Work, choose.Target)      {}
+func (noQuarantine) Completed(*fingerprint.Work)                {}
+func (noQuarantine) Ended(choose.Target, quarantine.Proof)      {}
+func (noQuarantine) EndedBefore(choose.Target) bool             { return false }
+func (noQuarantine) OnRefusal(*fingerprint.Work, func()) func() { return func() {} }
 
 // slowSender answers with three events, the first after a time that depends on
 // the target.
@@ -139,17 +139,17 @@
 // fakeCaller counts the events that it gets, and log keeps the answer's summary.
 type fakeCaller struct{ events int }
 
-func (c *fakeCaller) Whole(*target.Answer) error { return nil }
-func (c *fakeCaller) Begin(*target.Answer) error { return nil }
-func (c *fakeCaller) Event(target.Event) error   { c.events++; return nil }
-func (c *fakeCaller) End() error                 { return nil }
+func (c *fakeCaller) Respond(*target.Answer) error { return nil }
+func (c *fakeCaller) Begin(*target.Answer) error   { return nil }
+func (c *fakeCaller) Event(target.Event) error     { c.events++; return nil }
+func (c *fakeCaller) End() error                   { return nil }
 
-type fakeLog struct{ answer Answer }
+type fakeLog struct{ answer AnswerSummary }
 
-func (l *fakeLog) Sent(*Request, choose.Target, int64)                 {}
-func (l *fakeLog) Failed(*Request, choose.Target, int64, error)        {}
-func (l *fakeLog) Refused(*Request, error)                             {}
-func (l *fakeLog) Answered(_ *Request, _ choose.Target, answer Answer) { l.answer = answer }
+func (l *fakeLog) Sent(*Request, choose.Target, int64)                        {}
+func (l *fakeLog) Failed(*Request, choose.Target, int64, error)               {}
+func (l *fakeLog) Refused(*Request, error)                                    {}
+func (l *fakeLog) Answered(_ *Request, _ choose.Target, answer AnswerSummary) { l.answer = answer }
 
 // carry carries a stream that may be resumed, carryOnce one that may run once.
 func carry(targets *fakeTargets, sender target.Sender, log Log, caller Caller) error {
@@ -187,7 +187,7 @@
 	is.Equal(targets.chosen, []string{"a"})
 	is.Equal(caller.events, 3)
 	is.True(targets.asked > 1) // it looked for a better place again and again
-	is.True(log.answer.First >= 300*time.Millisecond)
+	is.True(log.answer.FirstEvent >= 300*time.Millisecond)
 	is.Equal(log.answer.Events, int64(3))
 }
 
--- a/internal/request/forward/judge.go
+++ b/internal/request/forward/judge.go
@@ -79,7 +79,7 @@
 	switch {
 	case errors.Is(err, errReplaced):
 		f.Quarantine.Lost(&req.Work, t)
-		f.Quarantine.Ended(t, quarantine.StartedAgain)
+		f.Quarantine.Ended(t, quarantine.Restarted)
 	case failure.End == target.WrongInstance:
 		f.Targets.Leave(t, string(quarantine.AnotherAtAddress))
 		f.Quarantine.Ended(t, quarantine.AnotherAtAddress)
--- a/internal/request/forward/parts.go
+++ b/internal/request/forward/parts.go
@@ -11,8 +11,8 @@
 
 // Caller takes the answer. An error means that the caller is gone.
 type Caller interface {
-	// Whole sends an answer that is complete.
-	Whole(answer *target.Answer) error
+	// Respond sends an answer that is complete.
+	Respond(answer *target.Answer) error
 	// Begin sends the head of a streamed answer.
 	Begin(answer *target.Answer) error
 	// Event sends one event at once.
@@ -58,15 +58,15 @@
 	// Lost takes work whose connection to a target broke, and Whole work that was
 	// answered whole.
 	Lost(work *fingerprint.Work, t choose.Target)
-	Whole(work *fingerprint.Work)
+	Completed(work *fingerprint.Work)
 	// Ended takes proof that an incarnation of a target has ended.
 	Ended(t choose.Target, proof quarantine.Proof)
 	// EndedBefore reports whether that was known when an attempt was sent there, which
 	// has then met the next incarnation.
 	EndedBefore(t choose.Target) bool
-	// Running has a function called when work is refused that is under way; done
+	// OnRefusal has a function called when work is refused that is under way; done
 	// takes it back.
-	Running(work *fingerprint.Work, stop func()) (done func())
+	OnRefusal(work *fingerprint.Work, stop func()) (done func())
 }
 
 // Log receives the decisions that touch a request.
@@ -75,15 +75,15 @@
 	// Failed takes an attempt that ended without a whole answer; events is how many
 	// it had brought.
 	Failed(req *Request, t choose.Target, events int64, err error)
-	Answered(req *Request, t choose.Target, answer Answer)
+	Answered(req *Request, t choose.Target, answer AnswerSummary)
 	Refused(req *Request, err error)
 }
 
-// Answer sums up an answer that the caller got whole.
-type Answer struct {
+// AnswerSummary sums up an answer that the caller got whole.
+type AnswerSummary struct {
 	Status int
 	Events int64
-	// First is the time from the arrival of the request to its first event, and
-	// Pause the longest time between two events; 0 for an answer without events.
-	First, Pause time.Duration
+	// FirstEvent is the time from the arrival of the request to its first event, and
+	// LongestGap the longest time between two events; 0 for an answer without events.
+	FirstEvent, LongestGap time.Duration
 }
--- a/internal/request/job/manager.go
+++ b/internal/request/job/manager.go
@@ -58,18 +58,18 @@
 type Quarantine interface {
 	// Refuse returns the error that refuses such work, nil for all other work.
 	Refuse(work *fingerprint.Work) error
-	// Lost takes work whose connection to a target broke, and Whole work that was
+	// Lost takes work whose connection to a target broke, and Completed work that was
 	// answered whole.
 	Lost(work *fingerprint.Work, t choose.Target)
 	// EndedBefore reports whether a target was known to have ended when an attempt was
 	// sent there, which has then met the next incarnation.
 	EndedBefore(t choose.Target) bool
-	Whole(work *fingerprint.Work)
+	Completed(work *fingerprint.Work)
 	// Ended takes proof that an incarnation of a target has ended.
 	Ended(t choose.Target, proof quarantine.Proof)
-	// Running has a function called when work is refused that is under way; done
+	// OnRefusal has a function called when work is refused that is under way; done
 	// takes it back.
-	Running(work *fingerprint.Work, stop func()) (done func())
+	OnRefusal(work *fingerprint.Work, stop func()) (done func())
 }
 
 // Peers reaches the job services of other nodes.
--- a/internal/request/job/manager_test.go
+++ b/internal/request/job/manager_test.go
@@ -108,12 +108,12 @@
 // noQuarantine knows of no work under which targets crash.
 type noQuarantine struct{}
 
-func (noQuarantine) Refuse(*fingerprint.Work) error           { return nil }
-func (noQuarantine) Lost(*fingerprint.Work, choose.Target)    {}
-func (noQuarantine) Whole(*fingerprint.Work)                  {}
-func (noQuarantine) Ended(choose.Target, quarantine.Proof)    {}
-func (noQuarantine) EndedBefore(choose.Target) bool           { return false }
-func (noQuarantine) Running(*fingerprint.Work, func()) func() { return func() {} }
+func (noQuarantine) Refuse(*fingerprint.Work) error             { return nil }
+func (noQuarantine) Lost(*fingerprint.Work, choose.Target)      {}
+func (noQuarantine) Completed(*fingerprint.Work)                {}
+func (noQuarantine) Ended(choose.Target, quarantine.Proof)      {}
+func (noQuarantine) EndedBefore(choose.Target) bool             { return false }
+func (noQuarantine) OnRefusal(*fingerprint.Work, func()) func() { return func() {} }
 
 type noPeers struct{}
 
--- a/internal/request/job/run.go
+++ b/internal/request/job/run.go
@@ -193,7 +193,7 @@
 			live.Replaced(replacedSilence, func() { cancel(errReplaced) })
 		}
 	})()
-	defer m.Quarantine.Running(&h.works[i], func() { cancel(errRefused) })()
+	defer m.Quarantine.OnRefusal(&h.works[i], func() { cancel(errRefused) })()
 	err := m.attempt(ctx, cancel, h, i, t, r, live)
 	m.mu.Lock()
 	delete(h.stops, i)
@@ -267,7 +267,7 @@
 	now := time.Now()
 	item := &h.items[i]
 	if err == nil {
-		m.Quarantine.Whole(&h.works[i])
+		m.Quarantine.Completed(&h.works[i])
 		m.Recorder.Record(timeline.ItemDone, item.ID, t.ID, "", timeline.Field{Name: "job", Value: h.id},
 			timeline.Field{Name: "events", Value: h.progress.items[i].held}, timeline.Field{Name: "took_ms", Value: now.Sub(h.progress.items[i].sentAt).Milliseconds()})
 		h.progress.finish(i, Result{Item: item.ID, Text: string(h.progress.items[i].text)}, now)
@@ -317,10 +317,10 @@
 	var failure *target.Error
 	switch {
 	case errors.As(err, &status):
-		m.Quarantine.Whole(&h.works[i]) // it failed, and the target lived to say so
+		m.Quarantine.Completed(&h.works[i]) // it failed, and the target lived to say so
 	case errors.Is(context.Cause(ctx), errReplaced):
 		m.Quarantine.Lost(&h.works[i], t)
-		m.Quarantine.Ended(t, quarantine.StartedAgain)
+		m.Quarantine.Ended(t, quarantine.Restarted)
 	case errors.As(err, &failure) && failure.ConnectionLost:
 		m.Quarantine.Lost(&h.works[i], t)
 	}
--- a/internal/request/quarantine/exchange.go
+++ b/internal/request/quarantine/exchange.go
@@ -14,17 +14,17 @@
 // Crash is what nodes tell each other of a crash. Clocks differ between nodes, ages
 // do not.
 type Crash struct {
-	Target  Target
-	Age     time.Duration
-	Targets int // that served the same service
-	Accused []fingerprint.ID
-	Cleared []fingerprint.ID
+	Target   Target
+	Age      time.Duration
+	Targets  int // that served the same service
+	Suspects []fingerprint.ID
+	Cleared  []fingerprint.ID
 }
 
 // Digest stands for all that is known: two nodes with the same digest know the same,
 // and 0 stands for nothing.
 func (t *Table) Digest(now time.Time) uint64 {
-	t.Forget(now)
+	t.Expire(now)
 	digest := uint64(0)
 	for _, c := range t.crashes {
 		digest ^= c.content
@@ -32,9 +32,9 @@
 	return digest
 }
 
-// Known returns a mark of each crash that is known, with what is known of it.
-func (t *Table) Known(now time.Time) []uint64 {
-	t.Forget(now)
+// Hashes returns a mark of each crash that is known, with what is known of it.
+func (t *Table) Hashes(now time.Time) []uint64 {
+	t.Expire(now)
 	marks := make([]uint64, 0, len(t.crashes))
 	for _, c := range t.crashes {
 		marks = append(marks, c.content)
@@ -42,9 +42,9 @@
 	return marks
 }
 
-// Unknown returns the crashes that are not among those that another node has.
-func (t *Table) Unknown(now time.Time, known []uint64) []Crash {
-	t.Forget(now)
+// Missing returns the crashes that are not among those that another node has.
+func (t *Table) Missing(now time.Time, known []uint64) []Crash {
+	t.Expire(now)
 	var out []Crash
 	for _, c := range t.inOrder() {
 		if !slices.Contains(known, c.content) {
@@ -55,7 +55,7 @@
 }
 
 // All returns all crashes.
-func (t *Table) All(now time.Time) []Crash { return t.Unknown(now, nil) }
+func (t *Table) All(now time.Time) []Crash { return t.Missing(now, nil) }
 
 // Describe says in a few words what is known of a crash: when it was, how much work it
 // is put down to, and how many other targets ended with it.
@@ -75,7 +75,7 @@
 		if s == cleared {
 			out.Cleared = append(out.Cleared, work)
 		} else {
-			out.Accused = append(out.Accused, work)
+			out.Suspects = append(out.Suspects, work)
 		}
 	}
 	return out
@@ -84,7 +84,7 @@
 // Merge takes what another node knows. It reports whether any of it is news.
 func (t *Table) Merge(now time.Time, crashes []Crash) (news bool) {
 	for _, told := range crashes {
-		if told.Age < 0 || told.Age >= t.cfg.Keep {
+		if told.Age < 0 || told.Age >= t.cfg.Retention {
 			continue
 		}
 		news = t.merge(now, told) || news
@@ -98,13 +98,13 @@
 		c = &crash{target: told.Target, at: now.Add(-told.Age), known: now, work: map[fingerprint.ID]state{}}
 		if l := t.unproved[told.Target]; l != nil { // another node's proof holds here too
 			delete(t.unproved, told.Target)
-			told.Accused = append(slices.Clone(told.Accused), l.accused()...)
+			told.Suspects = append(slices.Clone(told.Suspects), l.accused()...)
 		}
 		t.add(c)
 		news = true
 	}
 	c.targets = max(c.targets, told.Targets)
-	news = c.raise(told.Accused, accused) || news
+	news = c.raise(told.Suspects, accused) || news
 	news = c.raise(told.Cleared, cleared) || news
 	if news {
 		t.changed(c)
--- a/internal/request/quarantine/table.go
+++ b/internal/request/quarantine/table.go
@@ -19,15 +19,15 @@
 const (
 	RefusesConnections Proof = "it refuses connections"
 	AnotherAtAddress   Proof = "another target has its address"
-	StartedAgain       Proof = "it has started again"
+	Restarted          Proof = "it has started again"
 )
 
 // Config of a table.
 type Config struct {
 	// Limit is after how many crashes work is refused.
 	Limit int
-	// Keep is how long a crash is remembered.
-	Keep time.Duration
+	// Retention is how long a crash is remembered.
+	Retention time.Duration
 }
 
 const (
@@ -138,9 +138,9 @@
 	return true
 }
 
-// Lives takes proof that an incarnation of a target lived at a time: what was lost
+// Alive takes proof that an incarnation of a target lived at a time: what was lost
 // there before was not lost by a crash.
-func (t *Table) Lives(target Target, at time.Time) {
+func (t *Table) Alive(target Target, at time.Time) {
 	if l := t.unproved[target]; l != nil && !l.since.After(at) {
 		delete(t.unproved, target)
 	}
@@ -165,11 +165,11 @@
 	return news
 }
 
-// Forget drops what is too old to count.
-func (t *Table) Forget(now time.Time) {
+// Expire drops what is too old to count.
+func (t *Table) Expire(now time.Time) {
 	t.forgetUnproved(now)
 	for target, c := range t.crashes {
-		if now.Sub(c.at) >= t.cfg.Keep {
+		if now.Sub(c.at) >= t.cfg.Retention {
 			delete(t.crashes, target)
 			t.stale = true
 		}
--- a/internal/request/quarantine/table_test.go
+++ b/internal/request/quarantine/table_test.go
@@ -14,7 +14,7 @@
 )
 
 var (
-	testConfig = Config{Limit: 3, Keep: time.Hour}
+	testConfig = Config{Limit: 3, Retention: time.Hour}
 	start      = time.Unix(1_700_000_000, 0)
 )
 
@@ -80,10 +80,10 @@
 	late := start.Add(time.Minute)
 	for n := range 3 { // it is seen to live, and crashes afterwards
 		table.Lost(late, incarnation(n), work(1), fleetSize)
-		table.Lives(incarnation(n), late)
+		table.Alive(incarnation(n), late)
 		is.True(!table.Ended(late.Add(time.Second), incarnation(n)))
 	}
-	table.Forget(start.Add(time.Minute))
+	table.Expire(start.Add(time.Minute))
 	is.True(table.Empty())
 	is.Equal(table.Digest(start.Add(time.Minute)), uint64(0))
 }
@@ -200,13 +200,13 @@
 			}
 			if rapid.Bool().Draw(t, "told") {
 				from, to := tables[rapid.IntRange(0, 2).Draw(t, "from")], tables[rapid.IntRange(0, 2).Draw(t, "to")]
-				to.Merge(at, from.Unknown(at, to.Known(at)))
+				to.Merge(at, from.Missing(at, to.Hashes(at)))
 			}
 		}
 		for range 3 {
 			for _, from := range tables {
 				for _, to := range tables {
-					to.Merge(at, from.Unknown(at, to.Known(at)))
+					to.Merge(at, from.Missing(at, to.Hashes(at)))
 				}
 			}
 		}
@@ -234,8 +234,8 @@
 	a, b := New(testConfig), New(testConfig)
 	a.crashAt(start, incarnation(1), work(1))
 	told := a.All(start)
-	end := start.Add(testConfig.Keep)
-	told[0].Age = testConfig.Keep
+	end := start.Add(testConfig.Retention)
+	told[0].Age = testConfig.Retention
 	is.True(!b.Merge(end, told))
 	is.True(b.Empty())
 	is.Equal(len(a.All(end)), 0)
@@ -259,7 +259,7 @@
 		table.Ended(at, incarnation(100+n))
 	}
 	is.Equal(len(table.crashes), mostCrashes)
-	is.True(len(table.All(at)[mostCrashes-1].Accused) <= mostWork)
+	is.True(len(table.All(at)[mostCrashes-1].Suspects) <= mostWork)
 	is.True(refused(table, at, work(0)))
 	for n := range 2 * mostCrashes {
 		table.Lost(at, Target{"silent", uint64(n)}, work(n), fleetSize)
--- a/internal/request/quarantine/verdict.go
+++ b/internal/request/quarantine/verdict.go
@@ -62,9 +62,9 @@
 	if !t.stale && now.Before(t.until) {
 		return
 	}
-	t.Forget(now)
+	t.Expire(now)
 	t.stale = false
-	t.until = now.Add(t.cfg.Keep)
+	t.until = now.Add(t.cfg.Retention)
 	trial := newTrial(t.cfg)
 	order := t.inOrder()
 	for i, c := range order {
@@ -72,7 +72,7 @@
 			t.until = earlier(t.until, c.at.Add(settle))
 			continue
 		}
-		t.until = earlier(t.until, c.at.Add(t.cfg.Keep))
+		t.until = earlier(t.until, c.at.Add(t.cfg.Retention))
 		near := around(order, i)
 		trial.hear(c, slices.DeleteFunc(c.accused(), func(work fingerprint.ID) bool { return trial.together(c, work, near) }))
 	}
@@ -195,7 +195,7 @@
 // refuse gives a verdict. What was beside the work is excused.
 func (t *trial) refuse(work fingerprint.ID) {
 	crashes := t.history[work]
-	v := Verdict{Since: crashes[len(crashes)-1].at, Until: crashes[len(crashes)-t.cfg.Limit].at.Add(t.cfg.Keep)}
+	v := Verdict{Since: crashes[len(crashes)-1].at, Until: crashes[len(crashes)-t.cfg.Limit].at.Add(t.cfg.Retention)}
 	for _, c := range crashes {
 		v.Targets = append(v.Targets, c.target)
 	}
--- a/internal/request/run/run.go
+++ b/internal/request/run/run.go
@@ -38,7 +38,7 @@
 	NonIdempotent bool
 	Work          *fingerprint.Work // what is asked for, whatever the ID
 	Hops          int               // times it was forwarded between data centres
-	Away          bool              // the own data centre is empty or full: ask another
+	PreferRemote  bool              // the own data centre is empty or full: ask another
 }
 
 // WorkOf returns what a request asks for. A new version of its model is other work: it
@@ -63,7 +63,7 @@
 	// Lost takes work whose connection to a target broke, and Whole work that was
 	// answered whole.
 	Lost(work *fingerprint.Work, t choose.Target)
-	Whole(work *fingerprint.Work)
+	Completed(work *fingerprint.Work)
 }
 
 // Runner runs requests.
@@ -152,7 +152,7 @@
 }
 
 func (r *Runner) choose(req Request, c *course) (choose.Target, http.Header, bool) {
-	if req.Away && !c.sent {
+	if req.PreferRemote && !c.sent {
 		if target, header, ok := r.remote.Next(req.Workspace, c.exclude); ok {
 			return target, header, true
 		}
@@ -252,7 +252,7 @@
 	}
 	switch {
 	case err == nil:
-		r.quarantine.Whole(req.Work)
+		r.quarantine.Completed(req.Work)
 	case errors.Is(err, engine.ErrLinkLost):
 		if process, known := r.targets.Process(target); known {
 			process.Sent = target.Sent
--- a/internal/request/serve/complete.go
+++ b/internal/request/serve/complete.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	e.request.Away = away
+	e.request.PreferRemote = away
 	if !c.forwarded {
 		joined, err := s.reserve(r.Context(), e)
 		if err != nil || joined != nil {
--- a/lab/model/quota/ways.go
+++ b/lab/model/quota/ways.go
@@ -165,8 +165,8 @@
 }
 
 type lentNode struct {
-	ledger   *allowance.Ledger
-	purse    *allowance.Purse
+	ledger   *allowance.Buckets
+	purse    *allowance.Balances
 	started  int64
 	sequence uint64
 	pending  map[int]*asking
@@ -201,7 +201,7 @@
 	for node := range w.Nodes {
 		l.names = append(l.names, fmt.Sprint("node-", node))
 		l.Started(node)
-		l.nodes[node].ledger = allowance.NewLedger(w.clock().Add(-time.Minute), tolerated)
+		l.nodes[node].ledger = allowance.NewBuckets(w.clock().Add(-time.Minute), tolerated)
 	}
 	return l
 }
@@ -210,7 +210,7 @@
 
 func (l *lent) Started(node int) {
 	n := &l.nodes[node]
-	*n = lentNode{ledger: allowance.NewLedger(l.w.clock(), tolerated), purse: allowance.NewPurse(), started: n.started + 1,
+	*n = lentNode{ledger: allowance.NewBuckets(l.w.clock(), tolerated), purse: allowance.NewBalances(), started: n.started + 1,
 		pending: map[int]*asking{}, waiting: map[int]int{}, suspects: map[int]time.Duration{}, lived: map[int]time.Duration{}, doubted: map[int]time.Duration{}}
 }
 
@@ -222,7 +222,7 @@
 	for node := range w.Nodes {
 		names = append(names, fmt.Sprint("node-", node))
 	}
-	return slices.Index(names, allowance.Natural(workspaceName(0), names))
+	return slices.Index(names, allowance.PreferredOwner(workspaceName(0), names))
 }
 
 func (l *lent) Take(node, ws int, decided func(bool)) {
@@ -258,12 +258,12 @@
 // ask sends an ask along its course.
 func (l *lent) ask(node, ws int, a *asking) {
 	n := &l.nodes[node]
-	ask := n.purse.Ask(l.w.clock(), workspaceName(ws), n.waiting[ws])
+	ask := n.purse.Request(l.w.clock(), workspaceName(ws), n.waiting[ws])
 	ask.Borrower, ask.Boot, ask.Sequence, ask.DataCentre = l.names[node], n.started, a.sequence, centreName(l.w.centre(node))
-	l.next(node, ws, a, ask, allowance.NewCourse(l.names[node], allowance.Owners(workspaceName(ws), l.heard(node))))
+	l.next(node, ws, a, ask, allowance.NewAttempts(l.names[node], allowance.Owners(workspaceName(ws), l.heard(node))))
 }
 
-func (l *lent) next(node, ws int, a *asking, ask allowance.Ask, course *allowance.Course) {
+func (l *lent) next(node, ws int, a *asking, ask allowance.BorrowRequest, course *allowance.Attempts) {
 	name, wait, ok := course.Next()
 	switch {
 	case !ok:
@@ -308,16 +308,16 @@
 	}
 }
 
-func (l *lent) lend(node, ws int, ask allowance.Ask, alone bool) allowance.Grant {
-	around := allowance.Surroundings{Alone: alone, Nodes: map[string]int{}, Heard: map[string]bool{}}
+func (l *lent) lend(node, ws int, ask allowance.BorrowRequest, alone bool) allowance.Grant {
+	around := allowance.FleetView{Isolated: alone, Nodes: map[string]int{}, Reachable: map[string]bool{}}
 	for dc := range l.w.Centres {
 		around.Nodes[centreName(dc)] = l.w.Nodes / l.w.Centres
-		around.Heard[centreName(dc)] = l.hearsCentre(node, dc)
+		around.Reachable[centreName(dc)] = l.hearsCentre(node, dc)
 	}
-	first := slices.Index(l.names, allowance.Natural(workspaceName(ws), l.names))
-	around.Natural = first == node
-	if !around.Natural && !alone {
-		around.Substitute = l.lives(node, first)
+	first := slices.Index(l.names, allowance.PreferredOwner(workspaceName(ws), l.names))
+	around.Preferred = first == node
+	if !around.Preferred && !alone {
+		around.PreferredReachable = l.lives(node, first)
 	}
 	return l.nodes[node].ledger.Lend(l.w.clock(), l.w.limit(ws), around, ask)
 }
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -54,10 +54,10 @@
 mutant 10 platform/workspaces.go 's/h\.Del\(headerAuthorization\)/h.Del(headerWorkspace)/' lab/hosted TestTargetsLearnTheWorkspace
 mutant 10 internal/request/job/record.go 's/if workspace == "" \{/if workspace != "never" {/' lab/hosted TestJobsBelongToTheirWorkspace
 mutant 10 internal/request/allowance/ledger.go 's/last\.sequence == ask\.Sequence &&/last.sequence > ask.Sequence \&\&/' internal/request/allowance TestLedgerKeepsTheAllowance
-mutant 10 internal/request/allowance/ledger.go 's/if around\.Natural && !l\.justStarted/if !l.justStarted/' internal/request/allowance TestNewOwnerBringsNoNewBurst
-mutant 10 internal/request/allowance/ledger.go 's/if !around\.Natural && l\.justStarted\(now\) \{/if !around.Natural \&\& l.justStarted(now) \&\& a.at.IsZero() {/' lab/model/quota TestAllowanceHoldsWhileCutNodesStartAgain
-mutant 10 internal/request/allowance/portion.go 's/case around\.Substitute:\n\t\treturn substituteShare/case around.Substitute:\n\t\treturn 1/' internal/request/allowance TestNewOwnerBringsNoNewBurst
-mutant 10 internal/request/allowance/portion.go 's/case !around\.silent\(\):/case !around.silent() || around.Natural:/' internal/request/allowance TestBothSidesOfACutShareTheAllowance
+mutant 10 internal/request/allowance/ledger.go 's/if around\.Preferred && !l\.justStarted/if !l.justStarted/' internal/request/allowance TestNewOwnerBringsNoNewBurst
+mutant 10 internal/request/allowance/ledger.go 's/if !around\.Preferred && l\.justStarted\(now\) \{/if !around.Preferred \&\& l.justStarted(now) \&\& a.at.IsZero() {/' lab/model/quota TestAllowanceHoldsWhileCutNodesStartAgain
+mutant 10 internal/request/allowance/portion.go 's/case around\.PreferredReachable:\n\t\treturn substituteShare/case around.PreferredReachable:\n\t\treturn 1/' internal/request/allowance TestNewOwnerBringsNoNewBurst
+mutant 10 internal/request/allowance/portion.go 's/case !around\.silent\(\):/case !around.silent() || around.Preferred:/' internal/request/allowance TestBothSidesOfACutShareTheAllowance
 mutant 10 platform/front.go 's/f\.node\.Allowances\(\)\.Return\(by\)//' lab/hosted TestUnrunRequestsTakeNothing
 mutant 10 internal/connection/lending/lending.go 's/owner == x\.Node \{/owner != "" {/' lab/hosted TestAllowanceHoldsOverTheFleet
 mutant 10 internal/request/allowance/purse.go 's/if g\.Wait > 0 \{/if g.Lent == 0 {/' lab/model/quota TestManyRequestsShareAnAsk
@@ -98,9 +98,9 @@
 mutant 5 internal/request/quarantine/table.go 's/c\.work\[work\] = cleared/_ = cleared/' internal/request/quarantine TestWholeAnswerClears
 mutant 5 internal/request/quarantine/table.go 's/now\.Sub\(l\.since\) > provedWithin \|\| len/len/' internal/request/quarantine TestLossWithoutProofCountsNothing
 mutant 5 internal/request/quarantine/exchange.go 's/known && s >= to/known \&\& s >= accused/' internal/request/quarantine TestMergeInAnyOrder
-mutant 5 internal/request/quarantine/exchange.go 's/told\.Age < 0 \|\| told\.Age >= t\.cfg\.Keep/told.Age < 0/' internal/request/quarantine TestForgottenCrashesStayForgotten
+mutant 5 internal/request/quarantine/exchange.go 's/told\.Age < 0 \|\| told\.Age >= t\.cfg\.Retention/told.Age < 0/' internal/request/quarantine TestForgottenCrashesStayForgotten
 mutant 5 internal/process/crashes/watch.go 's/if w\.Leaving\(t\)/if w.Leaving(t) \&\& t.ID == ""/' internal/process/crashes TestWhatProvesNoCrash
-mutant 5 internal/process/crashes/probe.go 's/w\.table\.Lives\(keyOf\(t\), began\)/_ = began/' internal/process/crashes TestWhatProvesNoCrash
+mutant 5 internal/process/crashes/probe.go 's/w\.table\.Alive\(keyOf\(t\), began\)/_ = began/' internal/process/crashes TestWhatProvesNoCrash
 mutant 5 internal/process/crashes/exchange.go 's/w\.pulls\.Put\(node\)/_ = node/' internal/process/crashes TestCrashesAtThreeNodes
 mutant 5 internal/process/hosted/crashes.go 's/n\.crashes\.Merge\(evidence\)/_ = evidence/' lab/hosted TestWhatIsRefusedStaysSo
 mutant 5 internal/request/job/run.go 's/ && !m\.refused\(h, i\)//' lab/hosted TestItemThatEndsTargets
