--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -167,14 +167,14 @@
 	n.worker = batch.NewWorker(batch.Config{LeaseTTL: s.LeaseTTL, OutageGrace: s.OutageGrace, CommitEvery: s.CommitEvery,
 		ItemAttempts: s.ItemAttempts, WatchTimeout: s.WatchTimeout, Pace: pace.Config{Fill: s.BatchFill, Reserve: s.BatchReserve, Quiet: quietTime, Unthrottled: n.variant.Unthrottled}},
 		record.Holder{Node: n.self.ID, Incarnation: n.self.Incarnation},
-		batch.Parts{Store: n.store, Platform: n.platform, Runner: n.runner, Targets: n.targets, Members: n.membership.View,
+		batch.Dependencies{Store: n.store, Platform: n.platform, Runner: n.runner, Targets: n.targets, Members: n.membership.View,
 			Config: n.config.Current, Recorder: n.recorder, Checker: n.checker, Metrics: n.metrics.scope, Clock: n.clock})
 	n.lending = n.newLending()
 	n.server = serve.New(serve.Limits{MaxBody: s.MaxBody, MaxInFlight: s.MaxInFlight, RequestTimeout: s.RequestTimeout},
-		serve.Parts{Config: n.config.Current, Ready: n.ready, Members: n.membership.View, Targets: n.targets, Runner: n.runner,
-			Allowances: n.lending, Keeper: n.keeper, Claims: n.claims, Store: n.store, Recorder: n.recorder, Checker: n.checker, Metrics: n.metrics.scope, PeerKey: s.PeerKey})
+		serve.Dependencies{Config: n.config.Current, Ready: n.ready, Members: n.membership.View, Targets: n.targets, Runner: n.runner,
+			Allowances: n.lending, Replicas: n.keeper, Claims: n.claims, Store: n.store, Recorder: n.recorder, Checker: n.checker, Metrics: n.metrics.scope, PeerKey: s.PeerKey})
 	n.server.Handle("GET /metrics", n.metrics)
-	n.targets.SetBatch(n.worker.InFlight, n.worker.TakeReport, n.worker.Own)
+	n.targets.SetBatch(n.worker.InFlight, n.worker.HandleLoadReport, n.worker.SetOwnedTargets)
 	n.membership.Carry(n.config)
 	n.membership.Carry(n.targets)
 	n.membership.Carry(crashNews{n.crashes})
@@ -182,7 +182,7 @@
 	n.targets.OnEnded(func(t choose.Target) { n.crashes.Ended(t, quarantine.StartedAgain) })
 	n.membership.OnChange(n.targets.Reown)
 	n.membership.OnChange(n.keeper.Takeover)
-	n.membership.OnChange(n.worker.Forget)
+	n.membership.OnChange(n.worker.DropDeadNodes)
 	n.listenHandlers()
 }
 
@@ -249,7 +249,7 @@
 	wg.Go(func() { n.config.Run(ctx) })
 	wg.Go(func() { n.announceReady(ctx) })
 	wg.Go(func() { n.targets.Run(ctx) })
-	wg.Go(func() { n.targets.SendPressure(ctx, n.pool, n.worker.TakePressure) })
+	wg.Go(func() { n.targets.SendPressure(ctx, n.pool, n.worker.HandlePressure) })
 	wg.Go(func() { n.keeper.Flush(ctx, n.settings.FlushInterval) })
 	wg.Go(func() { n.keeper.Watch(ctx) })
 	wg.Go(func() { n.claims.Run(ctx) })
--- a/internal/process/node/peers.go
+++ b/internal/process/node/peers.go
@@ -20,7 +20,7 @@
 
 // Pressure implements PeerService.
 func (p *peerService) Pressure(_ context.Context, req *v1.PressureRequest) (*v1.PressureResponse, error) {
-	p.node.worker.TakePressure(req)
+	p.node.worker.HandlePressure(req)
 	return &v1.PressureResponse{}, nil
 }
 
--- a/internal/request/batch/store.go
+++ b/internal/request/batch/store.go
@@ -241,8 +241,8 @@
 	return job, answerError(err, "batch", id)
 }
 
-// JobOf reads a job of a workspace; those of others are not found.
-func (s *Store) JobOf(ctx context.Context, workspace, id string) (record.Job, error) {
+// WorkspaceJob reads a job of a workspace; those of others are not found.
+func (s *Store) WorkspaceJob(ctx context.Context, workspace, id string) (record.Job, error) {
 	job, err := s.Job(ctx, id)
 	if err == nil && job.Workspace != workspace {
 		err = answerError(platform.ErrNotFound, "batch", id)
@@ -380,10 +380,10 @@
 // outputPrefix starts the ID of a job's results file.
 const outputPrefix = "out-"
 
-// OutputFile returns the ID of a job's results file.
-func OutputFile(jobID string) string { return outputPrefix + jobID }
+// OutputFileID returns the ID of a job's results file.
+func OutputFileID(jobID string) string { return outputPrefix + jobID }
 
-// JobOfOutput returns the job a results file belongs to.
-func JobOfOutput(fileID string) (jobID string, ok bool) {
+// JobIDFromOutputFile returns the ID of the job that a results file belongs to.
+func JobIDFromOutputFile(fileID string) (jobID string, ok bool) {
 	return strings.CutPrefix(fileID, outputPrefix)
 }
--- a/internal/request/batch/worker.go
+++ b/internal/request/batch/worker.go
@@ -64,8 +64,8 @@
 	draining  bool
 }
 
-// Parts are what a worker works with.
-type Parts struct {
+// Dependencies are what a worker works with.
+type Dependencies struct {
 	Store    *Store
 	Platform *platform.Client
 	Runner   *run.Runner
@@ -79,7 +79,7 @@
 }
 
 // NewWorker returns a worker; Run starts it.
-func NewWorker(cfg Config, self record.Holder, p Parts) *Worker {
+func NewWorker(cfg Config, self record.Holder, p Dependencies) *Worker {
 	return &Worker{
 		cfg: cfg, self: self, store: p.Store, platform: p.Platform, runner: p.Runner, targets: p.Targets, members: p.Members,
 		config: p.Config, recorder: p.Recorder, checker: p.Checker, metrics: p.Metrics, clock: p.Clock, wake: make(chan struct{}, 1),
@@ -95,24 +95,24 @@
 	return w.pacer.Batch(target)
 }
 
-// TakeReport takes an owned target's load report.
-func (w *Worker) TakeReport(target string, load choose.Load, usable bool) {
+// HandleLoadReport takes an owned target's load report.
+func (w *Worker) HandleLoadReport(target string, load choose.Load, usable bool) {
 	w.mu.Lock()
 	w.pacer.Report(target, load.MaxRunning, usable)
 	w.mu.Unlock()
 	w.signal()
 }
 
-// Own sets the owned targets.
-func (w *Worker) Own(ids []string) {
+// SetOwnedTargets sets the owned targets.
+func (w *Worker) SetOwnedTargets(ids []string) {
 	w.mu.Lock()
 	w.pacer.Own(ids)
 	w.mu.Unlock()
 	w.signal()
 }
 
-// TakePressure takes a node's counts of online requests and makes room at once.
-func (w *Worker) TakePressure(req *v1.PressureRequest) {
+// HandlePressure takes a node's counts of online requests and makes room at once.
+func (w *Worker) HandlePressure(req *v1.PressureRequest) {
 	now := time.Now()
 	w.mu.Lock()
 	for _, t := range req.Targets {
@@ -123,8 +123,8 @@
 	w.signal()
 }
 
-// Forget drops the counts of nodes that are gone.
-func (w *Worker) Forget(view *member.View) {
+// DropDeadNodes drops the counts of nodes that are gone.
+func (w *Worker) DropDeadNodes(view *member.View) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range view.Members {
--- a/internal/request/serve/batches.go
+++ b/internal/request/serve/batches.go
@@ -74,11 +74,11 @@
 
 // fileContent sends a job's results as JSONL, those committed so far.
 func (s *Server) fileContent(w http.ResponseWriter, r *http.Request, c *session) error {
-	jobID, ok := batch.JobOfOutput(r.PathValue("id"))
+	jobID, ok := batch.JobIDFromOutputFile(r.PathValue("id"))
 	if !ok {
 		return errkind.NotFound.New("no results file %q", r.PathValue("id"))
 	}
-	job, err := s.Store.JobOf(r.Context(), c.workspace.Name, jobID)
+	job, err := s.Store.WorkspaceJob(r.Context(), c.workspace.Name, jobID)
 	if err != nil {
 		return err
 	}
@@ -161,12 +161,12 @@
 }
 
 func batchShape(job record.Job, completed, failed int) batchBody {
-	return batchBody{job.ID, "batch", job.Endpoint, string(job.State), batch.OutputFile(job.ID), job.Created, job.Due, job.Ended,
+	return batchBody{job.ID, "batch", job.Endpoint, string(job.State), batch.OutputFileID(job.ID), job.Created, job.Due, job.Ended,
 		batch.Counts{Total: job.Total, Completed: completed, Failed: failed}}
 }
 
 func (s *Server) showBatch(w http.ResponseWriter, r *http.Request, c *session) error {
-	job, err := s.Store.JobOf(r.Context(), c.workspace.Name, r.PathValue("id"))
+	job, err := s.Store.WorkspaceJob(r.Context(), c.workspace.Name, r.PathValue("id"))
 	if err != nil {
 		return err
 	}
@@ -179,7 +179,7 @@
 }
 
 func (s *Server) cancelBatch(w http.ResponseWriter, r *http.Request, c *session) error {
-	if _, err := s.Store.JobOf(r.Context(), c.workspace.Name, r.PathValue("id")); err != nil {
+	if _, err := s.Store.WorkspaceJob(r.Context(), c.workspace.Name, r.PathValue("id")); err != nil {
 		return err
 	}
 	job, err := s.Store.Cancel(r.Context(), r.PathValue("id"))
--- a/internal/request/serve/complete.go
+++ b/internal/request/serve/complete.go
@@ -85,7 +85,7 @@
 	}
 	joined, err = s.claim(ctx, e)
 	if err != nil || joined != nil {
-		s.Keeper.Drop(context.WithoutCancel(ctx), e.request.ID)
+		s.Replicas.Drop(context.WithoutCancel(ctx), e.request.ID)
 	}
 	return joined, err
 }
@@ -120,7 +120,7 @@
 
 func (s *Server) newExecution(r *http.Request, c *session, service *fleet.Service, body []byte, now time.Time) *execution {
 	key := r.Header.Get(openai.HeaderIdempotencyKey)
-	id := homes.NewID(s.Members().Self.DataCentre, s.Keeper.SecondCentre(), now.Unix(), c.workspace.Name, key)
+	id := homes.NewID(s.Members().Self.DataCentre, s.Replicas.SecondCentre(), now.Unix(), c.workspace.Name, key)
 	return &execution{
 		request: run.Request{
 			ID: id, Workspace: c.workspace.Name, Service: service.Name, Path: r.URL.Path, Method: r.Method, Body: body,
@@ -146,13 +146,13 @@
 func (s *Server) register(ctx context.Context, e *execution) (joined *hold.Answer, err error) {
 	if e.key == "" && !e.request.NonIdempotent {
 		go func() {
-			_, e.refusal = s.Keeper.Register(context.WithoutCancel(ctx), s.held(e))
+			_, e.refusal = s.Replicas.Register(context.WithoutCancel(ctx), s.held(e))
 			close(e.registered)
 		}()
 		return nil, nil
 	}
 	defer close(e.registered)
-	answer, err := s.Keeper.Register(ctx, s.held(e))
+	answer, err := s.Replicas.Register(ctx, s.held(e))
 	switch {
 	case err != nil:
 		return nil, err
@@ -225,14 +225,14 @@
 	ctx = context.WithoutCancel(ctx)
 	<-e.registered
 	if err != nil && !e.accepted.Load() && !errkind.Is(err, errkind.UnknownOutcome) {
-		s.Keeper.Drop(ctx, e.request.ID) // a resend may run it anew
+		s.Replicas.Drop(ctx, e.request.ID) // a resend may run it anew
 		if e.claim != nil && errkind.Of(err).NotRun == errkind.NotRunTrue {
 			s.Claims.Abandon(*e.claim)
 		}
 		return
 	}
 	result := s.result(e, err)
-	s.Keeper.Finish(ctx, result)
+	s.Replicas.Finish(ctx, result)
 }
 
 func (s *Server) result(e *execution, err error) hold.Result {
@@ -268,12 +268,12 @@
 	parsed, err := openai.Parse(held.Path, held.Body)
 	service, workspace := config.Services[held.Service], config.Workspaces.ByName(held.Workspace)
 	if held.NonIdempotent || err != nil || service == nil || workspace == nil {
-		s.Keeper.Finish(context.Background(), s.result(e, errkind.UnknownOutcome.New("the node that ran the request was lost")))
+		s.Replicas.Finish(context.Background(), s.result(e, errkind.UnknownOutcome.New("the node that ran the request was lost")))
 		return
 	}
 	_, e.request.Loaded = config.ServiceFor(workspace, parsed.Model)
 	e.request.Prefix, e.model = parsed.Prefix(), parsed.Model
 	e.request.Work = run.WorkOf(&e.request)
-	s.Keeper.Register(context.Background(), s.held(e)) // the other home learns the new owner
+	s.Replicas.Register(context.Background(), s.held(e)) // the other home learns the new owner
 	s.start(e, func() {})
 }
--- a/internal/request/serve/join.go
+++ b/internal/request/serve/join.go
@@ -58,7 +58,7 @@
 		if wait <= 0 || r.Context().Err() != nil {
 			return errkind.DeadlineExceeded.New("request %s is still running; ask again", first.RequestID)
 		}
-		answer, silent = s.Keeper.Find(r.Context(), first.RequestID, c.workspace.Name, wait)
+		answer, silent = s.Replicas.Find(r.Context(), first.RequestID, c.workspace.Name, wait)
 	}
 	if answer.State != hold.Done && e.request.NonIdempotent {
 		return droppedError{errkind.UnknownOutcome.New("request %s has this key; its outcome is not known here", first.RequestID)}
@@ -111,7 +111,7 @@
 // response returns a kept result.
 func (s *Server) response(w http.ResponseWriter, r *http.Request, c *session) error {
 	id := r.PathValue("id")
-	answer, err := s.Keeper.Find(r.Context(), id, c.workspace.Name, 0)
+	answer, err := s.Replicas.Find(r.Context(), id, c.workspace.Name, 0)
 	if err != nil {
 		return err
 	}
--- a/internal/request/serve/plain.go
+++ b/internal/request/serve/plain.go
@@ -101,7 +101,7 @@
 			s.settle(ctx, e, err)
 			return
 		}
-		s.Keeper.Finish(ctx, hold.Result{RequestID: e.request.ID, Workspace: e.request.Workspace, Key: e.key, Digest: e.digest,
+		s.Replicas.Finish(ctx, hold.Result{RequestID: e.request.ID, Workspace: e.request.Workspace, Key: e.key, Digest: e.digest,
 			Status: answer.Status, ContentType: answer.Header.Get("Content-Type"), Body: answer.Body, Created: e.created})
 	}()
 	select {
--- a/internal/request/serve/serve.go
+++ b/internal/request/serve/serve.go
@@ -41,8 +41,8 @@
 	RequestTimeout time.Duration
 }
 
-// Parts are what a server works with.
-type Parts struct {
+// Dependencies are what a server works with.
+type Dependencies struct {
 	Config  func() *fleet.Config
 	Ready   func() error // nil when the node can serve
 	Members func() *member.View
@@ -50,7 +50,7 @@
 	Runner  *run.Runner
 	// Allowances keeps workspaces to what they may ask for over all nodes.
 	Allowances Allowances
-	Keeper     *homes.Keeper
+	Replicas   *homes.Keeper
 	Claims     *claim.Claims
 	Store      *batch.Store
 	Recorder   *timeline.Recorder
@@ -69,7 +69,7 @@
 
 // Server is the callers' API of a node.
 type Server struct {
-	Parts
+	Dependencies
 	limits  Limits
 	mux     *http.ServeMux
 	leaving atomic.Bool    // the health answer fails
@@ -82,8 +82,8 @@
 }
 
 // New returns a server.
-func New(limits Limits, parts Parts) *Server {
-	s := &Server{Parts: parts, limits: limits, mux: http.NewServeMux(), gate: admit.New(limits.MaxInFlight)}
+func New(limits Limits, parts Dependencies) *Server {
+	s := &Server{Dependencies: parts, limits: limits, mux: http.NewServeMux(), gate: admit.New(limits.MaxInFlight)}
 	s.route("POST "+openai.ChatPath, s.complete)
 	s.route("POST "+openai.CompletionPath, s.complete)
 	s.route("GET /v1/responses/{id}", s.response)
