--- a/internal/connection/beacon/beacon.go
+++ b/internal/connection/beacon/beacon.go
@@ -79,34 +79,34 @@
 	SetDataCentre(name string, counts map[string]choose.InFlight) (news bool)
 }
 
-// Copies is what is told and heard of the copies of the object store.
-type Copies interface {
+// CacheFreshness is what is told and heard of the copies of the object store.
+type CacheFreshness interface {
 	AgeMarks() map[string]follow.Mark
 	HeardMark(kind string, m follow.Mark) (behind bool)
 }
 
-// BatchWord is what is said of the batch work of a node, a group or a data centre.
-type BatchWord struct {
+// BatchReport is what is said of the batch work of a node, a group or a data centre.
+type BatchReport struct {
 	choose.Claim
 }
 
 // BatchWork is what is told and heard of batch work.
 type BatchWork interface {
-	// Own returns the word of this node, Group that of its group, and Here that of
-	// its data centre.
-	Own() BatchWord
-	Group() BatchWord
-	Here() BatchWord
+	// OfNode returns the report on this node, OfGroup that on its group, and OfDataCentre
+	// that on its data centre.
+	OfNode() BatchReport
+	OfGroup() BatchReport
+	OfDataCentre() BatchReport
 	// Announced returns the jobs that this node lately came to hold.
 	Announced() []string
 	// JoinGroup forgets what nodes and groups of this data centre said.
 	JoinGroup()
-	// HeardNode, HeardGroup and HeardDataCentre take the words of others.
-	HeardNode(node string, w BatchWord)
-	HeardGroup(group string, w BatchWord)
-	HeardDataCentre(name string, w BatchWord)
-	// HeardJobs takes the jobs that a node came to hold.
-	HeardJobs(node string, jobs []string)
+	// ReceiveNode, ReceiveGroup and ReceiveDataCentre take the reports of others.
+	ReceiveNode(node string, w BatchReport)
+	ReceiveGroup(group string, w BatchReport)
+	ReceiveDataCentre(name string, w BatchReport)
+	// ReceiveJobs takes the jobs that a node came to hold.
+	ReceiveJobs(node string, jobs []string)
 }
 
 // StoreLatency is what is told and heard of how slow the object store is.
@@ -119,8 +119,8 @@
 // another one than its own asks for what it lacks.
 type Crashes interface {
 	Digest() uint64
-	// HeardDigest takes the digest of another node. It must not block.
-	HeardDigest(node string, digest uint64)
+	// ReceiveDigest takes the digest of another node. It must not block.
+	ReceiveDigest(node string, digest uint64)
 }
 
 // Options configures an exchange.
@@ -129,7 +129,7 @@
 	DataCentre string
 	Boot       int64 // Unix microseconds at process start
 	Loads      Loads
-	Copies     Copies
+	Cache      CacheFreshness
 	Batch      BatchWork
 	Store      StoreLatency
 	Crashes    Crashes
@@ -137,12 +137,12 @@
 	Suspended func() time.Duration
 	// View returns how this node sees the others now.
 	View func() *View
-	// Behind is told that a node knows more than this one, and Silent that a node
+	// OnBehind is told that a node knows more than this one, and OnUnreachable that a node
 	// of the own data centre is heard no more. They must not block.
-	Behind func(node string)
-	Silent func(node string)
-	// HeardFirst is told that a node is heard that was not; nil: nobody is.
-	HeardFirst func(node string)
+	OnBehind      func(node string)
+	OnUnreachable func(node string)
+	// OnReachable is told that a node is heard that was not; nil: nobody is.
+	OnReachable func(node string)
 }
 
 // Exchange sends and takes the datagrams of one node.
@@ -170,18 +170,18 @@
 		gone: map[string]time.Time{}, grouped: map[string]time.Time{}, centres: map[string]time.Time{}}
 }
 
-// Touch says that something changed; it never blocks.
-func (x *Exchange) Touch() {
+// NotifyChange says that something changed; it never blocks.
+func (x *Exchange) NotifyChange() {
 	select {
 	case x.touched <- struct{}{}:
 	default:
 	}
 }
 
-// Tell lets those that have batch items at a target know at once that a request
+// NotifyHolders lets those that have batch items at a target know at once that a request
 // waits for a slot there; it never blocks. Waiting for the next rounds would take
 // up to two of them in the own data centre and farInterval in others.
-func (x *Exchange) Tell(target string) {
+func (x *Exchange) NotifyHolders(target string) {
 	select {
 	case x.urgent <- target:
 	default:
@@ -203,7 +203,7 @@
 	round := func() {
 		told := x.round(conn)
 		touched = nil
-		next.Reset(Pace(told))
+		next.Reset(MinRoundInterval(told))
 	}
 	for {
 		select {
@@ -227,14 +227,14 @@
 	}
 }
 
-// Pace returns the least time between two rounds that each tell so many nodes.
-func Pace(told int) time.Duration { return nearLeast + time.Duration(told)*nearPace }
+// MinRoundInterval returns the least time between two rounds that each tell so many nodes.
+func MinRoundInterval(told int) time.Duration { return nearLeast + time.Duration(told)*nearPace }
 
 // round tells the own data centre, and returns how many nodes it told.
 func (x *Exchange) round(conn net.PacketConn) int {
 	view := x.View()
 	x.join(view)
-	members, listeners := view.Members(), view.Listeners(x.HeardInGroup(), rand.Float64)
+	members, listeners := view.Members(), view.GroupReportReceivers(x.ReachableInGroup(), rand.Float64)
 	x.send(conn, members, x.wordOfNode)
 	x.send(conn, listeners, x.wordOfGroup)
 	return len(members) + len(listeners)
--- a/internal/connection/beacon/beacon_test.go
+++ b/internal/connection/beacon/beacon_test.go
@@ -27,7 +27,7 @@
 	nodes   map[string]map[string]choose.InFlight
 	groups  map[string]map[string]choose.InFlight
 	centres map[string]map[string]choose.InFlight
-	claims  map[string]BatchWord // by node or data centre
+	claims  map[string]BatchReport // by node or data centre
 	health  *objects.Health
 	gone    []string // nodes that fell silent
 }
@@ -39,7 +39,7 @@
 }
 
 func newWords(own map[string]choose.InFlight) *words {
-	return &words{own: own, jobs: map[string]string{}, nodes: map[string]map[string]choose.InFlight{}, groups: map[string]map[string]choose.InFlight{}, centres: map[string]map[string]choose.InFlight{}, claims: map[string]BatchWord{},
+	return &words{own: own, jobs: map[string]string{}, nodes: map[string]map[string]choose.InFlight{}, groups: map[string]map[string]choose.InFlight{}, centres: map[string]map[string]choose.InFlight{}, claims: map[string]BatchReport{},
 		health: objects.NewHealth(time.Now, func(bool, time.Duration) {})}
 }
 
@@ -111,10 +111,10 @@
 	return news
 }
 
-func (w *words) Own() BatchWord   { return BatchWord{Claim: choose.Claim{Demand: 1}} }
-func (w *words) Group() BatchWord { return BatchWord{Claim: choose.Claim{Demand: 1}} }
-func (w *words) Here() BatchWord {
-	return BatchWord{Claim: choose.Claim{Demand: 2, Overflow: 1}}
+func (w *words) OfNode() BatchReport  { return BatchReport{Claim: choose.Claim{Demand: 1}} }
+func (w *words) OfGroup() BatchReport { return BatchReport{Claim: choose.Claim{Demand: 1}} }
+func (w *words) OfDataCentre() BatchReport {
+	return BatchReport{Claim: choose.Claim{Demand: 2, Overflow: 1}}
 }
 
 func (w *words) Announced() []string {
@@ -123,21 +123,21 @@
 	return w.announced
 }
 
-func (w *words) HeardGroup(string, BatchWord) {}
+func (w *words) ReceiveGroup(string, BatchReport) {}
 
-func (w *words) HeardNode(node string, b BatchWord) {
+func (w *words) ReceiveNode(node string, b BatchReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.claims[node] = b
 }
 
-func (w *words) HeardDataCentre(name string, b BatchWord) {
+func (w *words) ReceiveDataCentre(name string, b BatchReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.claims[name] = b
 }
 
-func (w *words) HeardJobs(node string, jobs []string) {
+func (w *words) ReceiveJobs(node string, jobs []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, id := range jobs {
@@ -148,8 +148,8 @@
 // noCrashes knows of no crashed target.
 type noCrashes struct{}
 
-func (noCrashes) Digest() uint64             { return 0 }
-func (noCrashes) HeardDigest(string, uint64) {}
+func (noCrashes) Digest() uint64               { return 0 }
+func (noCrashes) ReceiveDigest(string, uint64) {}
 
 type noCopies struct{}
 
@@ -195,13 +195,13 @@
 	})
 	is.Equal(a1.said("a2")["t"], choose.InFlight{Online: 1, Batch: 3})
 	b.mu.Lock()
-	is.Equal(b.claims["a"], BatchWord{Claim: choose.Claim{Demand: 2, Overflow: 1}})
+	is.Equal(b.claims["a"], BatchReport{Claim: choose.Claim{Demand: 2, Overflow: 1}})
 	b.mu.Unlock()
 	stop2()
 	eventually(t, func() bool { return a1.said("a2") == nil })
 	a1.mu.Lock()
 	is.Equal(a1.gone, []string{"a2"})
-	since, silent := exchanges["a1"].SilentSince("a2")
+	since, silent := exchanges["a1"].UnreachableSince("a2")
 	is.True(silent && time.Since(since) >= silentAfter)
 	a1.mu.Unlock()
 	stop1()
@@ -215,8 +215,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return New(Options{Node: node, DataCentre: centre, Boot: time.Now().UnixMicro(), Loads: w, Copies: noCopies{}, Crashes: noCrashes{}, Suspended: func() time.Duration { return 0 }, Batch: batchOf{w}, Store: w.health,
-		View: func() *View { return NewView(node, centre, others()) }, Behind: func(string) {}, Silent: w.silent}), conn
+	return New(Options{Node: node, DataCentre: centre, Boot: time.Now().UnixMicro(), Loads: w, Cache: noCopies{}, Crashes: noCrashes{}, Suspended: func() time.Duration { return 0 }, Batch: batchOf{w}, Store: w.health,
+		View: func() *View { return NewView(node, centre, others()) }, OnBehind: func(string) {}, OnUnreachable: w.silent}), conn
 }
 
 // TestHoldersHearAtOnce: what cannot wait reaches the holders of items without
@@ -240,7 +240,7 @@
 	w := newWords(map[string]choose.InFlight{"t": {Online: 1}})
 	w.holders = choose.Holders{Nodes: []string{"a2"}, DataCentres: []string{"b"}}
 	x, _ := start("a1", "a", w, nearPeer, farPeer, otherPeer)
-	x.Tell("t")
+	x.NotifyHolders("t")
 	eventually(t, func() bool { return near.said("a1") != nil && far.said("a") != nil && holder.said("a") != nil })
 	is.Equal(near.said("a1")["t"].Online, 1)
 	is.Equal(holder.said("a")["t"].Online, 1) // through b1, which knows who holds items there
--- a/internal/connection/beacon/groups_test.go
+++ b/internal/connection/beacon/groups_test.go
@@ -71,7 +71,7 @@
 	is.Equal(g.all[0].View().groups, 4)
 	eventually(t, func() bool { return slices.Equal(g.counted(all), slices.Repeat([]int{nodes}, nodes)) })
 	for _, x := range g.all {
-		is.Equal(len(x.HeardNear()), nodes-1)
+		is.Equal(len(x.ReachableInDataCentre()), nodes-1)
 	}
 
 	g.words[3].mu.Lock()
@@ -98,7 +98,7 @@
 		g.words[i].mu.Lock()
 		is.Equal(g.words[i].gone, []string{fmt.Sprint("n", lost)})
 		g.words[i].mu.Unlock()
-		is.Equal(len(g.all[i].HeardNear()), nodes-2)
+		is.Equal(len(g.all[i].ReachableInDataCentre()), nodes-2)
 	}
 }
 
--- a/internal/connection/beacon/receive.go
+++ b/internal/connection/beacon/receive.go
@@ -41,8 +41,8 @@
 	if !near {
 		x.centres[m.DataCentre] = time.Now()
 	}
-	if !heard && x.HeardFirst != nil {
-		x.HeardFirst(m.Node)
+	if !heard && x.OnReachable != nil {
+		x.OnReachable(m.Node)
 	}
 	return true
 }
@@ -51,7 +51,7 @@
 func (x *Exchange) take(m *v1.Beacon) {
 	x.takeLoads(m)
 	if len(m.Jobs) > 0 {
-		x.Batch.HeardJobs(m.Node, m.Jobs)
+		x.Batch.ReceiveJobs(m.Node, m.Jobs)
 	}
 	for _, member := range m.Members {
 		x.takeMember(member, m)
@@ -60,14 +60,14 @@
 		x.Store.Heard(time.Duration(m.StoreTookMs)*time.Millisecond, time.Duration(m.StoreAgeMs)*time.Millisecond)
 	}
 	if m.Crashes != 0 {
-		x.Crashes.HeardDigest(m.Node, m.Crashes)
+		x.Crashes.ReceiveDigest(m.Node, m.Crashes)
 	}
 	behind := false
 	for kind, mark := range follow.UnpackMarks(m.Marks) {
-		behind = x.Copies.HeardMark(kind, mark) || behind
+		behind = x.Cache.HeardMark(kind, mark) || behind
 	}
 	if behind {
-		x.Behind(m.Node)
+		x.OnBehind(m.Node)
 	}
 }
 
@@ -79,23 +79,23 @@
 	for _, t := range m.Targets {
 		counts[t.Target] = choose.InFlight{Online: int(t.Online), Batch: int(t.Batch), Apart: int(t.Apart)}
 	}
-	batch := BatchWord{Claim: choose.Claim{Demand: int(m.Demand), Overflow: int(m.Overflow)}}
+	batch := BatchReport{Claim: choose.Claim{Demand: int(m.Demand), Overflow: int(m.Overflow)}}
 	view := x.View()
 	group := view.groupOf(m.Node)
 	switch {
 	case m.DataCentre != x.DataCentre:
 		x.Loads.SetDataCentre(m.DataCentre, counts)
-		x.Batch.HeardDataCentre(m.DataCentre, batch)
+		x.Batch.ReceiveDataCentre(m.DataCentre, batch)
 	case int(m.Groups) != view.groups:
 	case m.Scope == v1.Scope_SCOPE_NODE && group == view.group:
-		x.Batch.HeardNode(m.Node, batch)
+		x.Batch.ReceiveNode(m.Node, batch)
 		if x.Loads.SetNode(m.Node, counts) && view.groups > 1 {
-			x.Touch() // the group has something new to say to others
+			x.NotifyChange() // the group has something new to say to others
 		}
 	case m.Scope == v1.Scope_SCOPE_GROUP && group != view.group:
 		x.heardGroup(groupName(group))
 		x.Loads.SetGroup(groupName(group), len(m.Members)+1, counts)
-		x.Batch.HeardGroup(groupName(group), batch)
+		x.Batch.ReceiveGroup(groupName(group), batch)
 	}
 }
 
@@ -115,7 +115,7 @@
 		x.heardOf(member)
 	}
 	if len(member.Jobs) > 0 {
-		x.Batch.HeardJobs(member.Node, member.Jobs)
+		x.Batch.ReceiveJobs(member.Node, member.Jobs)
 	}
 }
 
--- a/internal/connection/beacon/send.go
+++ b/internal/connection/beacon/send.go
@@ -68,24 +68,24 @@
 
 // wordOfNode returns what this node says of itself.
 func (x *Exchange) wordOfNode() *v1.Beacon {
-	return x.compose(v1.Scope_SCOPE_NODE, x.Loads.InFlight(), x.Batch.Own())
+	return x.compose(v1.Scope_SCOPE_NODE, x.Loads.InFlight(), x.Batch.OfNode())
 }
 
 // wordOfGroup returns what this node says of its group.
 func (x *Exchange) wordOfGroup() *v1.Beacon {
-	m := x.compose(v1.Scope_SCOPE_GROUP, x.Loads.InFlightInGroup(), x.Batch.Group())
+	m := x.compose(v1.Scope_SCOPE_GROUP, x.Loads.InFlightInGroup(), x.Batch.OfGroup())
 	m.Members = x.members(func(w word) bool { return w.group == x.View().group })
 	return m
 }
 
 // wordOfDataCentre returns what this node says of its data centre.
 func (x *Exchange) wordOfDataCentre() *v1.Beacon {
-	m := x.compose(v1.Scope_SCOPE_DATA_CENTRE, x.Loads.InFlightHere(), x.Batch.Here())
+	m := x.compose(v1.Scope_SCOPE_DATA_CENTRE, x.Loads.InFlightHere(), x.Batch.OfDataCentre())
 	m.Members = x.members(func(w word) bool { return len(w.jobs) > 0 })
 	return m
 }
 
-func (x *Exchange) compose(scope v1.Scope, inFlight map[string]choose.InFlight, batch BatchWord) *v1.Beacon {
+func (x *Exchange) compose(scope v1.Scope, inFlight map[string]choose.InFlight, batch BatchReport) *v1.Beacon {
 	x.sequence++
 	message := &v1.Beacon{Node: x.Node, Boot: x.Boot, Sequence: x.sequence, DataCentre: x.DataCentre, Scope: scope, Groups: uint32(x.View().groups),
 		Demand: uint32(batch.Demand), Overflow: uint32(batch.Overflow), Jobs: x.Batch.Announced(), Crashes: x.Crashes.Digest()}
@@ -95,7 +95,7 @@
 	for id, n := range inFlight {
 		message.Targets = append(message.Targets, &v1.TargetCounts{Target: id, Online: uint32(n.Online), Batch: uint32(n.Batch), Apart: uint32(n.Apart)})
 	}
-	message.Marks = follow.PackMarks(x.Copies.AgeMarks())
+	message.Marks = follow.PackMarks(x.Cache.AgeMarks())
 	return message
 }
 
--- a/internal/connection/beacon/silence.go
+++ b/internal/connection/beacon/silence.go
@@ -22,20 +22,20 @@
 	return time.Since(x.heard[node].at) < silentAfter
 }
 
-// Heard returns the nodes that are heard now.
-func (x *Exchange) Heard() []string {
+// ReachableNodes returns the nodes that are heard now.
+func (x *Exchange) ReachableNodes() []string {
 	return x.heardBy(func(word) bool { return true })
 }
 
-// HeardNear returns the nodes of this data centre that are heard now, without
+// ReachableInDataCentre returns the nodes of this data centre that are heard now, without
 // this one.
-func (x *Exchange) HeardNear() []string {
+func (x *Exchange) ReachableInDataCentre() []string {
 	return x.heardBy(func(w word) bool { return w.near })
 }
 
-// HeardInGroup returns the nodes of this node's group that are heard now, without
+// ReachableInGroup returns the nodes of this node's group that are heard now, without
 // this one.
-func (x *Exchange) HeardInGroup() []string {
+func (x *Exchange) ReachableInGroup() []string {
 	group := x.View().group
 	return x.heardBy(func(w word) bool { return w.near && w.group == group })
 }
@@ -52,15 +52,15 @@
 	return out
 }
 
-// HeardGroups returns the other groups of this data centre that are heard now.
-func (x *Exchange) HeardGroups() []string { return x.heardOfLate(x.grouped) }
+// ReachableGroups returns the other groups of this data centre that are heard now.
+func (x *Exchange) ReachableGroups() []string { return x.heardOfLate(x.grouped) }
 
-// HeardDataCentres returns the other data centres of which a node is heard now.
-func (x *Exchange) HeardDataCentres() []string { return x.heardOfLate(x.centres) }
+// ReachableDataCentres returns the other data centres of which a node is heard now.
+func (x *Exchange) ReachableDataCentres() []string { return x.heardOfLate(x.centres) }
 
-// DataCentreHeardAt returns when a node of another data centre was last heard, the zero
+// DataCentreLastReceived returns when a node of another data centre was last heard, the zero
 // time when none was of late.
-func (x *Exchange) DataCentreHeardAt(name string) time.Time {
+func (x *Exchange) DataCentreLastReceived(name string) time.Time {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.centres[name]
@@ -91,9 +91,9 @@
 	return told.Sub(w.at) > silentAfter || silent > 2*silentAfter
 }
 
-// SilentSince returns when a node that is heard no more was last heard; false: it
+// UnreachableSince returns when a node that is heard no more was last heard; false: it
 // is heard, or never was.
-func (x *Exchange) SilentSince(node string) (time.Time, bool) {
+func (x *Exchange) UnreachableSince(node string) (time.Time, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	at, gone := x.gone[node]
@@ -108,7 +108,7 @@
 func (x *Exchange) forgetSilent() {
 	for _, node := range x.silentNodes() {
 		x.Loads.SetNode(node, nil)
-		x.Silent(node)
+		x.OnUnreachable(node)
 	}
 	for _, group := range x.silentOf(x.grouped) {
 		x.Loads.SetGroup(group, 0, nil)
--- a/internal/connection/beacon/view.go
+++ b/internal/connection/beacon/view.go
@@ -50,11 +50,11 @@
 			here++
 		}
 	}
-	return DividedView(self, dataCentre, others, groupsOf(here))
+	return NewViewWithGroups(self, dataCentre, others, groupsOf(here))
 }
 
-// DividedView returns the same with so many groups in the data centre.
-func DividedView(self, dataCentre string, others []Peer, groups int) *View {
+// NewViewWithGroups returns the same with so many groups in the data centre.
+func NewViewWithGroups(self, dataCentre string, others []Peer, groups int) *View {
 	v := &View{self: self, groups: groups, far: map[string][]Peer{}, byName: map[string]net.Addr{}}
 	v.group = v.groupOf(self)
 	v.near = make([][]Peer, v.groups)
@@ -86,8 +86,8 @@
 	return int(xxhash.Sum64String(node) % uint64(v.groups))
 }
 
-// AloneHere reports whether no other node of the data centre is known.
-func (v *View) AloneHere() bool { return len(v.byName) == 0 }
+// AloneInDataCentre reports whether no other node of the data centre is known.
+func (v *View) AloneInDataCentre() bool { return len(v.byName) == 0 }
 
 // Group returns the name of this node's group.
 func (v *View) Group() string { return groupName(v.group) }
@@ -103,10 +103,10 @@
 // Members returns the other nodes of this node's group.
 func (v *View) Members() []Peer { return v.near[v.group] }
 
-// Listeners returns to which nodes of other groups this node speaks for its own in
+// GroupReportReceivers returns to which nodes of other groups this node speaks for its own in
 // a round. Each of them has one speaker among the members that are heard, the
 // first in an order of its own; draw adds the strays.
-func (v *View) Listeners(heard []string, draw func() float64) []Peer {
+func (v *View) GroupReportReceivers(heard []string, draw func() float64) []Peer {
 	if v.groups == 1 {
 		return nil
 	}
--- a/internal/connection/beacon/view_test.go
+++ b/internal/connection/beacon/view_test.go
@@ -56,7 +56,7 @@
 					heard = append(heard, name)
 				}
 			}
-			for _, p := range v.Listeners(heard, never) {
+			for _, p := range v.GroupReportReceivers(heard, never) {
 				told[fmt.Sprint(p.Node, " ", v.group)]++
 			}
 		}
@@ -84,7 +84,7 @@
 	for _, n := range []int{3, 12, 16, 59, 72} {
 		var sent, slowest float64
 		for _, v := range centreOf(n) {
-			told := float64(len(v.Members()) + len(v.Listeners(names(v.Members()), never)))
+			told := float64(len(v.Members()) + len(v.GroupReportReceivers(names(v.Members()), never)))
 			round := nearLeast.Seconds() + told*nearPace.Seconds()
 			sent += told / round / float64(n)
 			slowest = max(slowest, round)
@@ -115,7 +115,7 @@
 			v := centreOf(n)[0]
 			heard := names(v.Members())
 			for b.Loop() {
-				v.Listeners(heard, never)
+				v.GroupReportReceivers(heard, never)
 			}
 		})
 	}
--- a/internal/connection/lending/lenders.go
+++ b/internal/connection/lending/lenders.go
@@ -53,5 +53,7 @@
 	return out
 }
 
-// Natural returns the first choice among all nodes.
-func (l *Lenders) Natural(name string) Lender { return l.byName[allowance.Natural(name, l.names)] }
+// PreferredOwner returns the first choice among all nodes.
+func (l *Lenders) PreferredOwner(name string) Lender {
+	return l.byName[allowance.Natural(name, l.names)]
+}
--- a/internal/connection/lending/lending.go
+++ b/internal/connection/lending/lending.go
@@ -33,13 +33,13 @@
 	// Owners returns whom to ask for tokens of a workspace, among the nodes that are heard
 	// and not to be skipped, the first choice first.
 	Owners(name string, skip func(node string) bool) []Lender
-	// Natural returns the first choice among all nodes, heard or not.
-	Natural(name string) Lender
+	// PreferredOwner returns the first choice among all nodes, heard or not.
+	PreferredOwner(name string) Lender
 	// Nodes returns how many nodes each data centre has.
 	Nodes() map[string]int
-	// Heard reports whether another data centre is heard, and HeardAt when it last was.
-	Heard(dataCentre string) bool
-	HeardAt(dataCentre string) time.Time
+	// Reachable reports whether another data centre is heard, and LastReceived when it last was.
+	Reachable(dataCentre string) bool
+	LastReceived(dataCentre string) time.Time
 }
 
 // Options configures an exchange.
@@ -232,9 +232,9 @@
 func (x *Exchange) around(name string, alone bool) allowance.Surroundings {
 	around := allowance.Surroundings{Alone: alone, Nodes: x.Fleet.Nodes(), Heard: map[string]bool{}}
 	for dc := range around.Nodes {
-		around.Heard[dc] = dc == x.DataCentre || x.Fleet.Heard(dc)
+		around.Heard[dc] = dc == x.DataCentre || x.Fleet.Reachable(dc)
 	}
-	natural := x.Fleet.Natural(name)
+	natural := x.Fleet.PreferredOwner(name)
 	around.Natural = natural.Node == x.Node
 	if !around.Natural && !alone {
 		around.Substitute = x.lives(natural)
@@ -248,13 +248,13 @@
 func (x *Exchange) lives(owner Lender) bool {
 	heard := x.Now()
 	if owner.DataCentre != x.DataCentre {
-		if !x.Fleet.Heard(owner.DataCentre) {
+		if !x.Fleet.Reachable(owner.DataCentre) {
 			return false // it is cut off, and what it may lend there is left to it
 		}
 		if owner.ForCentre {
 			return true
 		}
-		heard = x.Fleet.HeardAt(owner.DataCentre)
+		heard = x.Fleet.LastReceived(owner.DataCentre)
 	}
 	now, node := x.Now(), owner.Node
 	if now.Sub(x.probed[node]) >= deadAfter {
--- a/internal/connection/lending/lending_test.go
+++ b/internal/connection/lending/lending_test.go
@@ -22,8 +22,8 @@
 func (f fakeFleet) Owners(name string, skip func(string) bool) []Lender {
 	return f.Lenders.Owners(name, func(l Lender) bool { return !skip(l.Node) })
 }
-func (fakeFleet) Heard(string) bool        { return false }
-func (fakeFleet) HeardAt(string) time.Time { return time.Time{} }
+func (fakeFleet) Reachable(string) bool         { return false }
+func (fakeFleet) LastReceived(string) time.Time { return time.Time{} }
 
 var small = &workspace.Workspace{Name: "small", Allowance: workspace.Allowance{PerSecond: 5, Burst: 5}}
 
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	names := []string{"n1", "n2", "n3"}
 	all := exchanges(t, names, map[string]bool{"n1": true, "n2": true, "n3": true})
-	owner := all["n1"].Fleet.Natural(small.Name).Node
+	owner := all["n1"].Fleet.PreferredOwner(small.Name).Node
 	var mu sync.Mutex
 	taken, refused := 0, 0
 	var wg sync.WaitGroup
--- a/internal/process/crashes/exchange.go
+++ b/internal/process/crashes/exchange.go
@@ -15,9 +15,9 @@
 // Digest stands for what this node knows; 0: nothing.
 func (w *Watch) Digest() uint64 { return w.digest.Load() }
 
-// HeardDigest takes the digest of another node, and has it asked for what this one
+// ReceiveDigest takes the digest of another node, and has it asked for what this one
 // lacks. It does not block.
-func (w *Watch) HeardDigest(node string, digest uint64) {
+func (w *Watch) ReceiveDigest(node string, digest uint64) {
 	if w.lacks(node, digest) {
 		w.pulls.Put(node)
 	}
--- a/internal/process/crashes/verdicts.go
+++ b/internal/process/crashes/verdicts.go
@@ -64,12 +64,12 @@
 	for _, a := range w.underWay(id) {
 		a.stop()
 	}
-	if w.Keeper == nil || !w.decidedHere(v) {
+	if w.Store == nil || !w.decidedHere(v) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, keeperTimeout)
 	defer cancel()
-	if err := w.Keeper.Keep(ctx, id, w.evidence(id, v, now)); err != nil {
+	if err := w.Store.Save(ctx, id, w.evidence(id, v, now)); err != nil {
 		w.Recorder.Record(timeline.VerdictNotKept, "", id.String(), err.Error())
 	}
 }
@@ -127,12 +127,12 @@
 // released acts on a verdict that is no more.
 func (w *Watch) released(ctx context.Context, id fingerprint.ID, v quarantine.Verdict) {
 	w.Recorder.Record(timeline.WorkReleased, "", id.String(), "")
-	if w.Keeper == nil || !w.decidedHere(v) {
+	if w.Store == nil || !w.decidedHere(v) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, keeperTimeout)
 	defer cancel()
-	if err := w.Keeper.Drop(ctx, id); err != nil {
+	if err := w.Store.Delete(ctx, id); err != nil {
 		w.Recorder.Record(timeline.VerdictNotKept, "", id.String(), err.Error())
 	}
 }
--- a/internal/process/crashes/watch.go
+++ b/internal/process/crashes/watch.go
@@ -38,17 +38,17 @@
 	Metrics  tally.Scope
 	// Client reaches another node; false: it is not known where it is.
 	Client func(node string) (marblepondv1connect.QuarantineServiceClient, bool)
-	// News is told that there is something to tell other nodes. It must not block.
-	News func()
-	// Keeper keeps what refuses work beyond the life of all nodes; nil: nothing does.
-	Keeper Keeper
+	// OnChange is told that there is something to tell other nodes. It must not block.
+	OnChange func()
+	// Store keeps what refuses work beyond the life of all nodes; nil: nothing does.
+	Store VerdictStore
 }
 
-// Keeper outlives the nodes. Its calls may take long and fail; they are then told in
+// VerdictStore outlives the nodes. Its calls may take long and fail; they are then told in
 // the log and not repeated, because other nodes know the same.
-type Keeper interface {
-	Keep(ctx context.Context, work fingerprint.ID, crashes []quarantine.Crash) error
-	Drop(ctx context.Context, work fingerprint.ID) error
+type VerdictStore interface {
+	Save(ctx context.Context, work fingerprint.ID, crashes []quarantine.Crash) error
+	Delete(ctx context.Context, work fingerprint.ID) error
 }
 
 // Watch is safe for concurrent use. While no target has crashed its calls cost an
@@ -217,7 +217,7 @@
 }
 
 func (w *Watch) tell() {
-	w.News()
+	w.OnChange()
 	select {
 	case w.changed <- struct{}{}:
 	default:
--- a/internal/process/crashes/watch_test.go
+++ b/internal/process/crashes/watch_test.go
@@ -57,7 +57,7 @@
 	return w.states[address]
 }
 
-func (w *world) Keep(_ context.Context, work fingerprint.ID, crashes []quarantine.Crash) error {
+func (w *world) Save(_ context.Context, work fingerprint.ID, crashes []quarantine.Crash) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.down {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func (w *world) Drop(_ context.Context, work fingerprint.ID) error {
+func (w *world) Delete(_ context.Context, work fingerprint.ID) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.kept, work)
@@ -78,7 +78,7 @@
 func (w *world) start(t *testing.T, node string) *Watch {
 	recorder := timeline.NewRecorder(node, 100, &log.Logger{Handler: discard.New()}, tally.NoopScope)
 	watch := New(Options{
-		Config: quarantine.Config{Limit: 3, Keep: time.Hour}, Probe: w.probe, Keeper: w, Recorder: recorder, Metrics: tally.NoopScope, News: func() {},
+		Config: quarantine.Config{Limit: 3, Keep: time.Hour}, Probe: w.probe, Store: w, Recorder: recorder, Metrics: tally.NoopScope, OnChange: func() {},
 		Now:     w.time,
 		Serving: func(string) int { return 12 },
 		Leaving: func(t choose.Target) bool {
@@ -159,7 +159,7 @@
 		for n, watch := range watches {
 			for m, from := range watches {
 				if n != m {
-					watch.HeardDigest(fmt.Sprint("n", m), from.Digest())
+					watch.ReceiveDigest(fmt.Sprint("n", m), from.Digest())
 				}
 			}
 		}
@@ -308,7 +308,7 @@
 	for _, known := range []int{0, 256} {
 		for _, size := range []int{1 << 10, 1 << 20} {
 			b.Run(fmt.Sprintf("known=%d/body=%d", known, size), func(b *testing.B) {
-				watch := New(Options{Config: quarantine.Config{Limit: 3, Keep: time.Hour}, Now: time.Now, Metrics: tally.NoopScope, News: func() {}})
+				watch := New(Options{Config: quarantine.Config{Limit: 3, Keep: time.Hour}, Now: time.Now, Metrics: tally.NoopScope, OnChange: func() {}})
 				var crashes []quarantine.Crash
 				for n := range known {
 					c := quarantine.Crash{Target: quarantine.Target{ID: fmt.Sprint(n), Incarnation: 1}, Age: time.Duration(n) * time.Second, Targets: 12}
--- a/internal/process/hosted/allowances.go
+++ b/internal/process/hosted/allowances.go
@@ -61,24 +61,26 @@
 
 func (f lendingFleet) Owners(name string, skip func(node string) bool) []lending.Lender {
 	near := map[string]bool{f.n.settings.NodeID: true}
-	for _, node := range f.n.beacon.HeardNear() {
+	for _, node := range f.n.beacon.ReachableInDataCentre() {
 		near[node] = true
 	}
 	return f.n.lenders.Load().Owners(name, func(l lending.Lender) bool {
-		heard := near[l.Node] || (l.DataCentre != f.n.settings.DataCentre && f.Heard(l.DataCentre))
+		heard := near[l.Node] || (l.DataCentre != f.n.settings.DataCentre && f.Reachable(l.DataCentre))
 		return heard && !skip(l.Node)
 	})
 }
 
-func (f lendingFleet) Natural(name string) lending.Lender { return f.n.lenders.Load().Natural(name) }
-func (f lendingFleet) Nodes() map[string]int              { return f.n.lenders.Load().Nodes() }
+func (f lendingFleet) PreferredOwner(name string) lending.Lender {
+	return f.n.lenders.Load().PreferredOwner(name)
+}
+func (f lendingFleet) Nodes() map[string]int { return f.n.lenders.Load().Nodes() }
 
 // partHeard returns the part of the nodes whose data centre is heard.
 func (f lendingFleet) partHeard() float64 {
 	heard, all := 0, 0
 	for dc, n := range f.Nodes() {
 		all += n
-		if dc == f.n.settings.DataCentre || f.Heard(dc) {
+		if dc == f.n.settings.DataCentre || f.Reachable(dc) {
 			heard += n
 		}
 	}
@@ -88,9 +90,9 @@
 	return float64(heard) / float64(all)
 }
 
-func (f lendingFleet) Heard(dataCentre string) bool {
-	return slices.Contains(f.n.beacon.HeardDataCentres(), dataCentre)
+func (f lendingFleet) Reachable(dataCentre string) bool {
+	return slices.Contains(f.n.beacon.ReachableDataCentres(), dataCentre)
 }
-func (f lendingFleet) HeardAt(dataCentre string) time.Time {
-	return f.n.beacon.DataCentreHeardAt(dataCentre)
+func (f lendingFleet) LastReceived(dataCentre string) time.Time {
+	return f.n.beacon.DataCentreLastReceived(dataCentre)
 }
--- a/internal/process/hosted/backlogs.go
+++ b/internal/process/hosted/backlogs.go
@@ -121,7 +121,7 @@
 	key, word := keyAndWord(req.Word, req.Node, req.Boot, req.Sequence)
 	fleet := lendingFleet{b.node}
 	limit := int64(float64(req.Limit) * fleet.partHeard())
-	natural := fleet.Natural(ownerName(key)).Node == b.node.settings.NodeID
+	natural := fleet.PreferredOwner(ownerName(key)).Node == b.node.settings.NodeID
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	verdict, waiting := b.ledger.Reserve(b.node.clock.Now(), key, word, req.Job, limit, natural)
--- a/internal/process/hosted/batchwork.go
+++ b/internal/process/hosted/batchwork.go
@@ -22,25 +22,25 @@
 }
 
 // batchWords are the newest words of others on their batch work.
-type batchWords map[string]beacon.BatchWord
+type batchWords map[string]beacon.BatchReport
 
 func newBatchWork(n *Node) *batchWork {
 	return &batchWork{node: n, nodes: batchWords{}, groups: batchWords{}, centres: batchWords{}}
 }
 
-// Own implements beacon.BatchWork.
-func (w *batchWork) Own() beacon.BatchWord {
-	return beacon.BatchWord{Claim: choose.Claim{Demand: w.node.jobs.Demand()}}
+// OfNode implements beacon.BatchWork.
+func (w *batchWork) OfNode() beacon.BatchReport {
+	return beacon.BatchReport{Claim: choose.Claim{Demand: w.node.jobs.Demand()}}
 }
 
-// Group implements beacon.BatchWork.
-func (w *batchWork) Group() beacon.BatchWord {
-	return beacon.BatchWord{Claim: choose.Claim{Demand: total(w.claimsInGroup())}}
+// OfGroup implements beacon.BatchWork.
+func (w *batchWork) OfGroup() beacon.BatchReport {
+	return beacon.BatchReport{Claim: choose.Claim{Demand: total(w.claimsInGroup())}}
 }
 
-// Here implements beacon.BatchWork.
-func (w *batchWork) Here() beacon.BatchWord {
-	return beacon.BatchWord{Claim: w.claimHere()}
+// OfDataCentre implements beacon.BatchWork.
+func (w *batchWork) OfDataCentre() beacon.BatchReport {
+	return beacon.BatchReport{Claim: w.claimHere()}
 }
 
 func (w *batchWork) claimHere() choose.Claim {
@@ -68,29 +68,29 @@
 	clear(w.groups)
 }
 
-// HeardNode implements beacon.BatchWork.
-func (w *batchWork) HeardNode(node string, b beacon.BatchWord) {
+// ReceiveNode implements beacon.BatchWork.
+func (w *batchWork) ReceiveNode(node string, b beacon.BatchReport) {
 	w.hear(w.nodes, node, b)
 }
 
-// HeardGroup implements beacon.BatchWork.
-func (w *batchWork) HeardGroup(group string, b beacon.BatchWord) {
+// ReceiveGroup implements beacon.BatchWork.
+func (w *batchWork) ReceiveGroup(group string, b beacon.BatchReport) {
 	w.hear(w.groups, group, b)
 }
 
-// HeardDataCentre implements beacon.BatchWork.
-func (w *batchWork) HeardDataCentre(name string, b beacon.BatchWord) {
+// ReceiveDataCentre implements beacon.BatchWork.
+func (w *batchWork) ReceiveDataCentre(name string, b beacon.BatchReport) {
 	w.hear(w.centres, name, b)
 }
 
-func (w *batchWork) hear(words batchWords, name string, b beacon.BatchWord) {
+func (w *batchWork) hear(words batchWords, name string, b beacon.BatchReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	words[name] = b
 }
 
-// HeardJobs implements beacon.BatchWork.
-func (w *batchWork) HeardJobs(node string, jobs []string) {
+// ReceiveJobs implements beacon.BatchWork.
+func (w *batchWork) ReceiveJobs(node string, jobs []string) {
 	if r, ok := w.node.registered()[node]; ok {
 		w.node.jobs.HeldBy(job.Holder{Node: node, Boot: r.Boot, Address: r.Address}, jobs)
 	}
@@ -100,7 +100,7 @@
 // heard, and of this one.
 func (w *batchWork) claimsInGroup() map[string]int {
 	claims := map[string]int{w.node.settings.NodeID: w.node.jobs.Demand()}
-	heard := w.node.beacon.HeardInGroup()
+	heard := w.node.beacon.ReachableInGroup()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, name := range heard {
@@ -113,7 +113,7 @@
 // heard, and of this node's.
 func (w *batchWork) claimsOfGroups() map[string]int {
 	claims := map[string]int{w.node.view.Load().Group(): total(w.claimsInGroup())}
-	heard := w.node.beacon.HeardGroups()
+	heard := w.node.beacon.ReachableGroups()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, name := range heard {
@@ -127,7 +127,7 @@
 	self := w.node.settings
 	claims := choose.Claims{Node: self.NodeID, Group: w.node.view.Load().Group(), DataCentre: self.DataCentre,
 		Nodes: w.claimsInGroup(), Groups: w.claimsOfGroups(), Centres: map[string]choose.Claim{self.DataCentre: w.claimHere()}}
-	heard := w.node.beacon.HeardDataCentres()
+	heard := w.node.beacon.ReachableDataCentres()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, name := range heard {
--- a/internal/process/hosted/changes.go
+++ b/internal/process/hosted/changes.go
@@ -15,7 +15,7 @@
 
 // ownLoadChanged tells the duties that depend on what this node has in flight.
 func (n *Node) ownLoadChanged() {
-	n.beacon.Touch()
+	n.beacon.NotifyChange()
 	n.othersLoadChanged()
 }
 
@@ -31,7 +31,7 @@
 func (n *Node) MakeRoom(target string) { n.jobs.MakeRoomAt(target) }
 
 // TellHolders implements discovery.Displacer.
-func (n *Node) TellHolders(target string) { n.beacon.Tell(target) }
+func (n *Node) TellHolders(target string) { n.beacon.NotifyHolders(target) }
 
 // yield stops batch items where online requests need the room.
 func (n *Node) yield(ctx context.Context) {
--- a/internal/process/hosted/crashes.go
+++ b/internal/process/hosted/crashes.go
@@ -22,7 +22,7 @@
 func (n *Node) newCrashWatch() *crashes.Watch {
 	s := n.settings
 	return crashes.New(crashes.Options{Config: quarantine.Config{Limit: s.CrashLimit, Keep: s.CrashMemory}, Now: n.clock.Now, Probe: dial.Probe, Serving: n.pool.Serving, Leaving: n.pool.Leaving,
-		Client: n.crashesOf, News: func() { n.beacon.Touch() }, Keeper: verdictKeeper{n}, Recorder: n.recorder, Metrics: n.metrics})
+		Client: n.crashesOf, OnChange: func() { n.beacon.NotifyChange() }, Store: verdictKeeper{n}, Recorder: n.recorder, Metrics: n.metrics})
 }
 
 // crashesOf reaches what another node knows of crashed targets.
@@ -47,11 +47,11 @@
 	Targets     int
 }
 
-// verdictKeeper implements crashes.Keeper over the object store.
+// verdictKeeper implements crashes.VerdictStore over the object store.
 type verdictKeeper struct{ n *Node }
 
-// Keep implements crashes.Keeper.
-func (k verdictKeeper) Keep(ctx context.Context, work fingerprint.ID, evidence []quarantine.Crash) error {
+// Save implements crashes.VerdictStore.
+func (k verdictKeeper) Save(ctx context.Context, work fingerprint.ID, evidence []quarantine.Crash) error {
 	var kept []keptCrash
 	for _, c := range evidence {
 		kept = append(kept, keptCrash{c.Target.ID, c.Target.Incarnation, time.Now().Add(-c.Age).UnixMilli(), c.Targets})
@@ -67,8 +67,8 @@
 	return err
 }
 
-// Drop implements crashes.Keeper.
-func (k verdictKeeper) Drop(ctx context.Context, work fingerprint.ID) error {
+// Delete implements crashes.VerdictStore.
+func (k verdictKeeper) Delete(ctx context.Context, work fingerprint.ID) error {
 	err := k.n.adapter.Store.Delete(ctx, callbudget.Status, kindVerdicts, work.String())
 	if errors.Is(err, objects.ErrNotFound) {
 		return nil
--- a/internal/process/hosted/following.go
+++ b/internal/process/hosted/following.go
@@ -87,7 +87,7 @@
 func (n *Node) followers(kind string) func() []string {
 	keepersOnly := kind == n.adapter.Kinds.Retirements
 	return func() []string {
-		heard := n.beacon.HeardNear()
+		heard := n.beacon.ReachableInDataCentre()
 		if !keepersOnly {
 			return heard
 		}
--- a/internal/process/hosted/holders.go
+++ b/internal/process/hosted/holders.go
@@ -25,7 +25,7 @@
 func (n *Node) nearHolders() []string {
 	nodes := n.registered()
 	var out []string
-	for _, name := range n.beacon.HeardNear() {
+	for _, name := range n.beacon.ReachableInDataCentre() {
 		if nodes[name].Callers {
 			out = append(out, name)
 		}
@@ -65,7 +65,7 @@
 	if !slices.Contains(sweepers, n.settings.NodeID) {
 		return mostAdoptRank
 	}
-	centre := rendezvous.Place(job, n.settings.DataCentre, n.beacon.HeardDataCentres(), mostAdoptRank)
+	centre := rendezvous.Place(job, n.settings.DataCentre, n.beacon.ReachableDataCentres(), mostAdoptRank)
 	return min(mostAdoptRank, centre+rendezvous.Place(job, n.settings.NodeID, sweepers, mostAdoptRank))
 }
 
@@ -75,7 +75,7 @@
 }
 
 // SilentSince implements job.Peers.
-func (n *Node) SilentSince(node string) (time.Time, bool) { return n.beacon.SilentSince(node) }
+func (n *Node) SilentSince(node string) (time.Time, bool) { return n.beacon.UnreachableSince(node) }
 
 // keepersOfJob is how many nodes keep a job's checkpoint: one in the data centre
 // of its holder, which is near, and one elsewhere, for the loss of a disk or of
@@ -88,8 +88,8 @@
 // the loss of one node.
 func (n *Node) Keepers(job string, present []string, usable func(address string) bool) []string {
 	nodes := n.registered()
-	near := n.beacon.HeardNear()
-	centres := n.beacon.HeardDataCentres()
+	near := n.beacon.ReachableInDataCentre()
+	centres := n.beacon.ReachableDataCentres()
 	var disk, far, memory []string // names, by preference
 	for name, r := range nodes {
 		// A present keeper stays until it fails: each change is written to the head.
--- a/internal/process/hosted/hosted.go
+++ b/internal/process/hosted/hosted.go
@@ -146,15 +146,15 @@
 	}, job.Parts{Store: n.relay(), StoreTook: n.storeTook, Pool: n.pool, Quarantine: n.crashes, Sender: adapter.Sender, Routes: n.Table, RoutesFresh: n.TableFresh, Peers: n,
 		Backlogs: n.backlogs, Ended: n.ended, Clock: n.clock, Shares: n.batch.shares, Recorder: n.recorder, Checker: n.checker, Metrics: n.metrics})
 	n.checkpoints = checkpoint.NewStore(checkpoint.Limits{Bytes: s.CheckpointMemory, Keep: s.KeepResults}, n.clock.Now)
-	n.beacon = beacon.New(beacon.Options{Node: s.NodeID, DataCentre: s.DataCentre, Boot: n.boot, Loads: n.pool, Copies: n.cache, Batch: n.batch, Store: adapter.Health, Crashes: n.crashes, Suspended: n.clock.Suspended,
-		View: n.view.Load, Behind: n.behind, Silent: func(string) { n.jobs.LookForLostJobs() },
-		HeardFirst: func(node string) { n.recorder.Record(timeline.NodeHeard, "", node, "") }})
-	n.cache.OnVerified(n.beacon.Touch)
+	n.beacon = beacon.New(beacon.Options{Node: s.NodeID, DataCentre: s.DataCentre, Boot: n.boot, Loads: n.pool, Cache: n.cache, Batch: n.batch, Store: adapter.Health, Crashes: n.crashes, Suspended: n.clock.Suspended,
+		View: n.view.Load, OnBehind: n.behind, OnUnreachable: func(string) { n.jobs.LookForLostJobs() },
+		OnReachable: func(node string) { n.recorder.Record(timeline.NodeHeard, "", node, "") }})
+	n.cache.OnVerified(n.beacon.NotifyChange)
 	n.pool.OnLoad(n.ownLoadChanged, n.othersLoadChanged)
 	n.pool.SetDisplacer(n)
 	n.pool.SetJoined(n.joined)
 	n.gossip = &follow.Gossip{Node: s.NodeID, Cache: n.cache, Listener: n, Peers: n.peerAddresses,
-		Client: n.peers.sync.at, GreetClient: n.peers.greet.at, Interval: s.GossipInterval, Alone: func() bool { return len(n.beacon.Heard()) == 0 }, Pulls: follow.NewPulls()}
+		Client: n.peers.sync.at, GreetClient: n.peers.greet.at, Interval: s.GossipInterval, Alone: func() bool { return len(n.beacon.ReachableNodes()) == 0 }, Pulls: follow.NewPulls()}
 	n.listenHandlers(parts.MetricsPage)
 	return n
 }
--- a/internal/process/hosted/peers.go
+++ b/internal/process/hosted/peers.go
@@ -96,7 +96,7 @@
 func (n *Node) heardAddresses() []string {
 	nodes := n.registered()
 	var out []string
-	for _, name := range n.beacon.Heard() {
+	for _, name := range n.beacon.ReachableNodes() {
 		if r, ok := nodes[name]; ok {
 			out = append(out, r.Address)
 		}
@@ -142,5 +142,5 @@
 	if nodes[n.settings.NodeID].Boot != n.boot {
 		return len(n.peerAddresses()) == 0
 	}
-	return n.view.Load().AloneHere() || len(n.beacon.HeardNear()) > 0
+	return n.view.Load().AloneInDataCentre() || len(n.beacon.ReachableInDataCentre()) > 0
 }
--- a/internal/process/hosted/run.go
+++ b/internal/process/hosted/run.go
@@ -148,7 +148,7 @@
 	for kind, age := range n.followed() {
 		r := follow.NewRefresher(kind)
 		r.Store, r.Cache, r.Listener, r.MaxAge = n.adapter.Store, n.cache, n, age
-		r.Self, r.DataCentre, r.Near, r.Centres = n.settings.NodeID, n.settings.DataCentre, n.followers(kind), n.beacon.HeardDataCentres
+		r.Self, r.DataCentre, r.Near, r.Centres = n.settings.NodeID, n.settings.DataCentre, n.followers(kind), n.beacon.ReachableDataCentres
 		if kind == kindNodes {
 			n.nodeList.Store(r)
 		}
--- a/internal/process/node/allowances.go
+++ b/internal/process/node/allowances.go
@@ -56,7 +56,7 @@
 	return out
 }
 
-func (f lendingFleet) Natural(name string) lending.Lender {
+func (f lendingFleet) PreferredOwner(name string) lending.Lender {
 	view := f.n.membership.View()
 	dc := rendezvous.First(name, f.dataCentres(view))
 	if dc != view.Self.DataCentre {
@@ -80,13 +80,13 @@
 	return nodes
 }
 
-func (f lendingFleet) Heard(dataCentre string) bool {
+func (f lendingFleet) Reachable(dataCentre string) bool {
 	return len(f.alive(f.n.membership.View(), dataCentre)) > 0
 }
 
-// HeardAt implements lending.Fleet. No node of another data centre is told from its
+// LastReceived implements lending.Fleet. No node of another data centre is told from its
 // contacts, and no time with it.
-func (f lendingFleet) HeardAt(string) time.Time { return f.n.clock.Now() }
+func (f lendingFleet) LastReceived(string) time.Time { return f.n.clock.Now() }
 
 // dataCentres returns the data centres that are known.
 func (f lendingFleet) dataCentres(view *member.View) []string {
--- a/internal/process/node/crashes.go
+++ b/internal/process/node/crashes.go
@@ -14,7 +14,7 @@
 func (n *Node) newCrashWatch(client *http.Client) *crashes.Watch {
 	s := n.settings
 	return crashes.New(crashes.Options{Config: quarantine.Config{Limit: s.CrashLimit, Keep: s.CrashMemory}, Now: n.clock.Now,
-		Serving: n.targets.Serving, Leaving: n.targets.Leaving, News: func() {}, // the next heartbeat tells it
+		Serving: n.targets.Serving, Leaving: n.targets.Leaving, OnChange: func() {}, // the next heartbeat tells it
 		Client: func(node string) (marblepondv1connect.QuarantineServiceClient, bool) {
 			address := peerAddress(n.membership.View(), node)
 			return marblepondv1connect.NewQuarantineServiceClient(client, "http://"+address, peer.ClientOptions(s.PeerKey)...), address != ""
@@ -41,5 +41,5 @@
 
 // Unpack implements membership.Passenger.
 func (c crashNews) Unpack(from *v1.NodeInfo, state *v1.HeartbeatRequest) {
-	c.crashes.HeardDigest(from.Id, state.Crashes)
+	c.crashes.ReceiveDigest(from.Id, state.Crashes)
 }
--- a/lab/model/news.go
+++ b/lab/model/news.go
@@ -31,7 +31,7 @@
 	}
 	view := beacon.NewView(n.name, n.centre, peers)
 	if n.f.variant.OneGroup {
-		view = beacon.DividedView(n.name, n.centre, peers, 1)
+		view = beacon.NewViewWithGroups(n.name, n.centre, peers, 1)
 	}
 	return news{view: view, claims: map[string]int{}, groups: map[string]int{}, centres: map[string]choose.Claim{}}
 }
@@ -74,9 +74,9 @@
 // round tells the own data centre.
 func (n *node) round() {
 	members := n.named(n.view.Members())
-	listeners := n.named(n.view.Listeners(n.membersUp(), n.f.draw.Float64))
+	listeners := n.named(n.view.GroupReportReceivers(n.membersUp(), n.f.draw.Float64))
 	n.pending, n.told = false, n.f.clock.now
-	n.next = n.told + beacon.Pace(len(members)+len(listeners))
+	n.next = n.told + beacon.MinRoundInterval(len(members)+len(listeners))
 	n.send(members, n.ofNode())
 	n.send(listeners, n.ofGroup())
 }
