--- a/internal/connection/lending/lenders.go
+++ b/internal/connection/lending/lenders.go
@@ -53,7 +53,7 @@
 	return out
 }
 
-// Natural returns the first choice among all nodes.
-func (l *Lenders) Natural(name string) Lender {
+// PreferredOwner returns the first choice among all nodes.
+func (l *Lenders) PreferredOwner(name string) Lender {
 	return l.byName[allowance.PreferredOwner(name, l.names)]
 }
