--- a/internal/process/hosted/holders.go
+++ b/internal/process/hosted/holders.go
@@ -75,7 +75,9 @@
 }
 
 // UnreachableSince implements job.Peers.
-func (n *Node) UnreachableSince(node string) (time.Time, bool) { return n.beacon.UnreachableSince(node) }
+func (n *Node) UnreachableSince(node string) (time.Time, bool) {
+	return n.beacon.UnreachableSince(node)
+}
 
 // keepersOfJob is how many nodes keep a job's checkpoint: one in the data centre
 // of its holder, which is near, and one elsewhere, for the loss of a disk or of
--- a/internal/request/choose/choose.go
+++ b/internal/request/choose/choose.go
@@ -136,7 +136,7 @@
 	members map[string]int // nodes of each other group
 
 	evacuated map[string]bool // data centres
-	turns     warmup.Position    // which of the nodes this one is
+	turns     warmup.Position // which of the nodes this one is
 }
 
 // New returns an empty table.
--- a/internal/request/choose/prefer.go
+++ b/internal/request/choose/prefer.go
@@ -47,7 +47,9 @@
 }
 
 // atHome reports whether a target is in the own data centre; without one, all are.
-func (t *Table) atHome(e *entry) bool { return t.cfg.LocalDataCentre == "" || e.DataCentre == t.cfg.LocalDataCentre }
+func (t *Table) atHome(e *entry) bool {
+	return t.cfg.LocalDataCentre == "" || e.DataCentre == t.cfg.LocalDataCentre
+}
 
 func keep(entries []*entry, wanted func(*entry) bool) []*entry {
 	var kept []*entry
--- a/internal/request/choose/status.go
+++ b/internal/request/choose/status.go
@@ -9,7 +9,7 @@
 	Known   bool
 	Online  int // own
 	Leaving bool
-	Reason     Reason // why it gets no requests; empty: it gets them
+	Reason  Reason // why it gets no requests; empty: it gets them
 }
 
 // List returns all targets sorted by ID.
--- a/internal/request/pace/pace.go
+++ b/internal/request/pace/pace.go
@@ -10,8 +10,8 @@
 
 // Config of a pacer.
 type Config struct {
-	FillShare    float64 // share of MaxRunning that online and batch together may fill
-	Reserve int     // sequences kept free for the next online request
+	FillShare float64 // share of MaxRunning that online and batch together may fill
+	Reserve   int     // sequences kept free for the next online request
 	// QuietTime is how long after an online rise the freed sequences stay free.
 	QuietTime time.Duration
 	// Unthrottled ignores online requests: the baseline that pacing is
