--- a/internal/request/job/checkpoint.go
+++ b/internal/request/job/checkpoint.go
@@ -15,23 +15,23 @@
 	// loadTimeout bounds the question how far the items of a lost job had come. A
 	// keeper that does not answer in that time costs more than it saves.
 	loadTimeout = 300 * time.Millisecond
-	// keeperTries is how many saves in a row may fail before another keeper is
+	// keeperFailureLimit is how many saves in a row may fail before another keeper is
 	// chosen, and keeperAvoided how long the failing one is then left out: far
 	// longer than a cut between data centres usually lasts.
-	keeperTries   = 3
-	keeperAvoided = 10 * time.Second
+	keeperFailureLimit = 3
+	keeperAvoidance    = 10 * time.Second
 )
 
 // keeperState is what this node knows of a keeper that did not answer.
 type keeperState struct {
-	failed  int       // saves in a row
-	avoided time.Time // until then
+	failures   int       // saves in a row
+	avoidUntil time.Time // until then
 }
 
 // savedItem is what the keeper of a job has of one item.
 type savedItem struct {
-	bytes int // of its text
-	whole bool
+	bytes    int // of its text
+	complete bool
 }
 
 // savedJob is what one keeper has of a job.
@@ -46,8 +46,8 @@
 	saved   map[string]*savedJob
 }
 
-// keep sets the keepers; what others had is forgotten here.
-func (c *checkpoints) keep(keepers []string) {
+// setKeepers sets the keepers; what others had is forgotten here.
+func (c *checkpoints) setKeepers(keepers []string) {
 	saved := make(map[string]*savedJob, len(keepers))
 	for _, keeper := range keepers {
 		saved[keeper] = c.saved[keeper]
@@ -58,8 +58,8 @@
 	c.keepers, c.saved = keepers, saved
 }
 
-// any reports whether a keeper has text of the job.
-func (c *checkpoints) any() bool {
+// anySaved reports whether a keeper has text of the job.
+func (c *checkpoints) anySaved() bool {
 	for _, saved := range c.saved {
 		if len(saved.items) > 0 {
 			return true
@@ -87,8 +87,8 @@
 
 // saveCheckpoints sends what is new of each held job to its keepers.
 func (m *Manager) saveCheckpoints(ctx context.Context) {
-	m.saving.Lock()
-	defer m.saving.Unlock()
+	m.saveMu.Lock()
+	defer m.saveMu.Unlock()
 	var wg sync.WaitGroup
 	for keeper, req := range m.unsaved() {
 		wg.Go(func() { m.save(ctx, keeper, req) })
@@ -111,7 +111,7 @@
 		if h.ended {
 			continue
 		}
-		h.checkpoints.keep(m.Peers.Keepers(id, h.checkpoints.keepers, m.keeperUsable))
+		h.checkpoints.setKeepers(m.Peers.Keepers(id, h.checkpoints.keepers, m.keeperUsable))
 		for keeper, saved := range h.checkpoints.saved {
 			if part := h.unsaved(saved); part != nil {
 				req := at(keeper)
@@ -119,16 +119,16 @@
 			}
 		}
 	}
-	for keeper, jobs := range m.forget {
+	for keeper, jobs := range m.toForget {
 		at(keeper).Forget = jobs
 	}
-	clear(m.forget)
+	clear(m.toForget)
 	return out
 }
 
 // unsaved returns what a keeper lacks, nil when it lacks nothing. The caller
 // holds m.mu.
-func (h *held) unsaved(kept *savedJob) *v1.JobCheckpoint {
+func (h *heldJob) unsaved(saved *savedJob) *v1.JobCheckpoint {
 	part := &v1.JobCheckpoint{Job: h.id, Epoch: uint32(h.head.Epoch)}
 	for i := range h.progress.items {
 		s := &h.progress.items[i]
@@ -136,14 +136,14 @@
 			continue
 		}
 		part.Open = append(part.Open, uint32(i))
-		saved := kept.items[i]
-		whole := s.phase == finished && !s.dead
-		if len(s.text) > saved.bytes || whole != saved.whole {
-			part.Items = append(part.Items, &v1.ItemCheckpoint{Item: uint32(i), Offset: uint32(saved.bytes),
-				Text: append([]byte(nil), s.text[saved.bytes:]...), Held: s.held, Whole: whole})
+		item := saved.items[i]
+		complete := s.phase == finished && !s.givenUp
+		if len(s.text) > item.bytes || complete != item.complete {
+			part.Items = append(part.Items, &v1.ItemCheckpoint{Item: uint32(i), Offset: uint32(item.bytes),
+				Text: append([]byte(nil), s.text[item.bytes:]...), Held: s.lastEvent, Whole: complete})
 		}
 	}
-	if len(part.Items) == 0 && len(part.Open) == kept.open {
+	if len(part.Items) == 0 && len(part.Open) == saved.open {
 		return nil
 	}
 	return part
@@ -160,10 +160,10 @@
 		m.keeperFailed(keeper, err)
 		return // sent again with the next
 	}
-	delete(m.keepers, keeper)
+	delete(m.keeperStates, keeper)
 	for _, part := range req.Jobs {
 		if h := m.held[part.Job]; h != nil && h.checkpoints.saved[keeper] != nil {
-			h.checkpoints.saved[keeper].took(part)
+			h.checkpoints.saved[keeper].add(part)
 		}
 	}
 	for _, id := range resp.Lacking {
@@ -176,20 +176,20 @@
 // keeperUsable reports whether a node answered of late, or was not asked. The
 // caller holds m.mu.
 func (m *Manager) keeperUsable(address string) bool {
-	return !time.Now().Before(m.keepers[address].avoided)
+	return !time.Now().Before(m.keeperStates[address].avoidUntil)
 }
 
 // keeperFailed notes that a keeper did not take what it was sent. The caller
 // holds m.mu.
 func (m *Manager) keeperFailed(keeper string, err error) {
 	m.Metrics.Counter("checkpoints_not_saved").Inc(1)
-	state := m.keepers[keeper]
-	state.failed++
-	if state.failed >= keeperTries {
-		state = keeperState{avoided: time.Now().Add(keeperAvoided)}
+	state := m.keeperStates[keeper]
+	state.failures++
+	if state.failures >= keeperFailureLimit {
+		state = keeperState{avoidUntil: time.Now().Add(keeperAvoidance)}
 		m.Recorder.Record(timeline.KeeperLost, "", keeper, err.Error())
 	}
-	m.keepers[keeper] = state
+	m.keeperStates[keeper] = state
 }
 
 // chooseKeepers returns the keepers of a job that this node is about to hold.
@@ -199,12 +199,12 @@
 	return m.Peers.Keepers(id, present, m.keeperUsable)
 }
 
-func (c *savedJob) took(part *v1.JobCheckpoint) {
+func (c *savedJob) add(part *v1.JobCheckpoint) {
 	if c.items == nil {
 		c.items = map[int]savedItem{}
 	}
 	for _, item := range part.Items {
-		c.items[int(item.Item)] = savedItem{bytes: int(item.Offset) + len(item.Text), whole: item.Whole}
+		c.items[int(item.Item)] = savedItem{bytes: int(item.Offset) + len(item.Text), complete: item.Whole}
 	}
 	c.open = len(part.Open)
 }
@@ -232,11 +232,11 @@
 
 // restore lets the items of a job go on from the farthest of some checkpoints. The
 // caller holds m.mu.
-func (m *Manager) restore(h *held, from []*v1.JobCheckpoint) {
+func (m *Manager) restore(h *heldJob, loaded []*v1.JobCheckpoint) {
 	now := time.Now()
 	restored := map[int]bool{}
-	whole := 0
-	for _, checkpoint := range from {
+	completed := 0
+	for _, checkpoint := range loaded {
 		for _, item := range checkpoint.GetItems() {
 			i := int(item.Item)
 			if i >= len(h.items) || !h.progress.restore(i, item.Held, item.Text) {
@@ -244,13 +244,13 @@
 			}
 			restored[i] = true
 			if item.Whole {
-				whole++
+				completed++
 				h.progress.finish(i, Result{Item: h.items[i].ID, Text: string(item.Text)}, now)
 			}
 		}
 	}
-	if len(from) > 0 {
+	if len(loaded) > 0 {
 		m.Recorder.Record(timeline.CheckpointRestored, h.id, "", "", timeline.Field{Name: "items", Value: len(restored)},
-			timeline.Field{Name: "whole", Value: whole}, timeline.Field{Name: "keepers", Value: len(from)})
+			timeline.Field{Name: "whole", Value: completed}, timeline.Field{Name: "keepers", Value: len(loaded)})
 	}
 }
--- a/internal/request/job/checkpoint_test.go
+++ b/internal/request/job/checkpoint_test.go
@@ -31,14 +31,14 @@
 	return checkpoint.Service{Store: p.store}
 }
 
-// runUntil brings an item of a held job to an event, and returns its text.
-func runUntil(m *Manager, job string, item int, events int64) string {
+// runItemTo brings an item of a held job to an event, and returns its text.
+func runItemTo(m *Manager, job string, item int, events int64) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.held[job].progress
-	p.sent(item, choose.Target{ID: "t"}, time.Now())
-	for id := p.items[item].held + 1; id <= events; id++ {
-		p.event(item, id, []byte{byte('a' + id)})
+	p.markSent(item, choose.Target{ID: "t"}, time.Now())
+	for id := p.items[item].lastEvent + 1; id <= events; id++ {
+		p.addEvent(item, id, []byte{byte('a' + id)})
 	}
 	return string(p.items[item].text)
 }
@@ -58,10 +58,10 @@
 	first.Peers, second.Peers = peers, peers
 	s := submission("j")
 	is.NoErr(first.Submit(context.Background(), s))
-	runUntil(first, "j", 0, 5)
+	runItemTo(first, "j", 0, 5)
 	first.saveCheckpoints(context.Background())
-	text := runUntil(first, "j", 0, 9) // goes as an addition to what was saved
-	done := runUntil(first, "j", 1, 3)
+	text := runItemTo(first, "j", 0, 9) // goes as an addition to what was saved
+	done := runItemTo(first, "j", 1, 3)
 	first.mu.Lock()
 	first.held["j"].progress.finish(1, Result{Item: s.Items[1].ID, Text: done}, time.Now())
 	first.mu.Unlock()
@@ -70,7 +70,7 @@
 	second.adopt(context.Background(), "j", first.cfg.Self)
 	item := itemAt(second, "j", 0)
 	is.Equal(item.phase, waiting)
-	is.Equal(item.held, int64(9))
+	is.Equal(item.lastEvent, int64(9))
 	is.Equal(string(item.text), text)
 	second.mu.Lock()
 	pending := second.held["j"].progress.pending
@@ -86,10 +86,10 @@
 	m := newTestManager("n1", newMemoryStore())
 	m.Peers = peers
 	is.NoErr(m.Submit(context.Background(), submission("j")))
-	runUntil(m, "j", 0, 5)
+	runItemTo(m, "j", 0, 5)
 	m.saveCheckpoints(context.Background())
 	peers.store.Save(nil, []string{"j"})
-	text := runUntil(m, "j", 0, 8)
+	text := runItemTo(m, "j", 0, 8)
 	m.saveCheckpoints(context.Background()) // learns that the keeper lacks the start
 	m.saveCheckpoints(context.Background())
 	kept := peers.store.Load("j")
@@ -122,7 +122,7 @@
 	first, second := newTestManager("n1", store), newTestManager("n2", store)
 	first.Peers, second.Peers = peers, peers
 	is.NoErr(first.Submit(context.Background(), submission("j")))
-	text := runUntil(first, "j", 0, 5)
+	text := runItemTo(first, "j", 0, 5)
 	first.saveCheckpoints(context.Background())
 	lost = true
 	second.adopt(context.Background(), "j", first.cfg.Self)
@@ -136,10 +136,10 @@
 	first, second := newTestManager("n1", store), newTestManager("n2", store)
 	first.Peers, second.Peers = newKeeperPeers(), keeperPeers{} // which answers with an error
 	is.NoErr(first.Submit(context.Background(), submission("j")))
-	runUntil(first, "j", 0, 5)
+	runItemTo(first, "j", 0, 5)
 	first.saveCheckpoints(context.Background())
 	second.adopt(context.Background(), "j", first.cfg.Self)
-	is.Equal(itemAt(second, "j", 0).held, int64(0))
+	is.Equal(itemAt(second, "j", 0).lastEvent, int64(0))
 }
 
 // A finished item is not restored over, an older checkpoint takes nothing away,
@@ -151,7 +151,7 @@
 	is.True(!p.restore(0, 4, []byte("four")))
 	is.Equal(string(p.items[0].text), "five")
 	is.True(!p.restore(2, 9, []byte("listed")))
-	p.sent(1, choose.Target{ID: "t"}, time.Now())
+	p.markSent(1, choose.Target{ID: "t"}, time.Now())
 	is.True(!p.restore(1, 9, []byte("runs")))
 }
 
@@ -165,7 +165,7 @@
 	is.NoErr(m.Submit(context.Background(), s))
 	h := m.held["j"]
 	for i := range s.Items {
-		text := runUntil(m, "j", i, 3)
+		text := runItemTo(m, "j", i, 3)
 		m.mu.Lock()
 		h.progress.finish(i, Result{Item: s.Items[i].ID, Text: text}, time.Now())
 		m.mu.Unlock()
@@ -173,14 +173,14 @@
 	m.saveCheckpoints(context.Background())
 	is.True(peers.store.Load("j") != nil)
 	until := time.Now().Add(5 * time.Second)
-	for itemsHeld(m) > 0 && time.Now().Before(until) {
+	for jobsHeld(m) > 0 && time.Now().Before(until) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	m.saveCheckpoints(context.Background())
 	is.True(peers.store.Load("j") == nil)
 }
 
-func itemsHeld(m *Manager) int {
+func jobsHeld(m *Manager) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.held)
--- a/internal/request/job/commit.go
+++ b/internal/request/job/commit.go
@@ -16,32 +16,32 @@
 	// takes a few commits, short beside the seconds in which jobs are due. Several
 	// that wait share the time between them.
 	commitDelay = 2 * time.Second
-	// dueMargin is how long before its job is due a result waits dueDelay only: a
+	// urgentMargin is how long before its job is due a result waits dueDelay only: a
 	// commit takes some milliseconds, and a second when the store is slow.
-	dueMargin = 3 * time.Second
-	dueDelay  = 300 * time.Millisecond
-	// commitTick is the time between looks at what waits, beside those when a result
+	urgentMargin      = 3 * time.Second
+	urgentCommitDelay = 300 * time.Millisecond
+	// commitPollInterval is the time between looks at what waits, beside those when a result
 	// comes: a tenth of the time that a result usually waits.
-	commitTick = 200 * time.Millisecond
+	commitPollInterval = 200 * time.Millisecond
 	// commitTimeout bounds one try of a commit; results are kept and tried again.
 	commitTimeout = 5 * time.Second
 )
 
 // commitLoop commits the results of one held job until all are listed or the
 // job is released.
-func (m *Manager) commitLoop(h *held) {
-	ticker := time.NewTicker(commitTick)
+func (m *Manager) commitLoop(h *heldJob) {
+	ticker := time.NewTicker(commitPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-m.stopped:
 			return
-		case <-h.wake:
+		case <-h.commitNow:
 		case <-ticker.C:
 		}
-		h.writing.Lock()
+		h.commitMu.Lock()
 		stop := m.commitStep(h)
-		h.writing.Unlock()
+		h.commitMu.Unlock()
 		if stop {
 			return
 		}
@@ -50,43 +50,43 @@
 
 // commitStep commits what is due; it returns true when nothing is left to do.
 // The caller holds h.writing.
-func (m *Manager) commitStep(h *held) bool {
+func (m *Manager) commitStep(h *heldJob) bool {
 	m.mu.Lock()
 	m.giveUpExpired(h)
 	stop := h.released
-	due := !stop && (h.progress.due(time.Now(), m.delay(h)) || (m.draining && len(h.progress.pending) > 0) || h.keepersChanged())
+	due := !stop && (h.progress.commitDue(time.Now(), m.commitDelayOf(h)) || (m.draining && len(h.progress.pending) > 0) || h.keepersChanged())
 	m.mu.Unlock()
 	if stop || (due && !m.commit(h)) {
 		return true
 	}
-	return m.finishIfWhole(h)
+	return m.finishIfComplete(h)
 }
 
 // keepersChanged reports whether the head names other keepers than those that
 // have the checkpoint: a node that takes the job over would not find it. The
 // caller holds m.mu.
-func (h *held) keepersChanged() bool {
-	return h.checkpoints.any() && !slices.Equal(h.checkpoints.keepers, h.head.Keepers)
+func (h *heldJob) keepersChanged() bool {
+	return h.checkpoints.anySaved() && !slices.Equal(h.checkpoints.keepers, h.head.Keepers)
 }
 
-// delay returns how long a result of the job may wait for others. The caller
+// commitDelayOf returns how long a result of the job may wait for others. The caller
 // holds m.mu.
-func (m *Manager) delay(h *held) time.Duration {
-	return commitWait(time.Until(dueAt(&h.head, m.routeOf(&h.head))))
+func (m *Manager) commitDelayOf(h *heldJob) time.Duration {
+	return commitWait(time.Until(dueTime(&h.head, m.routeOf(&h.head))))
 }
 
 // commitWait returns how long a result waits for others when its job is due
 // after the time left.
 func commitWait(left time.Duration) time.Duration {
-	if left < 0 || left > dueMargin+commitDelay {
+	if left < 0 || left > urgentMargin+commitDelay {
 		return commitDelay
 	}
-	return max(dueDelay, left-dueMargin)
+	return max(urgentCommitDelay, left-urgentMargin)
 }
 
 // giveUpExpired ends items whose route is gone or whose time is over. The
 // caller holds m.mu.
-func (m *Manager) giveUpExpired(h *held) {
+func (m *Manager) giveUpExpired(h *heldJob) {
 	if h.ended || h.released || m.Routes() == nil {
 		return
 	}
@@ -95,50 +95,50 @@
 	switch {
 	case r == nil && m.RoutesFresh():
 		why = "its route is gone"
-	case r != nil && r.AbandonAfter > 0 && time.Since(time.UnixMilli(h.head.Submitted)) > r.AbandonAfter+expirySlack:
+	case r != nil && r.AbandonAfter > 0 && time.Since(time.UnixMilli(h.head.Submitted)) > r.AbandonAfter+abandonSlack:
 		why = "its time is over"
 	default:
 		return
 	}
 	for i := range h.progress.items {
 		if h.progress.items[i].phase == waiting {
-			m.dead(h, i, why)
+			m.giveUpItem(h, i, why)
 		}
 	}
 }
 
-// expirySlack is added to the time after which an item may be given up: the
+// abandonSlack is added to the time after which an item may be given up: the
 // job was sent a little before a node read it, never after.
-const expirySlack = 500 * time.Millisecond
+const abandonSlack = 500 * time.Millisecond
 
-// dead gives an item its final failure. The caller holds m.mu.
-func (m *Manager) dead(h *held, i int, why string) {
+// giveUpItem gives an item its final failure. The caller holds m.mu.
+func (m *Manager) giveUpItem(h *heldJob, i int, why string) {
 	if h.progress.finish(i, Result{Item: h.items[i].ID, Dead: true}, time.Now()) {
 		m.Recorder.Record(timeline.ItemDead, h.items[i].ID, h.id, why, timeline.Field{Name: "failures", Value: h.progress.items[i].failures})
-		h.signal()
+		h.wakeCommitter()
 	}
 }
 
 // commit writes what is pending; it returns false when the job was released.
-func (m *Manager) commit(h *held) bool {
+func (m *Manager) commit(h *heldJob) bool {
 	m.mu.Lock()
 	batch := slices.Clone(h.progress.pending)
 	head := h.head
 	head.Segments = slices.Clone(h.head.Segments)
-	head.Failed, head.Keepers = h.progress.failures(), h.checkpoints.keepers
+	head.Failed, head.Keepers = h.progress.failureCounts(), h.checkpoints.keepers
 	revision := h.revision
 	m.mu.Unlock()
 
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
-	for _, part := range segments(batch, m.cfg.MaxValueBytes*valueShare/100) {
+	for _, part := range splitResults(batch, m.cfg.MaxValueBytes*valueFillPercent/100) {
 		segment, err := m.writeSegment(ctx, h, part)
 		if err != nil {
 			return true // tried again at the next tick
 		}
 		head.Segments = append(head.Segments, segment)
 	}
-	m.moveItems(ctx, h.id, &head)
+	m.moveInlineItems(ctx, h.id, &head)
 	next, err := m.updateHead(ctx, h.id, &head, revision)
 	switch {
 	case errors.Is(err, errFenced):
@@ -147,16 +147,16 @@
 		m.mu.Unlock()
 		return false
 	case err != nil:
-		return m.resolve(h, &head, err)
+		return m.resolveCommit(h, &head, err)
 	}
-	m.listed(h, &head, next, batch)
+	m.applyCommit(h, &head, next, batch)
 	return true
 }
 
-// moveItems puts the items that a head carries into objects of their own, unless
+// moveInlineItems puts the items that a head carries into objects of their own, unless
 // the job is done and nobody needs them any more. Where the store does not take
 // them the head keeps them.
-func (m *Manager) moveItems(ctx context.Context, id string, head *Head) {
+func (m *Manager) moveInlineItems(ctx context.Context, id string, head *Head) {
 	switch {
 	case len(head.Inline) == 0:
 		return
@@ -170,18 +170,18 @@
 	}
 }
 
-// segments cuts pending results into parts that are stored as one object each.
-func segments(batch []pendingResult, limit int) [][]pendingResult {
+// splitResults cuts pending results into parts that are stored as one object each.
+func splitResults(batch []pendingResult, limit int) [][]pendingResult {
 	if len(batch) == 0 {
 		return nil
 	}
 	return split(batch, limit, func(p pendingResult) int { return resultSize(p.result) })
 }
 
-// resolve finds out, after a write of the head without an answer, which head is
+// resolveCommit finds out, after a write of the head without an answer, which head is
 // in force. Until that is known nothing further is written.
-func (m *Manager) resolve(h *held, head *Head, cause error) bool {
-	if !errors.Is(cause, errMaybe) {
+func (m *Manager) resolveCommit(h *heldJob, head *Head, cause error) bool {
+	if !errors.Is(cause, errOutcomeUnknown) {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
@@ -191,12 +191,12 @@
 		m.mu.Lock()
 		batch := slices.Clone(h.progress.pending[:head.Listed()-h.head.Listed()])
 		m.mu.Unlock()
-		m.listed(h, head, revision, batch)
+		m.applyCommit(h, head, revision, batch)
 	}
 	return true // not written: the next try writes at the same revision and meets a late write as a conflict
 }
 
-func (m *Manager) writeSegment(ctx context.Context, h *held, part []pendingResult) (Segment, error) {
+func (m *Manager) writeSegment(ctx context.Context, h *heldJob, part []pendingResult) (Segment, error) {
 	results := make([]Result, len(part))
 	segment := Segment{}
 	for i, p := range part {
@@ -209,8 +209,8 @@
 	return segment, err
 }
 
-// listed takes a head that is in the store.
-func (m *Manager) listed(h *held, head *Head, revision int64, batch []pendingResult) {
+// applyCommit takes a head that is in the store.
+func (m *Manager) applyCommit(h *heldJob, head *Head, revision int64, batch []pendingResult) {
 	results := make([]Result, len(batch))
 	for i, p := range batch {
 		results[i] = p.result
@@ -219,8 +219,8 @@
 	from := h.head.Listed()
 	m.Checker.Assert(head.Listed() == from+len(batch), invariant.CommitFenced, h.id, "", "%d results listed, %d expected", head.Listed(), from+len(batch))
 	h.head, h.revision = *head, revision
-	h.progress.committed(len(batch))
-	m.keep(h.id, from, results)
+	h.progress.markListed(len(batch))
+	m.cacheResults(h.id, from, results)
 	m.results.setTotal(h.id, head.Total)
 	close(h.changed)
 	h.changed = make(chan struct{})
@@ -230,22 +230,22 @@
 		timeline.Field{Name: "listed", Value: head.Listed()}, timeline.Field{Name: "total", Value: head.Total}, timeline.Field{Name: "revision", Value: revision})
 }
 
-// finishIfWhole stops holding a job that needs no more work.
-func (m *Manager) finishIfWhole(h *held) bool {
+// finishIfComplete stops holding a job that needs no more work.
+func (m *Manager) finishIfComplete(h *heldJob) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	done := h.progress.whole() || (h.ended && h.progress.idle() && len(h.progress.pending) == 0)
+	done := h.progress.allListed() || (h.ended && h.progress.noneRunning() && len(h.progress.pending) == 0)
 	if !done || h.released {
 		return h.released
 	}
 	for keeper := range h.checkpoints.saved {
-		m.forget[keeper] = append(m.forget[keeper], h.id)
+		m.toForget[keeper] = append(m.toForget[keeper], h.id)
 	}
 	head := h.head
 	head.Inline = nil
-	m.heads[h.id] = knownHead{head: head, revision: h.revision, at: time.Now(), whole: true}
+	m.heads[h.id] = knownHead{head: head, revision: h.revision, at: time.Now(), fromStore: true}
 	why := "every item has its result"
-	if !h.progress.whole() {
+	if !h.progress.allListed() {
 		why = "ended by its caller"
 	}
 	m.release(h, why)
--- a/internal/request/job/demand.go
+++ b/internal/request/job/demand.go
@@ -20,12 +20,12 @@
 }
 
 const (
-	// announceFor is how long a node tells others that it came to hold a job: in
+	// announceDuration is how long a node tells others that it came to hold a job: in
 	// that time each of them has heard it a few times.
-	announceFor = 2 * time.Second
-	// announceTakenFor is the same for a job that it took over: its former holder
+	announceDuration = 2 * time.Second
+	// announceTakeoverDuration is the same for a job that it took over: its former holder
 	// may be cut off, usually for a few seconds, and has to hear it soon after.
-	announceTakenFor = 12 * time.Second
+	announceTakeoverDuration = 12 * time.Second
 )
 
 // Announced returns the jobs that this node lately came to hold.
@@ -34,11 +34,11 @@
 	defer m.mu.Unlock()
 	var out []string
 	for id, h := range m.held {
-		long := announceFor
+		duration := announceDuration
 		if h.head.Epoch > 1 {
-			long = announceTakenFor
+			duration = announceTakeoverDuration
 		}
-		if time.Since(h.since) < long {
+		if time.Since(h.heldSince) < duration {
 			out = append(out, id)
 		}
 	}
@@ -51,14 +51,14 @@
 	defer m.mu.Unlock()
 	for _, id := range jobs {
 		if h := m.held[id]; h != nil {
-			if time.Since(h.verified) > verifyEvery {
-				h.verified = time.Now()
+			if time.Since(h.verifiedAt) > verifyInterval {
+				h.verifiedAt = time.Now()
 				go m.verify(id, "node "+holder.Node+" says that it holds the job")
 			}
 			continue
 		}
 		known := m.heads[id]
-		if known.head.Holder != holder && !(known.whole && known.head.Complete()) {
+		if known.head.Holder != holder && !(known.fromStore && known.head.Complete()) {
 			m.heads[id] = knownHead{head: Head{Holder: holder}, at: time.Now()}
 		}
 	}
@@ -84,7 +84,7 @@
 	return out
 }
 
-func (h *held) waitingTokens() int64 {
+func (h *heldJob) waitingTokens() int64 {
 	total := int64(0)
 	for i := range h.items {
 		if p := h.progress.items[i].phase; p == waiting || p == running {
--- a/internal/request/job/evacuate.go
+++ b/internal/request/job/evacuate.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// moveFrom is the share of Config.EvacuatedWithin for which items run on at targets
+	// moveStartShare is the share of Config.EvacuatedWithin for which items run on at targets
 	// that are evacuated: most end in that time. Until the share moveUntil the others are
 	// stopped, and go on elsewhere from the events they hold.
-	moveFrom  = 0.2
-	moveUntil = 0.4
+	moveStartShare = 0.2
+	moveEndShare   = 0.4
 )
 
 // moveEvacuated stops items at targets that are evacuated, at each look the part of
@@ -26,33 +26,33 @@
 	defer m.mu.Unlock()
 	items := m.runningWhere(m.Pool.Evacuated)
 	if len(items) == 0 {
-		m.moving = time.Time{}
+		m.evacuatingSince = time.Time{}
 		return
 	}
-	if m.moving.IsZero() {
-		m.moving = now
+	if m.evacuatingSince.IsZero() {
+		m.evacuatingSince = now
 	}
 	within := m.cfg.EvacuatedWithin.Seconds()
-	for _, item := range schedule.SelectYielding(items, movesDue(len(items), now.Sub(m.moving).Seconds()/within, scheduleTick.Seconds()/within)) {
-		m.move(item)
+	for _, item := range schedule.SelectYielding(items, movesDue(len(items), now.Sub(m.evacuatingSince).Seconds()/within, scheduleInterval.Seconds()/within)) {
+		m.moveItem(item)
 	}
 }
 
 // movesDue returns how many of the items left are to be moved at a look, when the share
 // passed of the time is over and the next look comes a share later.
 func movesDue(items int, passed, tick float64) int {
-	if passed < moveFrom {
+	if passed < moveStartShare {
 		return 0
 	}
-	looks := int((moveUntil - passed) / tick)
-	if looks <= 1 {
+	runs := int((moveEndShare - passed) / tick)
+	if runs <= 1 {
 		return items
 	}
-	return (items + looks - 1) / looks
+	return (items + runs - 1) / runs
 }
 
-// move stops an item so that it goes on at another target. The caller holds m.mu.
-func (m *Manager) move(item schedule.Item) {
+// moveItem stops an item so that it goes on at another target. The caller holds m.mu.
+func (m *Manager) moveItem(item schedule.Item) {
 	h := m.held[item.Job]
 	stop := h.stops[item.Index]
 	delete(h.stops, item.Index)
--- a/internal/request/job/evacuate_test.go
+++ b/internal/request/job/evacuate_test.go
@@ -12,12 +12,12 @@
 func TestItemsAreMovedOverTime(t *testing.T) {
 	is := is.New(t)
 	const within = 5 * time.Second
-	tick := scheduleTick.Seconds() / within.Seconds()
+	tick := scheduleInterval.Seconds() / within.Seconds()
 	left, most := 300, 0
 	for passed := 0.0; left > 0; passed += tick {
-		is.True(passed <= moveUntil+tick)
+		is.True(passed <= moveEndShare+tick)
 		due := movesDue(left, passed, tick)
-		is.True(passed >= moveFrom || due == 0)
+		is.True(passed >= moveStartShare || due == 0)
 		left -= due
 		most = max(most, due)
 	}
--- a/internal/request/job/handover.go
+++ b/internal/request/job/handover.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// drainFor is how long a leaving node lets items run on before it hands its
+	// drainDuration is how long a leaving node lets items run on before it hands its
 	// jobs over; an item takes about a second.
-	drainFor = 2 * time.Second
-	// drainPoll is the time between looks at what is still running.
-	drainPoll = 20 * time.Millisecond
+	drainDuration = 2 * time.Second
+	// drainPollInterval is the time between looks at what is still running.
+	drainPollInterval = 20 * time.Millisecond
 )
 
 // Drain lets running items end for a short time, commits what is finished and
@@ -24,29 +24,29 @@
 	m.mu.Lock()
 	m.draining = true
 	m.mu.Unlock()
-	until := time.Now().Add(drainFor)
-	for time.Now().Before(until) && !m.settled() && ctx.Err() == nil {
-		time.Sleep(drainPoll)
+	until := time.Now().Add(drainDuration)
+	for time.Now().Before(until) && !m.noneRunning() && ctx.Err() == nil {
+		time.Sleep(drainPollInterval)
 	}
 	m.mu.Lock()
-	jobs := m.byDue()
+	jobs := m.heldByDueTime()
 	for _, h := range jobs {
 		for _, stop := range h.stops {
 			stop(errReleased)
 		}
-		h.signal()
+		h.wakeCommitter()
 	}
 	m.mu.Unlock()
 	m.saveCheckpoints(ctx)
 	m.handOver(ctx, jobs)
 }
 
-// settled reports whether no item runs.
-func (m *Manager) settled() bool {
+// noneRunning reports whether no item runs.
+func (m *Manager) noneRunning() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, h := range m.held {
-		if !h.progress.idle() {
+		if !h.progress.noneRunning() {
 			return false
 		}
 	}
@@ -54,11 +54,11 @@
 }
 
 // handOver gives the jobs up in the store and asks another node to hold them.
-func (m *Manager) handOver(ctx context.Context, jobs []*held) {
-	var given []string
+func (m *Manager) handOver(ctx context.Context, jobs []*heldJob) {
+	var relinquished []string
 	for _, h := range jobs {
-		if m.giveUp(ctx, h) {
-			given = append(given, h.id)
+		if m.relinquish(ctx, h) {
+			relinquished = append(relinquished, h.id)
 		}
 	}
 	holders := m.Peers.Holders()
@@ -66,20 +66,20 @@
 	var wg sync.WaitGroup
 	for i, address := range holders {
 		var part []string // every len(holders)-th job
-		for k := i; k < len(given); k += len(holders) {
-			part = append(part, given[k])
+		for k := i; k < len(relinquished); k += len(holders) {
+			part = append(part, relinquished[k])
 		}
 		if len(part) > 0 {
-			wg.Go(func() { m.askToAdopt(ctx, address, part) })
+			wg.Go(func() { m.requestAdoption(ctx, address, part) })
 		}
 	}
 	wg.Wait()
 }
 
-// askToAdopt asks a node to hold jobs. When it does not answer, the next sweep
+// requestAdoption asks a node to hold jobs. When it does not answer, the next sweep
 // of any node finds them.
-func (m *Manager) askToAdopt(ctx context.Context, address string, jobs []string) {
-	ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
+func (m *Manager) requestAdoption(ctx context.Context, address string, jobs []string) {
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	if _, err := m.Peers.Job(address).Adopt(ctx, &v1.AdoptRequest{Jobs: jobs}); err != nil {
 		for _, id := range jobs {
@@ -88,10 +88,10 @@
 	}
 }
 
-// giveUp commits what is finished and writes a head without a holder.
-func (m *Manager) giveUp(ctx context.Context, h *held) bool {
-	h.writing.Lock()
-	defer h.writing.Unlock()
+// relinquish commits what is finished and writes a head without a holder.
+func (m *Manager) relinquish(ctx context.Context, h *heldJob) bool {
+	h.commitMu.Lock()
+	defer h.commitMu.Unlock()
 	m.mu.Lock()
 	pending := len(h.progress.pending) > 0
 	released := h.released
@@ -108,7 +108,7 @@
 		return false
 	}
 	head, revision := h.head, h.revision
-	head.Failed, head.Keepers = h.progress.failures(), h.checkpoints.keepers
+	head.Failed, head.Keepers = h.progress.failureCounts(), h.checkpoints.keepers
 	m.release(h, "this node leaves")
 	m.mu.Unlock()
 	if head.Complete() {
--- a/internal/request/job/heads.go
+++ b/internal/request/job/heads.go
@@ -16,38 +16,38 @@
 
 // knownHead is a head that another node holds, or that needs no more work.
 type knownHead struct {
-	head     Head
-	revision int64
-	at       time.Time // when this node learned it; it may have been older then
-	readAt   time.Time // when the store was asked for it; zero: it came from a list or another node
-	lostAt   time.Time // when its holder was last found not to answer
-	whole    bool      // head is what the store held; else only its holder is known
+	head           Head
+	revision       int64
+	at             time.Time // when this node learned it; it may have been older then
+	readAt         time.Time // when the store was asked for it; zero: it came from a list or another node
+	holderFailedAt time.Time // when its holder was last found not to answer
+	fromStore      bool      // head is what the store held; else only its holder is known
 }
 
-// lostFor is how long a holder that did not answer is not asked again.
-const lostFor = 2 * time.Second
+// holderRetryDelay is how long a holder that did not answer is not asked again.
+const holderRetryDelay = 2 * time.Second
 
-// holderAnswers reports whether the holder may be asked.
-func (k *knownHead) holderAnswers() bool {
-	return k.head.Holder != (Holder{}) && time.Since(k.lostAt) > lostFor && time.Since(k.at) < headAge
+// holderUsable reports whether the holder may be asked.
+func (k *knownHead) holderUsable() bool {
+	return k.head.Holder != (Holder{}) && time.Since(k.holderFailedAt) > holderRetryDelay && time.Since(k.at) < maxHolderAge
 }
 
-// learn keeps a head that the store held. readAt is when the store was asked for
+// rememberHead keeps a head that the store held. readAt is when the store was asked for
 // it, zero when the head may be older than this node can tell.
-func (m *Manager) learn(id string, head Head, revision int64, readAt time.Time) {
+func (m *Manager) rememberHead(id string, head Head, revision int64, readAt time.Time) {
 	head.Inline = nil // of no use without its holder, and large
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	old, ok := m.heads[id]
-	if ok && old.whole && old.revision > revision {
+	if ok && old.fromStore && old.revision > revision {
 		return
 	}
-	known := knownHead{head: head, revision: revision, at: time.Now(), readAt: readAt, whole: true}
+	known := knownHead{head: head, revision: revision, at: time.Now(), readAt: readAt, fromStore: true}
 	if ok && old.revision == revision && old.readAt.After(readAt) {
 		known.readAt = old.readAt
 	}
 	if ok && old.head.Holder == head.Holder {
-		known.lostAt = old.lostAt
+		known.holderFailedAt = old.holderFailedAt
 	}
 	m.heads[id] = known
 }
@@ -60,11 +60,11 @@
 	return known, ok
 }
 
-func (m *Manager) holderLost(id string) {
+func (m *Manager) markHolderFailed(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if known, ok := m.heads[id]; ok {
-		known.lostAt = time.Now()
+		known.holderFailedAt = time.Now()
 		m.heads[id] = known
 	}
 }
@@ -74,11 +74,11 @@
 	// answers it in milliseconds, and a silent node must leave time to ask the
 	// store.
 	locateTimeout = 400 * time.Millisecond
-	// locatedFor is how long a head that was just looked up answers further
+	// headReuse is how long a head that was just looked up answers further
 	// questions: reads that come at the same moment cost one call. Together with
 	// locateTimeout it stays below the second within which what was read once has
 	// to be readable everywhere.
-	locatedFor = 500 * time.Millisecond
+	headReuse = 500 * time.Millisecond
 )
 
 // locate finds the head of a job: through the node of this data centre that
@@ -89,13 +89,13 @@
 func (m *Manager) locate(ctx context.Context, id string, fresh bool) (Head, error) {
 	address := m.Peers.Locator(id)
 	if address == "" {
-		return m.find(ctx, id, fresh)
+		return m.findHead(ctx, id, fresh)
 	}
 	asked, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
 	resp, err := m.Peers.Job(address).Locate(asked, &v1.LocateRequest{Job: id, Fresh: fresh})
 	if err != nil || resp.Outcome == v1.LocateResponse_UNSURE {
-		return m.lookUp(ctx, id) // that node is away, or the store turns it away
+		return m.readHeadShared(ctx, id) // that node is away, or the store turns it away
 	}
 	if resp.Outcome == v1.LocateResponse_ABSENT {
 		return Head{}, errNoJob(id)
@@ -104,32 +104,32 @@
 	if err != nil {
 		return Head{}, errkind.Internal.New("the head of job %s cannot be decoded: %v", id, err)
 	}
-	m.learn(id, head, resp.Revision, time.Time{})
+	m.rememberHead(id, head, resp.Revision, time.Time{})
 	return head, nil
 }
 
 func errNoJob(id string) error { return errkind.NotFound.New("no job %s", id) }
 
-// find returns the head of a job from memory where that serves, or from the
+// findHead returns the head of a job from memory where that serves, or from the
 // store. A node that has just started lists all heads first: that costs less
 // than the questions for each of them.
-func (m *Manager) find(ctx context.Context, id string, fresh bool) (Head, error) {
+func (m *Manager) findHead(ctx context.Context, id string, fresh bool) (Head, error) {
 	known, ok := m.knownHead(id)
 	if !fresh && !ok && !m.headsListed.Load() {
-		m.listFirst(ctx)
+		m.listHeadsOnce(ctx)
 		known, ok = m.knownHead(id)
 	}
-	if ok && known.serves(fresh) {
+	if ok && known.canAnswer(fresh) {
 		return known.head, nil
 	}
-	return m.lookUp(ctx, id)
+	return m.readHeadShared(ctx, id)
 }
 
-// listFirst lists the heads of all jobs once; questions that come together
+// listHeadsOnce lists the heads of all jobs once; questions that come together
 // share the list.
-func (m *Manager) listFirst(ctx context.Context) {
-	result := m.lookUps.DoChan(listKey, func() (any, error) {
-		limited, cancel := context.WithTimeout(context.Background(), lookUpTimeout)
+func (m *Manager) listHeadsOnce(ctx context.Context) {
+	result := m.headReads.DoChan(listKey, func() (any, error) {
+		limited, cancel := context.WithTimeout(context.Background(), headReadTimeout)
 		defer cancel()
 		_, err := m.listHeads(limited)
 		return nil, err
@@ -157,18 +157,18 @@
 			m.Recorder.Record(timeline.ObjectRejected, o.Name, KindHeads, err.Error())
 			continue
 		}
-		m.learnListed(o.Name, head, o.Revision)
+		m.rememberListedHead(o.Name, head, o.Revision)
 		heads[o.Name] = head
 	}
 	m.headsListed.Store(true)
 	return heads, nil
 }
 
-// lookUp reads the head of a job from the store. Questions that come together
+// readHeadShared reads the head of a job from the store. Questions that come together
 // share one answer, except that a job is absent: it may have been accepted
 // since the shared question was sent.
-func (m *Manager) lookUp(ctx context.Context, id string) (Head, error) {
-	result := m.lookUps.DoChan(id, func() (any, error) { return m.readHead(id) })
+func (m *Manager) readHeadShared(ctx context.Context, id string) (Head, error) {
+	result := m.headReads.DoChan(id, func() (any, error) { return m.readHead(id) })
 	select {
 	case <-ctx.Done():
 		return Head{}, errkind.PlatformUnavailable.New("the object store has not answered in time")
@@ -188,27 +188,27 @@
 
 // readHead returns a head that was read just now, here or for another question.
 func (m *Manager) readHead(id string) (Head, error) {
-	if known, ok := m.knownHead(id); ok && known.justRead() {
+	if known, ok := m.knownHead(id); ok && known.recentlyRead() {
 		return known.head, nil
 	}
 	asked := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), lookUpTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), headReadTimeout)
 	defer cancel()
 	head, o, err := m.getHead(ctx, callbudget.Commit, id)
 	if err == nil {
-		m.learn(id, head, o.Revision, asked)
+		m.rememberHead(id, head, o.Revision, asked)
 	}
 	return head, err
 }
 
-// lookUpTimeout bounds one shared question to the store, with its way through
+// headReadTimeout bounds one shared question to the store, with its way through
 // other nodes.
-const lookUpTimeout = 1500 * time.Millisecond
+const headReadTimeout = 1500 * time.Millisecond
 
 // Locate implements the peers' service.
 func (s PeerService) Locate(ctx context.Context, req *v1.LocateRequest) (*v1.LocateResponse, error) {
 	m := s.m
-	_, err := m.find(ctx, req.Job, req.Fresh)
+	_, err := m.findHead(ctx, req.Job, req.Fresh)
 	switch {
 	case err == nil:
 	case errorx.IsOfType(err, errkind.NotFound):
@@ -217,28 +217,28 @@
 		return &v1.LocateResponse{}, nil
 	}
 	known, ok := m.knownHead(req.Job)
-	if !ok || !known.whole {
+	if !ok || !known.fromStore {
 		return &v1.LocateResponse{}, nil // forgotten meanwhile
 	}
-	return found(&known.head, known.revision), nil
+	return foundResponse(&known.head, known.revision), nil
 }
 
-func found(head *Head, revision int64) *v1.LocateResponse {
+func foundResponse(head *Head, revision int64) *v1.LocateResponse {
 	return &v1.LocateResponse{Outcome: v1.LocateResponse_FOUND, Head: encode(head), Revision: revision}
 }
 
-// justRead reports whether the store was asked for the head so lately that it
+// recentlyRead reports whether the store was asked for the head so lately that it
 // decides what the job has listed.
-func (k *knownHead) justRead() bool { return time.Since(k.readAt) < locatedFor }
+func (k *knownHead) recentlyRead() bool { return time.Since(k.readAt) < headReuse }
 
-// serves reports whether a head answers a question without another look into
+// canAnswer reports whether a head answers a question without another look into
 // the store.
-func (k *knownHead) serves(fresh bool) bool {
+func (k *knownHead) canAnswer(fresh bool) bool {
 	switch {
-	case !k.whole:
+	case !k.fromStore:
 		return false
-	case k.head.Complete(), k.justRead():
+	case k.head.Complete(), k.recentlyRead():
 		return true
 	}
-	return !fresh && k.holderAnswers()
+	return !fresh && k.holderUsable()
 }
--- a/internal/request/job/heads_test.go
+++ b/internal/request/job/heads_test.go
@@ -31,36 +31,36 @@
 	return s.memoryStore.Get(ctx, class, kind, name)
 }
 
-// nearPeers are the nodes of one data centre in one process; the first looks
+// localPeers are the nodes of one data centre in one process; the first looks
 // heads up.
-type nearPeers struct {
+type localPeers struct {
 	noPeers
 	self     string
 	managers map[string]*Manager
 }
 
-func (p nearPeers) Job(address string) marblepondv1connect.JobServiceClient {
+func (p localPeers) Job(address string) marblepondv1connect.JobServiceClient {
 	return p.managers[address].PeerService()
 }
-func (nearPeers) Holders() []string { return nil }
-func (p nearPeers) AdoptRank(string) int {
+func (localPeers) Holders() []string { return nil }
+func (p localPeers) AdoptRank(string) int {
 	rank, _ := strconv.Atoi(strings.TrimPrefix(p.self, "n"))
 	return rank
 }
-func (p nearPeers) Locator(string) string {
+func (p localPeers) Locator(string) string {
 	if p.self == "n0" {
 		return ""
 	}
 	return "n0"
 }
 
-func newNearManagers(store objects.Store, n int) []*Manager {
+func newLocalManagers(store objects.Store, n int) []*Manager {
 	managers := map[string]*Manager{}
 	var out []*Manager
 	for i := range n {
 		name := fmt.Sprintf("n%d", i)
 		m := newTestManager(name, store)
-		m.Peers = nearPeers{self: name, managers: managers}
+		m.Peers = localPeers{self: name, managers: managers}
 		managers[name] = m
 		out = append(out, m)
 	}
@@ -73,7 +73,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	store := &countingStore{newMemoryStore(), map[string]int{}}
-	nodes := newNearManagers(store, 8)
+	nodes := newLocalManagers(store, 8)
 	holder := nodes[7]
 	is.NoErr(holder.Submit(ctx, submission("job")))
 	clear(store.gets)
@@ -93,14 +93,14 @@
 	is := is.New(t)
 	ctx := context.Background()
 	store := &countingStore{newMemoryStore(), map[string]int{}}
-	nodes := newNearManagers(store, 4)
+	nodes := newLocalManagers(store, 4)
 	is.NoErr(nodes[3].Submit(ctx, submission("job")))
 	h := nodes[3].held["job"]
 	for i := range h.items {
 		h.progress.finish(i, Result{Item: h.items[i].ID, Text: "text"}, time.Now())
 	}
 	is.True(nodes[3].commit(h))
-	nodes[3].finishIfWhole(h)
+	nodes[3].finishIfComplete(h)
 	clear(store.gets)
 	for _, m := range nodes {
 		page, err := m.Read(ctx, "job", 0, 0)
@@ -116,7 +116,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	store := &countingStore{newMemoryStore(), map[string]int{}}
-	nodes := newNearManagers(store, 3)
+	nodes := newLocalManagers(store, 3)
 	holder := nodes[2]
 	is.NoErr(holder.Submit(ctx, submission("job")))
 	for _, m := range nodes[:2] { // both others know the head as it was at first
@@ -126,7 +126,7 @@
 	h := holder.held["job"]
 	h.progress.finish(0, Result{Item: h.items[0].ID, Text: "text"}, time.Now())
 	is.True(holder.commit(h))
-	time.Sleep(locatedFor)
+	time.Sleep(headReuse)
 	for _, m := range nodes {
 		page, err := m.Read(ctx, "job", 0, 0)
 		is.NoErr(err)
@@ -147,15 +147,15 @@
 	is := is.New(t)
 	ctx := context.Background()
 	store := &countingStore{newMemoryStore(), map[string]int{}}
-	nodes := newNearManagers(store, 3)
+	nodes := newLocalManagers(store, 3)
 	is.NoErr(nodes[2].Submit(ctx, submission("job")))
 	first, o, err := nodes[2].getHead(ctx, callbudget.Commit, "job")
 	is.NoErr(err)
 	h := nodes[2].held["job"]
 	h.progress.finish(0, Result{Item: h.items[0].ID, Text: "text"}, time.Now())
 	is.True(nodes[2].commit(h))
-	nodes[0].learnListed("job", first, o.Revision) // the list is older than the commit
-	head, err := nodes[1].locate(ctx, "job", true) // asks n0
+	nodes[0].rememberListedHead("job", first, o.Revision) // the list is older than the commit
+	head, err := nodes[1].locate(ctx, "job", true)        // asks n0
 	is.NoErr(err)
 	is.Equal(head.Listed(), 1)
 	clear(store.gets)
@@ -173,10 +173,10 @@
 	is.NoErr(m.Submit(ctx, submission("job")))
 	head, o, err := m.getHead(ctx, callbudget.Commit, "job")
 	is.NoErr(err)
-	m.learnListed("job", head, o.Revision)
+	m.rememberListedHead("job", head, o.Revision)
 	is.True(m.held["job"] != nil) // its own epoch changes nothing
 	head.Holder, head.Epoch = Holder{Node: "n1", Address: "n1"}, 2
-	m.learnListed("job", head, o.Revision+1)
+	m.rememberListedHead("job", head, o.Revision+1)
 	is.Equal(m.held["job"], nil)
 }
 
@@ -186,7 +186,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	store := &countingStore{newMemoryStore(), map[string]int{}}
-	nodes := newNearManagers(store, 2)
+	nodes := newLocalManagers(store, 2)
 	for i := range 20 {
 		is.NoErr(nodes[1].Submit(ctx, submission(fmt.Sprintf("job-%d", i))))
 	}
@@ -208,11 +208,11 @@
 	is.NoErr(former.Submit(ctx, submission("job")))
 	former.ObserveHolder(Holder{Node: "n2", Address: "n2"}, []string{"job"}) // not true: the store says otherwise
 	time.Sleep(20 * time.Millisecond)
-	is.True(former.known("job"))
+	is.True(former.isAccepted("job"))
 	next.adopt(ctx, "job", former.cfg.Self)
 	is.Equal(next.Announced(), []string{"job"})
 	former.mu.Lock()
-	former.held["job"].verified = time.Time{}
+	former.held["job"].verifiedAt = time.Time{}
 	former.mu.Unlock()
 	former.ObserveHolder(next.cfg.Self, next.Announced())
 	for range 100 {
@@ -233,13 +233,13 @@
 	is := is.New(t)
 	ctx := context.Background()
 	store := &countingStore{newMemoryStore(), map[string]int{}}
-	nodes := newNearManagers(store, 6)
+	nodes := newLocalManagers(store, 6)
 	const jobs = 10
 	for i := range jobs {
 		is.NoErr(nodes[5].Submit(ctx, submission(fmt.Sprintf("job-%d", i))))
 	}
 	for _, h := range nodes[5].held { // given up by a node that leaves
-		is.True(nodes[5].giveUp(ctx, h))
+		is.True(nodes[5].relinquish(ctx, h))
 	}
 	nodes[5].draining = true
 	clear(store.gets)
@@ -249,7 +249,7 @@
 	is.Equal(len(nodes[0].held), jobs)
 	is.Equal(store.gets[KindHeads], jobs)
 	for _, h := range nodes[0].held { // now it leaves too, and does not come back
-		is.True(nodes[0].giveUp(ctx, h))
+		is.True(nodes[0].relinquish(ctx, h))
 	}
 	nodes[1].sweepOnce(ctx)
 	is.Equal(len(nodes[1].held), 0)
@@ -264,11 +264,11 @@
 	is := is.New(t)
 	m := newTestManager("n0", newMemoryStore())
 	restarted := Holder{Node: "n1", Boot: 1, Address: "n1"}
-	is.True(m.myTurn("own", Holder{Node: "n0", Boot: 0}))
-	is.True(m.myTurn("given up", Holder{}))
-	is.True(!m.myTurn("job", restarted))
+	is.True(m.shouldAdopt("own", Holder{Node: "n0", Boot: 0}))
+	is.True(m.shouldAdopt("given up", Holder{}))
+	is.True(!m.shouldAdopt("job", restarted))
 	m.mu.Lock()
-	m.orphans["job"] = time.Now().Add(-restartGrace)
+	m.orphanedSince["job"] = time.Now().Add(-restartGrace)
 	m.mu.Unlock()
-	is.True(m.myTurn("job", restarted))
+	is.True(m.shouldAdopt("job", restarted))
 }
--- a/internal/request/job/idle_test.go
+++ b/internal/request/job/idle_test.go
@@ -37,7 +37,7 @@
 		shares.Add(1)
 		return func(choose.Target) int { return 0 }
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 10*scheduleTick)
+	ctx, cancel := context.WithTimeout(context.Background(), 10*scheduleInterval)
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
@@ -52,32 +52,32 @@
 	is.Equal(pool.excess.Load(), int32(0))
 }
 
-// fewSweepers are peers among which this node is not one that looks for the lost
+// nonSweeperPeers are peers among which this node is not one that looks for the lost
 // jobs of others.
-type fewSweepers struct{ noPeers }
+type nonSweeperPeers struct{ noPeers }
 
-func (fewSweepers) IsSweeper() bool { return false }
+func (nonSweeperPeers) IsSweeper() bool { return false }
 
 // TestFewNodesSweep: of 250 nodes before ten jobs a second each listed the heads of
 // all jobs every five seconds. A node lists them at its start, for jobs of its own
 // before that, and then only if it is one of those that look for all.
 func TestFewNodesSweep(t *testing.T) {
 	for name, c := range map[string]struct {
-		peers Peers
-		more  bool
-	}{"one of them": {noPeers{}, true}, "another one": {fewSweepers{}, false}} {
+		peers   Peers
+		repeats bool
+	}{"one of them": {noPeers{}, true}, "another one": {nonSweeperPeers{}, false}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			store := &listCounter{memoryStore: newMemoryStore()}
 			m := newTestManager("n", store)
 			m.cfg.SweepInterval, m.cfg.CheckpointInterval, m.Peers = 20*time.Millisecond, time.Hour, c.peers
-			ctx, cancel := context.WithTimeout(context.Background(), 2*firstSweep)
+			ctx, cancel := context.WithTimeout(context.Background(), 2*firstSweepDelay)
 			defer cancel()
 			m.Run(ctx)
 			lists := store.lists.Load()
 			is.True(lists >= 1)
-			is.Equal(lists > 1, c.more)
+			is.Equal(lists > 1, c.repeats)
 		})
 	}
 }
@@ -89,8 +89,8 @@
 	store := &listCounter{memoryStore: newMemoryStore()}
 	store.failures.Store(1)
 	m := newTestManager("n", store)
-	m.cfg.SweepInterval, m.cfg.CheckpointInterval, m.Peers = time.Hour, time.Hour, fewSweepers{}
-	ctx, cancel := context.WithTimeout(context.Background(), 2*firstSweep+2*suspectSweep)
+	m.cfg.SweepInterval, m.cfg.CheckpointInterval, m.Peers = time.Hour, time.Hour, nonSweeperPeers{}
+	ctx, cancel := context.WithTimeout(context.Background(), 2*firstSweepDelay+2*suspectSweepInterval)
 	defer cancel()
 	m.Run(ctx)
 	is.Equal(store.lists.Load(), int32(2))
--- a/internal/request/job/manager.go
+++ b/internal/request/job/manager.go
@@ -151,57 +151,57 @@
 	cfg Config
 	Dependencies
 	results     *resultCache
-	lookUps     singleflight.Group // of heads, by job
+	headReads   singleflight.Group // of heads, by job
 	headsListed atomic.Bool        // all heads were listed in this life of the process
-	wakeUp      chan struct{}      // the scheduler looks at once
-	sweepSoon   chan struct{}      // the next sweep comes at once
+	scheduleNow chan struct{}      // the scheduler looks at once
+	sweepNow    chan struct{}      // the next sweep comes at once
 	stopped     chan struct{}      // closed when Run ends
-	saving      sync.Mutex         // held while checkpoints are sent: keepers get them in order
+	saveMu      sync.Mutex         // held while checkpoints are sent: keepers get them in order
 
-	mu        sync.Mutex
-	fair      *schedule.FairQueue // among workspaces
-	held      map[string]*held
-	reserved  map[backlog.Key]int64 // tokens of submissions in progress
-	draining  bool
-	moving    time.Time            // since when items run at targets that are evacuated; zero: none does
-	absent    map[string]time.Time // holders: since when they do not answer
-	orphans   map[string]time.Time // jobs that nobody holds: since when this node knows
-	heads     map[string]knownHead // of jobs that others hold
-	ends      map[string]time.Time // when the end of a job was told; the copy of the store may be older
-	forget    map[string][]string  // by keeper: jobs whose checkpoint is not needed any more
-	keepers   map[string]keeperState
-	committer sync.WaitGroup
+	mu               sync.Mutex
+	fair             *schedule.FairQueue // among workspaces
+	held             map[string]*heldJob
+	reserved         map[backlog.Key]int64 // tokens of submissions in progress
+	draining         bool
+	evacuatingSince  time.Time            // since when items run at targets that are evacuated; zero: none does
+	unreachableSince map[string]time.Time // holders: since when they do not answer
+	orphanedSince    map[string]time.Time // jobs that nobody holds: since when this node knows
+	heads            map[string]knownHead // of jobs that others hold
+	endedAt          map[string]time.Time // when the end of a job was told; the copy of the store may be older
+	toForget         map[string][]string  // by keeper: jobs whose checkpoint is not needed any more
+	keeperStates     map[string]keeperState
+	committers       sync.WaitGroup
 }
 
-// held is a job that this node holds.
-type held struct {
+// heldJob is a job that this node holds.
+type heldJob struct {
 	id          string
 	head        Head
 	revision    int64
 	items       []Item
 	works       []fingerprint.Work // what the items ask for
 	progress    *progress
-	writing     sync.Mutex // held during a commit: one at a time changes the head
+	commitMu    sync.Mutex // held during a commit: one at a time changes the head
 	sequence    int        // segments written by this holder
-	since       time.Time  // when this node came to hold it
-	verified    time.Time  // when the store was last asked because another node says it holds it
+	heldSince   time.Time  // when this node came to hold it
+	verifiedAt  time.Time  // when the store was last asked because another node says it holds it
 	ended       bool
 	released    bool // this node no longer holds it
 	checkpoints checkpoints
-	stops       map[int]stopRun // running items
-	wake        chan struct{}   // the committer looks at once
-	changed     chan struct{}   // closed when results were listed
+	stops       map[int]stopFunc // running items
+	commitNow   chan struct{}    // the committer looks at once
+	changed     chan struct{}    // closed when results were listed
 }
 
-// stopRun ends the attempt at an item for a reason. It returns whether that was
+// stopFunc ends the attempt at an item for a reason. It returns whether that was
 // what ended it.
-type stopRun func(cause error) bool
+type stopFunc func(cause error) bool
 
 // NewManager returns a manager; Run starts it.
 func NewManager(cfg Config, deps Dependencies) *Manager {
-	return &Manager{cfg: cfg, Dependencies: deps, results: newResultCache(cfg.ResultCacheBytes), wakeUp: make(chan struct{}, 1), sweepSoon: make(chan struct{}, 1), stopped: make(chan struct{}),
-		fair: schedule.NewFairQueue(), held: map[string]*held{}, reserved: map[backlog.Key]int64{}, absent: map[string]time.Time{}, orphans: map[string]time.Time{}, heads: map[string]knownHead{},
-		ends: map[string]time.Time{}, forget: map[string][]string{}, keepers: map[string]keeperState{}}
+	return &Manager{cfg: cfg, Dependencies: deps, results: newResultCache(cfg.ResultCacheBytes), scheduleNow: make(chan struct{}, 1), sweepNow: make(chan struct{}, 1), stopped: make(chan struct{}),
+		fair: schedule.NewFairQueue(), held: map[string]*heldJob{}, reserved: map[backlog.Key]int64{}, unreachableSince: map[string]time.Time{}, orphanedSince: map[string]time.Time{}, heads: map[string]knownHead{},
+		endedAt: map[string]time.Time{}, toForget: map[string][]string{}, keeperStates: map[string]keeperState{}}
 }
 
 // Run schedules items and looks for jobs without a holder until ctx ends.
@@ -216,15 +216,15 @@
 	wg.Go(func() { m.saveLoop(ctx) })
 	wg.Wait()
 	close(m.stopped)
-	m.committer.Wait()
+	m.committers.Wait()
 }
 
-// hold starts to work on a job whose head names this node. from is how far its
+// startHeldJob starts to work on a job whose head names this node. from is how far its
 // items came under an earlier holder, as far as that is known.
-func (m *Manager) hold(id string, head Head, revision int64, items []Item, from []*v1.JobCheckpoint, why string) {
-	h := &held{id: id, since: time.Now(), head: head, revision: revision, items: items, works: worksOf(&head, items, m.cfg.Selectors), progress: newProgress(&head),
-		stops: map[int]stopRun{}, wake: make(chan struct{}, 1), changed: make(chan struct{})}
-	h.checkpoints.keep(head.Keepers)
+func (m *Manager) startHeldJob(id string, head Head, revision int64, items []Item, from []*v1.JobCheckpoint, why string) {
+	h := &heldJob{id: id, heldSince: time.Now(), head: head, revision: revision, items: items, works: worksOf(&head, items, m.cfg.Selectors), progress: newProgress(&head),
+		stops: map[int]stopFunc{}, commitNow: make(chan struct{}, 1), changed: make(chan struct{})}
+	h.checkpoints.setKeepers(head.Keepers)
 	m.mu.Lock()
 	if m.held[id] != nil {
 		m.mu.Unlock()
@@ -234,16 +234,16 @@
 	m.restore(h, from)
 	m.held[id] = h
 	delete(m.heads, id)
-	delete(m.orphans, id)
-	m.committer.Add(1)
+	delete(m.orphanedSince, id)
+	m.committers.Add(1)
 	m.mu.Unlock()
 	m.Recorder.Record(timeline.JobHeld, id, "", why, timeline.Field{Name: "items", Value: head.Total},
 		timeline.Field{Name: "listed", Value: head.Listed()}, timeline.Field{Name: "epoch", Value: head.Epoch})
 	go func() {
-		defer m.committer.Done()
+		defer m.committers.Done()
 		m.commitLoop(h)
 	}()
-	m.signal()
+	m.wakeScheduler()
 }
 
 // worksOf returns what items ask for. An item is sent as the same request would be
@@ -258,22 +258,22 @@
 	return works
 }
 
-func (m *Manager) signal() {
+func (m *Manager) wakeScheduler() {
 	select {
-	case m.wakeUp <- struct{}{}:
+	case m.scheduleNow <- struct{}{}:
 	default:
 	}
 }
 
-func (h *held) signal() {
+func (h *heldJob) wakeCommitter() {
 	select {
-	case h.wake <- struct{}{}:
+	case h.commitNow <- struct{}{}:
 	default:
 	}
 }
 
 // release ends this node's hold on a job. The caller holds m.mu.
-func (m *Manager) release(h *held, why string) {
+func (m *Manager) release(h *heldJob, why string) {
 	if h.released {
 		return
 	}
@@ -284,7 +284,7 @@
 	delete(m.held, h.id)
 	close(h.changed)
 	h.changed = make(chan struct{})
-	h.signal()
+	h.wakeCommitter()
 	m.Recorder.Record(timeline.JobReleased, h.id, "", why)
 }
 
@@ -292,7 +292,7 @@
 func (m *Manager) MarkEnded(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ends[id] = time.Now()
+	m.endedAt[id] = time.Now()
 	h := m.held[id]
 	if h == nil || h.ended {
 		return
@@ -301,15 +301,15 @@
 	for _, stop := range h.stops {
 		stop(errEnded)
 	}
-	h.signal()
+	h.wakeCommitter()
 	m.Recorder.Record(timeline.JobEnded, id, "", "its caller ended it")
 }
 
 // endKnown reports whether the end of a job is known here, from the copy of the
 // store or from another node. The caller holds m.mu.
 func (m *Manager) endKnown(id string) bool {
-	_, told := m.ends[id]
-	return told || m.Ended(id)
+	_, notified := m.endedAt[id]
+	return notified || m.Ended(id)
 }
 
 // routeOf returns the route of a job in the table in force, nil when it has none.
@@ -321,8 +321,8 @@
 	return table.Match(head.Host, head.Path)
 }
 
-// dueAt returns when a job's results are due.
-func dueAt(head *Head, r *route.Route) time.Time {
+// dueTime returns when a job's results are due.
+func dueTime(head *Head, r *route.Route) time.Time {
 	at := time.UnixMilli(head.Submitted)
 	if r != nil {
 		at = at.Add(r.CompleteWithin)
@@ -330,14 +330,14 @@
 	return at
 }
 
-// byDue returns the held jobs, earliest due first. The caller holds m.mu.
-func (m *Manager) byDue() []*held {
-	jobs := make([]*held, 0, len(m.held))
+// heldByDueTime returns the held jobs, earliest due first. The caller holds m.mu.
+func (m *Manager) heldByDueTime() []*heldJob {
+	jobs := make([]*heldJob, 0, len(m.held))
 	for _, h := range m.held {
 		jobs = append(jobs, h)
 	}
-	slices.SortFunc(jobs, func(a, b *held) int {
-		return dueAt(&a.head, m.routeOf(&a.head)).Compare(dueAt(&b.head, m.routeOf(&b.head)))
+	slices.SortFunc(jobs, func(a, b *heldJob) int {
+		return dueTime(&a.head, m.routeOf(&a.head)).Compare(dueTime(&b.head, m.routeOf(&b.head)))
 	})
 	return jobs
 }
--- a/internal/request/job/manager_test.go
+++ b/internal/request/job/manager_test.go
@@ -135,7 +135,7 @@
 	table := route.NewTable(1, []route.Route{{Name: "r", Host: "h", Prefix: "/j/", Kind: route.Batch, Attempts: 3, CompleteWithin: time.Minute, AbandonAfter: time.Hour}}, route.Limits{})
 	return NewManager(Config{Self: Holder{Node: node, Boot: 1, Address: node}, HoldsJobs: true, MaxValueBytes: 1 << 20, KeepResults: time.Hour, ResultCacheBytes: 1 << 20},
 		Dependencies{Store: store, StoreLatency: func() time.Duration { return time.Millisecond }, Pool: noPool{}, Quarantine: noQuarantine{}, Peers: noPeers{}, Routes: func() *route.Table { return table }, RoutesFresh: func() bool { return true },
-			Backlogs: roomForAll{}, Ended: func(string) bool { return false }, Clock: clock.New(),
+			Backlogs: unlimitedBacklogs{}, Ended: func(string) bool { return false }, Clock: clock.New(),
 			Allotments: func() func(choose.Target) int { return func(choose.Target) int { return 0 } },
 			Recorder:   recorder, Checker: invariant.New(recorder, false), Metrics: tally.NoopScope})
 }
@@ -151,24 +151,24 @@
 func TestFormerHolderIsFenced(t *testing.T) {
 	is := is.New(t)
 	store := newMemoryStore()
-	paused, fresh := newTestManager("paused", store), newTestManager("fresh", store)
+	paused, successor := newTestManager("paused", store), newTestManager("fresh", store)
 	is.NoErr(paused.Submit(context.Background(), submission("job")))
 	mine := paused.held["job"]
-	mine.writing.Lock() // it stands still
+	mine.commitMu.Lock() // it stands still
 
-	fresh.adopt(context.Background(), "job", paused.cfg.Self)
-	theirs := fresh.held["job"]
+	successor.adopt(context.Background(), "job", paused.cfg.Self)
+	theirs := successor.held["job"]
 	is.True(theirs != nil)
-	theirs.writing.Lock()
+	theirs.commitMu.Lock()
 	theirs.progress.finish(1, Result{Item: "i1", Text: "of the new holder"}, time.Now())
-	is.True(fresh.commit(theirs))
-	theirs.writing.Unlock()
+	is.True(successor.commit(theirs))
+	theirs.commitMu.Unlock()
 
 	mine.progress.finish(0, Result{Item: "i0", Text: "of the former holder"}, time.Now())
 	is.True(!paused.commit(mine)) // refused
-	mine.writing.Unlock()
+	mine.commitMu.Unlock()
 	is.Equal(paused.held["job"], nil)
-	page, err := fresh.Read(context.Background(), "job", 0, 0)
+	page, err := successor.Read(context.Background(), "job", 0, 0)
 	is.NoErr(err)
 	is.Equal(len(page.Results), 1)
 	is.Equal(page.Results[0].Text, "of the new holder")
@@ -184,22 +184,22 @@
 	m := newTestManager("n", store)
 	is.NoErr(m.Submit(context.Background(), submission("old")))
 	h := m.held["old"]
-	h.writing.Lock()
+	h.commitMu.Lock()
 	h.progress.finish(0, Result{Item: "i0"}, time.Now())
 	is.True(m.commit(h))
-	h.writing.Unlock()
+	h.commitMu.Unlock()
 	head := h.head
 	m.remove(context.Background(), "old", &head)
 	is.Equal(len(store.objects), 0)
 }
 
-// silentPeers know when the holder was last heard.
-type silentPeers struct {
+// unreachablePeers know when the holder was last heard.
+type unreachablePeers struct {
 	noPeers
 	since time.Time
 }
 
-func (p silentPeers) UnreachableSince(string) (time.Time, bool) { return p.since, true }
+func (p unreachablePeers) UnreachableSince(string) (time.Time, bool) { return p.since, true }
 
 // The time after which a silent holder is taken for lost counts from when it was
 // last heard, also when the store could not be asked for its jobs until now.
@@ -208,11 +208,11 @@
 	m := newTestManager("n1", newMemoryStore())
 	m.cfg.TakeOverAfter = 6 * time.Second
 	holder := Holder{Node: "lost", Boot: 1, Address: "lost"}
-	m.Peers = silentPeers{since: time.Now().Add(-7 * time.Second)}
-	lost, _ := m.silentHolder(holder, []string{"j"})
+	m.Peers = unreachablePeers{since: time.Now().Add(-7 * time.Second)}
+	lost, _ := m.unreachableHolder(holder, []string{"j"})
 	is.Equal(lost, []string{"j"})
-	m.Peers = silentPeers{since: time.Now().Add(-2 * time.Second)}
-	lost, suspected := m.silentHolder(Holder{Node: "quiet", Boot: 1}, []string{"j"})
+	m.Peers = unreachablePeers{since: time.Now().Add(-2 * time.Second)}
+	lost, suspected := m.unreachableHolder(Holder{Node: "quiet", Boot: 1}, []string{"j"})
 	is.Equal(len(lost), 0)
 	is.True(suspected)
 }
@@ -232,7 +232,7 @@
 	defer cancel()
 	go holder.Run(ctx)
 	other.adopt(context.Background(), "job", holder.cfg.Self)
-	time.Sleep(3 * runningTick)
+	time.Sleep(3 * allRunningInterval)
 	is.Equal(holder.Demand(), 2) // it does not know yet
 	suspended.Store(int64(10 * time.Second))
 	for range 100 {
@@ -244,10 +244,10 @@
 	t.Fatal("it still works on the job a second after it woke")
 }
 
-// roomForAll has room for every job.
-type roomForAll struct{}
+// unlimitedBacklogs has room for every job.
+type unlimitedBacklogs struct{}
 
-func (roomForAll) Reserve(_ context.Context, _ backlog.Key, _, _ int64, granted func()) error {
+func (unlimitedBacklogs) Reserve(_ context.Context, _ backlog.Key, _, _ int64, granted func()) error {
 	granted()
 	return nil
 }
--- a/internal/request/job/peer.go
+++ b/internal/request/job/peer.go
@@ -47,8 +47,8 @@
 	return &v1.AdoptResponse{}, nil
 }
 
-// noticeTimeout bounds a message that only speeds up what the store tells too.
-const noticeTimeout = 300 * time.Millisecond
+// notifyTimeout bounds a message that only speeds up what the store tells too.
+const notifyTimeout = 300 * time.Millisecond
 
 // endTimeout bounds the writing of a job's end.
 const endTimeout = 2 * time.Second
@@ -60,7 +60,7 @@
 	defer cancel()
 	known, _ := m.knownHead(id)
 	holder := known.head.Holder
-	if !m.known(id) && holder == (Holder{}) {
+	if !m.isAccepted(id) && holder == (Holder{}) {
 		head, err := m.locate(ctx, id, false)
 		if err != nil {
 			return err
@@ -74,14 +74,14 @@
 	}
 	m.MarkEnded(id)
 	if holder != (Holder{}) && holder.Node != m.cfg.Self.Node {
-		m.tellEnd(holder, id)
+		m.notifyEnd(holder, id)
 	}
 	return nil
 }
 
-func (m *Manager) tellEnd(holder Holder, id string) {
+func (m *Manager) notifyEnd(holder Holder, id string) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
 		if _, err := m.Peers.Job(holder.Address).End(ctx, &v1.EndRequest{Job: id}); err != nil {
 			m.Recorder.Record(timeline.JobEnded, id, holder.Node, "the holder was not told and learns it from the store: "+err.Error())
--- a/internal/request/job/progress.go
+++ b/internal/request/job/progress.go
@@ -23,16 +23,16 @@
 }
 
 type itemState struct {
-	phase    phase
-	failures int           // answers that count as failed attempts
-	breaks   int           // attempts in a row that broke off
-	notAt    time.Time     // not before this
-	held     int64         // ID of the last event held
-	text     []byte        // data of the events held; kept until the result is listed
-	dead     bool          // finished without its whole output
-	refused  bool          // not sent, because targets crash under it
-	target   choose.Target // where it runs
-	sentAt   time.Time     // when it was sent there
+	phase             phase
+	failures          int           // answers that count as failed attempts
+	consecutiveBreaks int           // attempts in a row that broke off
+	notBefore         time.Time     // not before this
+	lastEvent         int64         // ID of the last event held
+	text              []byte        // data of the events held; kept until the result is listed
+	givenUp           bool          // finished without its whole output
+	quarantined       bool          // not sent, because targets crash under it
+	target            choose.Target // where it runs
+	sentAt            time.Time     // when it was sent there
 }
 
 type pendingResult struct {
@@ -56,70 +56,70 @@
 }
 
 const (
-	// breakPause is the pause after an attempt broke off; it doubles up to
+	// breakBackoff is the pause after an attempt broke off; it doubles up to
 	// maxBreakPause with each further one in a row.
-	breakPause    = 50 * time.Millisecond
-	maxBreakPause = 2 * time.Second
-	// failurePause is the pause after an answer of failure, so that a passing
+	breakBackoff    = 50 * time.Millisecond
+	maxBreakBackoff = 2 * time.Second
+	// failureBackoff is the pause after an answer of failure, so that a passing
 	// fault of a target does not use up the attempts at once.
-	failurePause = 250 * time.Millisecond
+	failureBackoff = 250 * time.Millisecond
 )
 
 // mayBeSent reports whether an item waits and its pause is over.
 func (p *progress) mayBeSent(i int, now time.Time) bool {
-	return p.items[i].phase == waiting && !now.Before(p.items[i].notAt)
+	return p.items[i].phase == waiting && !now.Before(p.items[i].notBefore)
 }
 
-// sent notes that an item is at a target.
-func (p *progress) sent(i int, target choose.Target, now time.Time) {
+// markSent notes that an item is at a target.
+func (p *progress) markSent(i int, target choose.Target, now time.Time) {
 	s := &p.items[i]
 	s.phase, s.target, s.sentAt = running, target, now
 }
 
-// unsent notes that an attempt did not begin, or was stopped to make room.
-func (p *progress) unsent(i int, now time.Time, pause time.Duration) {
-	p.items[i].phase, p.items[i].notAt = waiting, now.Add(pause)
+// requeue notes that an attempt did not begin, or was stopped to make room.
+func (p *progress) requeue(i int, now time.Time, pause time.Duration) {
+	p.items[i].phase, p.items[i].notBefore = waiting, now.Add(pause)
 }
 
-// broke notes an attempt that broke off after it held up to event held.
-func (p *progress) broke(i int, now time.Time) {
+// attemptBroke notes an attempt that attemptBroke off after it held up to event held.
+func (p *progress) attemptBroke(i int, now time.Time) {
 	s := &p.items[i]
-	pause := min(breakPause<<min(s.breaks, 10), maxBreakPause)
-	s.breaks++
-	p.unsent(i, now, pause)
+	pause := min(breakBackoff<<min(s.consecutiveBreaks, 10), maxBreakBackoff)
+	s.consecutiveBreaks++
+	p.requeue(i, now, pause)
 }
 
-// failed notes an answer of failure. It returns whether attempts are left.
-func (p *progress) failed(i int, now time.Time, attempts int) (left bool) {
+// attemptFailed notes an answer of failure. It returns whether attempts are left.
+func (p *progress) attemptFailed(i int, now time.Time, attempts int) (left bool) {
 	s := &p.items[i]
 	s.failures++
-	p.unsent(i, now, failurePause)
+	p.requeue(i, now, failureBackoff)
 	return s.failures < attempts
 }
 
-// event adds an event's data to the text held. Events that are held already
+// addEvent adds an addEvent's data to the text held. Events that are held already
 // are left out.
-func (p *progress) event(i int, id int64, data []byte) {
+func (p *progress) addEvent(i int, id int64, data []byte) {
 	s := &p.items[i]
-	if id <= s.held {
+	if id <= s.lastEvent {
 		return
 	}
-	if s.held > 0 {
+	if s.lastEvent > 0 {
 		s.text = append(s.text, '\n')
 	}
 	s.text = append(s.text, data...)
-	s.held = id
-	s.breaks = 0
+	s.lastEvent = id
+	s.consecutiveBreaks = 0
 }
 
 // restore lets a waiting item go on after event held, whose text is known. It
 // reports whether that is news.
-func (p *progress) restore(i int, held int64, text []byte) bool {
+func (p *progress) restore(i int, lastEvent int64, text []byte) bool {
 	s := &p.items[i]
-	if s.phase != waiting || held <= s.held {
+	if s.phase != waiting || lastEvent <= s.lastEvent {
 		return false
 	}
-	s.held, s.text = held, text
+	s.lastEvent, s.text = lastEvent, text
 	return true
 }
 
@@ -129,15 +129,15 @@
 	if s.phase == finished || s.phase == listed {
 		return false
 	}
-	s.phase, s.dead = finished, r.Dead
+	s.phase, s.givenUp = finished, r.Dead
 	p.pending = append(p.pending, pendingResult{i, r, now})
 	return true
 }
 
-// due reports whether the pending results are to be committed now: when all of
+// commitDue reports whether the pending results are to be committed now: when all of
 // them together have waited for the delay. One result waits that long, many that
 // came at once a fraction of it; a commit costs the same for all.
-func (p *progress) due(now time.Time, delay time.Duration) bool {
+func (p *progress) commitDue(now time.Time, delay time.Duration) bool {
 	if len(p.pending) == 0 {
 		return false
 	}
@@ -145,11 +145,11 @@
 	for _, r := range p.pending {
 		waited += now.Sub(r.at)
 	}
-	return p.open() == 0 || waited >= delay
+	return p.unfinished() == 0 || waited >= delay
 }
 
-// open returns the number of items without a result.
-func (p *progress) open() int {
+// unfinished returns the number of items without a result.
+func (p *progress) unfinished() int {
 	n := 0
 	for i := range p.items {
 		if ph := p.items[i].phase; ph == waiting || ph == running {
@@ -161,17 +161,17 @@
 
 // demand returns the number of items that wait for a target or are at one.
 func (p *progress) demand() int {
-	n := p.open()
+	n := p.unfinished()
 	for i := range p.items {
-		if p.items[i].refused && p.items[i].phase == waiting {
+		if p.items[i].quarantined && p.items[i].phase == waiting {
 			n--
 		}
 	}
 	return n
 }
 
-// committed notes that the first n pending results are listed.
-func (p *progress) committed(n int) {
+// markListed notes that the first n pending results are listed.
+func (p *progress) markListed(n int) {
 	for _, r := range p.pending[:n] {
 		p.items[r.index].phase = listed
 		p.items[r.index].text = nil
@@ -179,8 +179,8 @@
 	p.pending = p.pending[n:]
 }
 
-// failures returns the failed attempts by item, where there are any.
-func (p *progress) failures() map[int]int {
+// failureCounts returns the failed attempts by item, where there are any.
+func (p *progress) failureCounts() map[int]int {
 	var out map[int]int
 	for i := range p.items {
 		if n := p.items[i].failures; n > 0 && p.items[i].phase != listed {
@@ -193,8 +193,8 @@
 	return out
 }
 
-// idle reports whether no item is at a target.
-func (p *progress) idle() bool {
+// noneRunning reports whether no item is at a target.
+func (p *progress) noneRunning() bool {
 	for i := range p.items {
 		if p.items[i].phase == running {
 			return false
@@ -203,5 +203,5 @@
 	return true
 }
 
-// whole reports whether every item is listed.
-func (p *progress) whole() bool { return p.open() == 0 && len(p.pending) == 0 }
+// allListed reports whether every item is listed.
+func (p *progress) allListed() bool { return p.unfinished() == 0 && len(p.pending) == 0 }
--- a/internal/request/job/progress_test.go
+++ b/internal/request/job/progress_test.go
@@ -20,21 +20,21 @@
 		p := newProgress(&Head{Total: total})
 		now := time.Unix(0, 0)
 		positions := map[int]int{}
-		for step := 0; !p.whole() && step < 500; step++ {
+		for step := 0; !p.allListed() && step < 500; step++ {
 			now = now.Add(time.Second)
 			i := rapid.IntRange(0, total-1).Draw(t, "item")
 			s := &p.items[i]
 			switch action := rapid.SampledFrom([]string{"send", "event", "repeat", "break", "yield", "finish", "finish twice", "commit"}).Draw(t, "action"); {
 			case action == "send" && s.phase == waiting:
-				p.sent(i, choose.Target{ID: "t"}, now)
+				p.markSent(i, choose.Target{ID: "t"}, now)
 			case action == "event" && s.phase == running:
-				p.event(i, s.held+1, []byte(fmt.Sprint(s.held+1)))
+				p.addEvent(i, s.lastEvent+1, []byte(fmt.Sprint(s.lastEvent+1)))
 			case action == "repeat" && s.phase == running:
-				p.event(i, s.held, []byte("repeated"))
+				p.addEvent(i, s.lastEvent, []byte("repeated"))
 			case action == "break" && s.phase == running:
-				p.broke(i, now)
+				p.attemptBroke(i, now)
 			case action == "yield" && s.phase == running:
-				p.unsent(i, now, 0)
+				p.requeue(i, now, 0)
 			case strings.HasPrefix(action, "finish") && s.phase == running:
 				p.finish(i, Result{Text: string(s.text)}, now)
 				if action == "finish twice" && p.finish(i, Result{Text: "other"}, now) {
@@ -50,7 +50,7 @@
 						}
 					}
 				}
-				p.committed(n)
+				p.markListed(n)
 			}
 		}
 		for i, n := range positions {
@@ -65,25 +65,25 @@
 	is := is.New(t)
 	p := newProgress(&Head{Total: 1, Failed: map[int]int{0: 1}}) // one failure under the holder before
 	now := time.Unix(0, 0)
-	p.sent(0, choose.Target{ID: "t"}, now)
-	is.True(p.failed(0, now, 3))
+	p.markSent(0, choose.Target{ID: "t"}, now)
+	is.True(p.attemptFailed(0, now, 3))
 	is.True(!p.mayBeSent(0, now)) // pauses first
-	is.True(p.mayBeSent(0, now.Add(failurePause)))
-	p.sent(0, choose.Target{ID: "t"}, now)
-	is.True(!p.failed(0, now, 3))
+	is.True(p.mayBeSent(0, now.Add(failureBackoff)))
+	p.markSent(0, choose.Target{ID: "t"}, now)
+	is.True(!p.attemptFailed(0, now, 3))
 }
 
 func TestBreaksBackOff(t *testing.T) {
 	is := is.New(t)
 	p := newProgress(&Head{Total: 1})
 	now := time.Unix(0, 0)
-	p.broke(0, now)
-	first := p.items[0].notAt.Sub(now)
+	p.attemptBroke(0, now)
+	first := p.items[0].notBefore.Sub(now)
 	for range 20 {
-		p.broke(0, now)
+		p.attemptBroke(0, now)
 	}
-	is.True(p.items[0].notAt.Sub(now) > first)
-	is.Equal(p.items[0].notAt.Sub(now), maxBreakPause)
+	is.True(p.items[0].notBefore.Sub(now) > first)
+	is.Equal(p.items[0].notBefore.Sub(now), maxBreakBackoff)
 }
 
 func TestSplitKeepsOrderAndSize(t *testing.T) {
@@ -126,8 +126,8 @@
 func TestCommitsAreGrouped(t *testing.T) {
 	is := is.New(t)
 	is.Equal(commitWait(15*time.Second), commitDelay)
-	is.Equal(commitWait(dueMargin+time.Second), time.Second)
-	is.Equal(commitWait(time.Second), dueDelay)
+	is.Equal(commitWait(urgentMargin+time.Second), time.Second)
+	is.Equal(commitWait(time.Second), urgentCommitDelay)
 	is.Equal(commitWait(-time.Second), commitDelay)
 }
 
@@ -142,8 +142,8 @@
 			p.finish(i, Result{}, start)
 		}
 		now := start
-		for !p.due(now, commitDelay) {
-			now = now.Add(commitTick)
+		for !p.commitDue(now, commitDelay) {
+			now = now.Add(commitPollInterval)
 		}
 		return now.Sub(start)
 	}
--- a/internal/request/job/read.go
+++ b/internal/request/job/read.go
@@ -24,14 +24,14 @@
 const (
 	// pageBytes bounds the text of one page; a larger single result is sent alone.
 	pageBytes = 900 << 10
-	// headAge is how long a head read from the store is trusted to name the holder.
-	headAge = 10 * time.Second
-	// rereadPause is the least time between two looks for the results of a job
+	// maxHolderAge is how long a head read from the store is trusted to name the holder.
+	maxHolderAge = 10 * time.Second
+	// rereadInterval is the least time between two looks for the results of a job
 	// without a holder while a caller waits: until a node takes the job over there
 	// is nothing new, and the caller asks again by itself.
-	rereadPause = 900 * time.Millisecond
-	// askTimeout is added to the time that a holder may wait before it answers.
-	askTimeout = 300 * time.Millisecond
+	rereadInterval = 900 * time.Millisecond
+	// holderResponseTimeout is added to the time that a holder may wait before it answers.
+	holderResponseTimeout = 300 * time.Millisecond
 )
 
 // Read returns results from position after on; when there is none yet it waits
@@ -40,18 +40,18 @@
 func (m *Manager) Read(ctx context.Context, id string, after int, waitFor time.Duration) (Page, error) {
 	until := time.Now().Add(waitFor)
 	for {
-		page, changed, err := m.readHere(ctx, id, after)
-		if err == nil || !errors.Is(err, errNotHere) {
+		page, changed, err := m.readHeld(ctx, id, after)
+		if err == nil || !errors.Is(err, errNotHolder) {
 			if err != nil || len(page.Results) > 0 || after >= page.Total || !waitChange(ctx, changed, until) {
 				return page, err
 			}
 			continue
 		}
-		page, err = m.readThere(ctx, id, after, time.Until(until))
+		page, err = m.readRemote(ctx, id, after, time.Until(until))
 		if err != nil || len(page.Results) > 0 || after >= page.Total || !time.Now().Before(until) {
 			return page, err
 		}
-		if !wait.For(ctx, min(rereadPause, time.Until(until))) {
+		if !wait.For(ctx, min(rereadInterval, time.Until(until))) {
 			return page, nil
 		}
 	}
@@ -69,16 +69,16 @@
 	return false
 }
 
-// errNotHere: this node does not hold the job.
-var errNotHere = errors.New("job is not held here")
+// errNotHolder: this node does not hold the job.
+var errNotHolder = errors.New("job is not held here")
 
-// readHere answers for a job that this node holds.
-func (m *Manager) readHere(ctx context.Context, id string, after int) (Page, <-chan struct{}, error) {
+// readHeld answers for a job that this node holds.
+func (m *Manager) readHeld(ctx context.Context, id string, after int) (Page, <-chan struct{}, error) {
 	m.mu.Lock()
 	h := m.held[id]
 	if h == nil {
 		m.mu.Unlock()
-		return Page{}, nil, errNotHere
+		return Page{}, nil, errNotHolder
 	}
 	head, changed := h.head, h.changed
 	m.mu.Unlock()
@@ -86,21 +86,21 @@
 	return page, changed, err
 }
 
-// readThere answers for a job that is not held here: from memory, from its
+// readRemote answers for a job that is not held here: from memory, from its
 // holder, or from the store.
-func (m *Manager) readThere(ctx context.Context, id string, after int, waitFor time.Duration) (Page, error) {
+func (m *Manager) readRemote(ctx context.Context, id string, after int, waitFor time.Duration) (Page, error) {
 	known, ok := m.knownHead(id)
-	if ok && known.whole && (known.head.Listed() > after || known.head.Complete()) {
-		return m.pageOfOther(ctx, id, &known.head, after)
+	if ok && known.fromStore && (known.head.Listed() > after || known.head.Complete()) {
+		return m.remotePage(ctx, id, &known.head, after)
 	}
 	if results, total := m.results.from(id, after); len(results) > 0 {
-		return Page{Total: total, Results: bounded(results)}, nil
+		return Page{Total: total, Results: limitToPage(results)}, nil
 	}
-	if ok && known.holderAnswers() {
-		if page, err := m.askHolder(ctx, id, &known.head, after, waitFor); err == nil {
+	if ok && known.holderUsable() {
+		if page, err := m.queryHolder(ctx, id, &known.head, after, waitFor); err == nil {
 			return page, nil
 		}
-		m.holderLost(id)
+		m.markHolderFailed(id)
 	}
 	return m.readLocated(ctx, id, after, waitFor, known.head.Holder)
 }
@@ -114,52 +114,52 @@
 			return Page{}, err
 		}
 		if head.Listed() > after || head.Complete() {
-			return m.pageOfOther(ctx, id, &head, after)
+			return m.remotePage(ctx, id, &head, after)
 		}
-		if page, err := m.askHolder(ctx, id, &head, after, waitFor); err == nil {
+		if page, err := m.queryHolder(ctx, id, &head, after, waitFor); err == nil {
 			return page, nil
 		}
-		m.holderLost(id)
+		m.markHolderFailed(id)
 	}
 	head, err := m.locate(ctx, id, true)
 	if err != nil {
 		return Page{}, err
 	}
-	return m.pageOfOther(ctx, id, &head, after)
+	return m.remotePage(ctx, id, &head, after)
 }
 
-// pageOfOther returns the results that the head of another node's job lists.
+// remotePage returns the results that the head of another node's job lists.
 // What is not in memory here usually is at the node that listed it.
-func (m *Manager) pageOfOther(ctx context.Context, id string, head *Head, after int) (Page, error) {
+func (m *Manager) remotePage(ctx context.Context, id string, head *Head, after int) (Page, error) {
 	if after >= head.Listed() || m.results.has(id, after) {
 		return m.page(ctx, id, head, after)
 	}
-	if page, err := m.askHolder(ctx, id, head, after, 0); err == nil && len(page.Results) > 0 {
+	if page, err := m.queryHolder(ctx, id, head, after, 0); err == nil && len(page.Results) > 0 {
 		return page, nil
 	}
 	return m.page(ctx, id, head, after)
 }
 
-// askHolder asks the node that holds the job.
-func (m *Manager) askHolder(ctx context.Context, id string, head *Head, after int, waitFor time.Duration) (Page, error) {
+// queryHolder asks the node that holds the job.
+func (m *Manager) queryHolder(ctx context.Context, id string, head *Head, after int, waitFor time.Duration) (Page, error) {
 	if head.Holder == (Holder{}) || head.Holder.Node == m.cfg.Self.Node {
-		return Page{}, errNotHere
+		return Page{}, errNotHolder
 	}
 	waitFor = max(0, waitFor)
-	ctx, cancel := context.WithTimeout(ctx, waitFor+askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, waitFor+holderResponseTimeout)
 	defer cancel()
 	resp, err := m.Peers.Job(head.Holder.Address).Results(ctx, &v1.ResultsRequest{Job: id, After: uint32(after), WaitMs: uint32(waitFor.Milliseconds())})
 	if err != nil {
 		return Page{}, err
 	}
 	if !resp.Known {
-		return Page{}, errNotHere
+		return Page{}, errNotHolder
 	}
 	page := Page{Total: int(resp.Total)}
 	for _, r := range resp.Results {
 		page.Results = append(page.Results, Result{Item: r.Item, Dead: r.Dead, Text: r.Text})
 	}
-	m.keep(id, after, page.Results)
+	m.cacheResults(id, after, page.Results)
 	m.results.setTotal(id, page.Total)
 	return page, nil
 }
@@ -169,12 +169,12 @@
 	m := s.m
 	until := time.Now().Add(time.Duration(req.WaitMs) * time.Millisecond)
 	for {
-		page, changed, err := m.readHere(ctx, req.Job, int(req.After))
-		if errors.Is(err, errNotHere) {
+		page, changed, err := m.readHeld(ctx, req.Job, int(req.After))
+		if errors.Is(err, errNotHolder) {
 			page, err = m.readFinished(ctx, req.Job, int(req.After))
 			changed = nil
 		}
-		if errors.Is(err, errNotHere) {
+		if errors.Is(err, errNotHolder) {
 			return &v1.ResultsResponse{}, nil
 		}
 		if err != nil {
@@ -193,8 +193,8 @@
 // readFinished answers for a job that this node held to its end.
 func (m *Manager) readFinished(ctx context.Context, id string, after int) (Page, error) {
 	known, ok := m.knownHead(id)
-	if !ok || !known.whole || !known.head.Complete() {
-		return Page{}, errNotHere
+	if !ok || !known.fromStore || !known.head.Complete() {
+		return Page{}, errNotHolder
 	}
 	return m.page(ctx, id, &known.head, after)
 }
@@ -207,7 +207,7 @@
 		return page, nil
 	}
 	if results, _ := m.results.from(id, after); len(results) > 0 {
-		page.Results = bounded(results[:min(len(results), head.Listed()-after)])
+		page.Results = limitToPage(results[:min(len(results), head.Listed()-after)])
 		return page, nil
 	}
 	first := 0
@@ -217,9 +217,9 @@
 			if err != nil {
 				return Page{}, err
 			}
-			m.keep(id, first, results)
+			m.cacheResults(id, first, results)
 			m.results.setTotal(id, head.Total)
-			page.Results = bounded(results[after-first:])
+			page.Results = limitToPage(results[after-first:])
 			return page, nil
 		}
 		first += len(s.Items)
@@ -227,8 +227,8 @@
 	return page, nil
 }
 
-// keep holds listed results in memory.
-func (m *Manager) keep(id string, first int, results []Result) {
+// cacheResults holds listed results in memory.
+func (m *Manager) cacheResults(id string, first int, results []Result) {
 	moved := m.results.put(id, first, results)
 	m.Checker.Assert(moved < 0, invariant.PositionKept, id, "", "position %d held another result", moved)
 }
@@ -245,8 +245,8 @@
 	return results, nil
 }
 
-// bounded cuts a list of results to the size of a page; at least one is left.
-func bounded(results []Result) []Result {
+// limitToPage cuts a list of results to the size of a page; at least one is left.
+func limitToPage(results []Result) []Result {
 	sum := 0
 	for i, r := range results {
 		sum += resultSize(r)
@@ -263,12 +263,12 @@
 	m.mu.Lock()
 	h := m.held[id]
 	m.mu.Unlock()
-	known, seen := m.knownHead(id)
+	known, isKnown := m.knownHead(id)
 	if h != nil {
 		return findBody(h.items, id, item)
 	}
-	if seen && known.holderAnswers() {
-		body, found, err := m.askBody(ctx, &known.head, id, item)
+	if isKnown && known.holderUsable() {
+		body, found, err := m.queryBody(ctx, &known.head, id, item)
 		if err == nil && found {
 			return body, nil
 		}
@@ -277,7 +277,7 @@
 		}
 	}
 	head := known.head
-	if !known.whole {
+	if !known.fromStore {
 		var err error
 		if head, err = m.locate(ctx, id, false); err != nil {
 			return nil, err
@@ -301,19 +301,19 @@
 	return findBody(items, id, item)
 }
 
-// askBody asks the node that holds the job for the body of an item.
-func (m *Manager) askBody(ctx context.Context, head *Head, id, item string) (body []byte, found bool, err error) {
+// queryBody asks the node that holds the job for the body of an item.
+func (m *Manager) queryBody(ctx context.Context, head *Head, id, item string) (body []byte, found bool, err error) {
 	if head.Holder.Node == m.cfg.Self.Node {
-		return nil, false, errNotHere
+		return nil, false, errNotHolder
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, holderResponseTimeout)
 	defer cancel()
 	resp, err := m.Peers.Job(head.Holder.Address).Body(ctx, &v1.BodyRequest{Job: id, Item: item})
 	if err != nil {
 		return nil, false, err
 	}
 	if !resp.Held {
-		return nil, false, errNotHere
+		return nil, false, errNotHolder
 	}
 	return resp.Body, resp.Found, nil
 }
--- a/internal/request/job/record.go
+++ b/internal/request/job/record.go
@@ -121,8 +121,8 @@
 	Deadline  time.Time // of the answer
 }
 
-// scopeMark separates the ID that a caller gave a job from its workspace.
-const scopeMark = "@"
+// scopeSeparator separates the ID that a caller gave a job from its workspace.
+const scopeSeparator = "@"
 
 // ScopedID returns the ID under which a job of a workspace is kept. The same ID of two
 // workspaces names two jobs, and neither can name the other's: the mark is escaped in
@@ -131,13 +131,13 @@
 	if workspace == "" {
 		return id
 	}
-	return scopeEscaper.Replace(id) + scopeMark + scopeEscaper.Replace(workspace)
+	return scopeEscaper.Replace(id) + scopeSeparator + scopeEscaper.Replace(workspace)
 }
 
 // Scoped reports whether an ID could be that of a workspace's job.
-func Scoped(id string) bool { return strings.Contains(id, scopeMark) }
+func Scoped(id string) bool { return strings.Contains(id, scopeSeparator) }
 
-var scopeEscaper = strings.NewReplacer("%", "%25", scopeMark, "%40")
+var scopeEscaper = strings.NewReplacer("%", "%25", scopeSeparator, "%40")
 
 // Tokens returns the tokens of all items.
 func (s *Submission) Tokens() int64 {
@@ -153,9 +153,9 @@
 
 // Errors of a submission that can never be accepted.
 var (
-	errNoItems   = errors.New("a job needs at least one item")
-	errNoJobID   = errors.New("a job needs an ID")
-	errManyItems = fmt.Errorf("a job has at most %d items", MaxItems)
+	errNoItems      = errors.New("a job needs at least one item")
+	errNoJobID      = errors.New("a job needs an ID")
+	errTooManyItems = fmt.Errorf("a job has at most %d items", MaxItems)
 )
 
 // Check returns what is wrong with a submission, or nil.
@@ -166,7 +166,7 @@
 	case len(s.Items) == 0:
 		return errNoItems
 	case len(s.Items) > MaxItems:
-		return errManyItems
+		return errTooManyItems
 	}
 	seen := make(map[string]bool, len(s.Items))
 	for _, item := range s.Items {
--- a/internal/request/job/results.go
+++ b/internal/request/job/results.go
@@ -22,7 +22,7 @@
 	total   int
 	results map[int]Result // by position
 	bytes   int
-	place   *list.Element
+	element *list.Element
 }
 
 func newResultCache(limit int) *resultCache {
@@ -57,16 +57,16 @@
 	j := c.jobs[id]
 	if j == nil {
 		j = &cachedJob{id: id, results: map[int]Result{}}
-		j.place = c.order.PushFront(j)
+		j.element = c.order.PushFront(j)
 		c.jobs[id] = j
 		return j
 	}
-	c.order.MoveToFront(j.place)
+	c.order.MoveToFront(j.element)
 	return j
 }
 
 func (c *resultCache) drop(j *cachedJob) {
-	c.order.Remove(j.place)
+	c.order.Remove(j.element)
 	delete(c.jobs, j.id)
 	c.bytes -= j.bytes
 }
@@ -89,7 +89,7 @@
 	if j == nil {
 		return nil, 0
 	}
-	c.order.MoveToFront(j.place)
+	c.order.MoveToFront(j.element)
 	var out []Result
 	for {
 		r, ok := j.results[after+len(out)]
--- a/internal/request/job/room.go
+++ b/internal/request/job/room.go
@@ -15,7 +15,7 @@
 		return
 	}
 	for id, n := range m.Pool.Excess() {
-		m.yield(id, n)
+		m.preempt(id, n)
 	}
 }
 
@@ -34,18 +34,18 @@
 func (m *Manager) PreemptItemAt(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.yield(id, 1)
+	m.preempt(id, 1)
 }
 
-// yield stops up to n items at a target. The caller holds m.mu until the pool has
+// preempt stops up to n items at a target. The caller holds m.mu until the pool has
 // counted them, so that none of them ends there before.
-func (m *Manager) yield(id string, n int) {
-	here := m.runningWhere(func(t choose.Target) bool { return t.ID == id })
-	for _, item := range schedule.SelectYielding(here, n) {
+func (m *Manager) preempt(id string, n int) {
+	running := m.runningWhere(func(t choose.Target) bool { return t.ID == id })
+	for _, item := range schedule.SelectYielding(running, n) {
 		h := m.held[item.Job]
 		stop := h.stops[item.Index]
 		delete(h.stops, item.Index)
-		if !stop(errYielded) {
+		if !stop(errPreempted) {
 			continue // it has ended otherwise
 		}
 		m.Pool.Yielding(h.progress.items[item.Index].target)
@@ -56,12 +56,12 @@
 
 // runningWhere returns the items that run at some targets and were not stopped. The
 // caller holds m.mu.
-func (m *Manager) runningWhere(wanted func(choose.Target) bool) []schedule.Item {
+func (m *Manager) runningWhere(match func(choose.Target) bool) []schedule.Item {
 	var items []schedule.Item
 	for _, h := range m.held {
-		due := dueAt(&h.head, m.routeOf(&h.head))
+		due := dueTime(&h.head, m.routeOf(&h.head))
 		for i := range h.stops {
-			if s := &h.progress.items[i]; wanted(s.target) {
+			if s := &h.progress.items[i]; match(s.target) {
 				items = append(items, schedule.Item{Job: h.id, Index: i, Due: due, Sent: s.sentAt})
 			}
 		}
--- a/internal/request/job/room_test.go
+++ b/internal/request/job/room_test.go
@@ -48,10 +48,10 @@
 	p.ends.Done()
 }
 
-// stoppedSender's attempts end as soon as they are stopped, or at a time of their own.
-type stoppedSender struct{ after time.Duration }
+// delaySender's attempts end as soon as they are stopped, or at a time of their own.
+type delaySender struct{ after time.Duration }
 
-func (s stoppedSender) Send(ctx context.Context, _ target.Call) (*target.Answer, error) {
+func (s delaySender) Send(ctx context.Context, _ target.Call) (*target.Answer, error) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(s.after):
@@ -71,11 +71,11 @@
 func TestItemsThatHaveLeftAreNotLeaving(t *testing.T) {
 	for name, c := range map[string]struct {
 		pool  *slowPool
-		sends stoppedSender
+		sends delaySender
 	}{
-		"it ends before it is counted":             {&slowPool{yielding: 30 * time.Millisecond}, stoppedSender{time.Minute}},
-		"it ends by itself while it is told to":    {&slowPool{ending: 30 * time.Millisecond}, stoppedSender{20 * time.Millisecond}},
-		"it has ended and its end is not told yet": {&slowPool{ending: 60 * time.Millisecond}, stoppedSender{0}},
+		"it ends before it is counted":             {&slowPool{yielding: 30 * time.Millisecond}, delaySender{time.Minute}},
+		"it ends by itself while it is told to":    {&slowPool{ending: 30 * time.Millisecond}, delaySender{20 * time.Millisecond}},
+		"it has ended and its end is not told yet": {&slowPool{ending: 60 * time.Millisecond}, delaySender{0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -85,7 +85,7 @@
 			m.Pool, m.Sender = pool, c.sends
 			m.Allotments = func() func(choose.Target) int { return func(choose.Target) int { return 2 } }
 			is.NoErr(m.Submit(context.Background(), submission("job")))
-			m.fill(context.Background())
+			m.sendWaiting(context.Background())
 			time.Sleep(35 * time.Millisecond)
 			m.PreemptItemAt("t")
 			m.PreemptItemAt("t")
--- a/internal/request/job/run.go
+++ b/internal/request/job/run.go
@@ -19,60 +19,60 @@
 
 // Reasons for which the attempt at an item is stopped.
 var (
-	errEnded    = errors.New("the job was ended by its caller")
-	errReleased = errors.New("the job is handed over")
-	errYielded  = errors.New("online requests need the room")
-	errMoved    = errors.New("the data centre of the target is evacuated")
-	errSilent   = errors.New("the target was silent for too long")
-	errReplaced = errors.New("the target has started again")
-	errRefused  = errors.New("targets crash under the item")
+	errEnded       = errors.New("the job was ended by its caller")
+	errReleased    = errors.New("the job is handed over")
+	errPreempted   = errors.New("online requests need the room")
+	errMoved       = errors.New("the data centre of the target is evacuated")
+	errStalled     = errors.New("the target was silent for too long")
+	errReplaced    = errors.New("the target has started again")
+	errQuarantined = errors.New("targets crash under the item")
 )
 
 const (
-	// scheduleTick is the time between looks for room while items wait; a finished
+	// scheduleInterval is the time between looks for room while items wait; a finished
 	// item or a new job wakes the scheduler at once.
-	scheduleTick = 20 * time.Millisecond
-	// runningTick is the same while all items run: then only the time grows for
+	scheduleInterval = 20 * time.Millisecond
+	// allRunningInterval is the same while all items run: then only the time grows for
 	// which online requests wait where they do.
-	runningTick = 50 * time.Millisecond
-	// notRunPause is the pause after a target refused an item.
-	notRunPause = 40 * time.Millisecond
-	// yieldPause is the pause after an item made room.
-	yieldPause = 100 * time.Millisecond
-	// silence ends an attempt whose target sends nothing: many times the usual
+	allRunningInterval = 50 * time.Millisecond
+	// refusalBackoff is the pause after a target refused an item.
+	refusalBackoff = 40 * time.Millisecond
+	// preemptionBackoff is the pause after an item made room.
+	preemptionBackoff = 100 * time.Millisecond
+	// stallTimeout ends an attempt whose target sends nothing: many times the usual
 	// pause between events, and short beside the time in which jobs are due.
-	silence = 2 * time.Second
-	// replacedSilence is the same once the target is said to have started again.
-	replacedSilence = 200 * time.Millisecond
+	stallTimeout = 2 * time.Second
+	// replacedStallTimeout is the same once the target is said to have started again.
+	replacedStallTimeout = 200 * time.Millisecond
 )
 
 // schedule sends items while there is room, in the order of package schedule.
 func (m *Manager) schedule(ctx context.Context) {
-	timer := time.NewTimer(scheduleTick)
+	timer := time.NewTimer(scheduleInterval)
 	defer timer.Stop()
 	for m.waitForWork(ctx) {
-		looked := m.Clock.Now()
-		m.moveEvacuated(looked)
+		started := m.Clock.Now()
+		m.moveEvacuated(started)
 		m.PreemptItems() // also while nothing changes: the time for which requests wait for a slot grows
-		m.fill(ctx)
-		timer.Reset(m.lookAgainIn())
+		m.sendWaiting(ctx)
+		timer.Reset(m.nextScheduleIn())
 		select {
 		case <-ctx.Done():
-		case <-m.wakeUp:
+		case <-m.scheduleNow:
 		case <-timer.C:
 		}
-		if paused := m.Clock.Since(looked); paused > pauseNoticed {
-			m.verifyAll(paused)
+		if suspended := m.Clock.Since(started); suspended > suspensionThreshold {
+			m.verifyAll(suspended)
 		}
 	}
 }
 
-// lookAgainIn returns when the scheduler looks for room again.
-func (m *Manager) lookAgainIn() time.Duration {
-	if m.anyWaiting(time.Now().Add(runningTick)) {
-		return scheduleTick
+// nextScheduleIn returns when the scheduler looks for room again.
+func (m *Manager) nextScheduleIn() time.Duration {
+	if m.anyWaiting(time.Now().Add(allRunningInterval)) {
+		return scheduleInterval
 	}
-	return runningTick
+	return allRunningInterval
 }
 
 // waitForWork waits until this node holds a job; false: ctx has ended. A node
@@ -85,7 +85,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-m.wakeUp:
+		case <-m.scheduleNow:
 		}
 	}
 	return false
@@ -104,20 +104,20 @@
 	return !m.draining && len(m.waitingItems(now)) > 0
 }
 
-// fill sends as many items as there is room for.
-func (m *Manager) fill(ctx context.Context) {
+// sendWaiting sends as many items as there is room for.
+func (m *Manager) sendWaiting(ctx context.Context) {
 	now := time.Now()
 	if !m.anyWaiting(now) {
 		return
 	}
-	limit := m.Allotments()
+	allotment := m.Allotments()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	full := map[string]bool{} // services without room
 	for _, item := range m.waitingItems(now) {
 		h := m.held[item.Job]
 		if r := m.routeOf(&h.head); r != nil && !m.draining {
-			m.place(ctx, h, item, now, r, limit, full)
+			m.sendItem(ctx, h, item, now, r, allotment, full)
 		}
 	}
 }
@@ -130,9 +130,9 @@
 		if h.ended || h.released {
 			continue
 		}
-		due := dueAt(&h.head, m.routeOf(&h.head))
+		due := dueTime(&h.head, m.routeOf(&h.head))
 		for i := range h.progress.items {
-			if h.progress.mayBeSent(i, now) && !m.refused(h, i) {
+			if h.progress.mayBeSent(i, now) && !m.isQuarantined(h, i) {
 				items = append(items, schedule.Item{Workspace: h.head.Workspace, Job: h.id, Index: i, Tokens: h.items[i].Tokens, Due: due})
 			}
 		}
@@ -141,34 +141,34 @@
 	return items
 }
 
-// refused reports whether targets crash under an item. It then waits: it may be given
+// isQuarantined reports whether targets crash under an item. It then waits: it may be given
 // up only when its time is over, and may be let go before. The caller holds m.mu.
-func (m *Manager) refused(h *held, i int) bool {
+func (m *Manager) isQuarantined(h *heldJob, i int) bool {
 	err := m.Quarantine.Refuse(&h.works[i])
-	if refused := err != nil; refused != h.progress.items[i].refused {
-		h.progress.items[i].refused = refused
-		if refused {
+	if quarantined := err != nil; quarantined != h.progress.items[i].quarantined {
+		h.progress.items[i].quarantined = quarantined
+		if quarantined {
 			m.Recorder.Record(timeline.ItemRefused, h.items[i].ID, "", err.Error(), timeline.Field{Name: "job", Value: h.id})
 		}
 	}
 	return err != nil
 }
 
-// place sends one item if there is room. The caller holds m.mu.
-func (m *Manager) place(ctx context.Context, h *held, item schedule.Item, now time.Time, r *route.Route, limit func(choose.Target) int, full map[string]bool) {
+// sendItem sends one item if there is room. The caller holds m.mu.
+func (m *Manager) sendItem(ctx context.Context, h *heldJob, item schedule.Item, now time.Time, r *route.Route, allotment func(choose.Target) int, full map[string]bool) {
 	i := item.Index
 	service := r.Service(rand.Float64())
 	if full[service] {
 		return
 	}
-	t, ok := m.Pool.ChooseBatch(choose.Need{Service: service, Limit: limit})
+	t, ok := m.Pool.ChooseBatch(choose.Need{Service: service, Limit: allotment})
 	if !ok {
 		full[service] = true
 		return
 	}
 	t.Sent = m.Clock.Now()
 	m.fair.MarkSent(item)
-	h.progress.sent(i, t, now)
+	h.progress.markSent(i, t, now)
 	attempt, cancel := context.WithCancelCause(ctx)
 	h.stops[i] = func(cause error) bool {
 		cancel(cause)
@@ -176,7 +176,7 @@
 	}
 	m.Checker.Assert(!m.endKnown(h.id), invariant.NoWorkCancelled, h.items[i].ID, t.ID, "item sent after its job was ended")
 	m.Recorder.Record(timeline.ItemSent, h.items[i].ID, t.ID, "", timeline.Field{Name: "job", Value: h.id},
-		timeline.Field{Name: "resume_after", Value: h.progress.items[i].held}, timeline.Field{Name: "due_ms", Value: time.Until(dueAt(&h.head, r)).Milliseconds()})
+		timeline.Field{Name: "resume_after", Value: h.progress.items[i].lastEvent}, timeline.Field{Name: "due_ms", Value: time.Until(dueTime(&h.head, r)).Milliseconds()})
 	go m.run(attempt, cancel, h, i, t, r)
 }
 
@@ -184,24 +184,24 @@
 // that can be stopped, whether it was told to make room is settled: the pool is told of
 // both the same, or its count of items that are making room would stay too high, and no
 // other would be told to.
-func (m *Manager) run(ctx context.Context, cancel context.CancelCauseFunc, h *held, i int, t choose.Target, r *route.Route) {
+func (m *Manager) run(ctx context.Context, cancel context.CancelCauseFunc, h *heldJob, i int, t choose.Target, r *route.Route) {
 	defer cancel(nil)
-	live := &target.Liveness{}
-	defer live.Stop()
+	liveness := &target.Liveness{}
+	defer liveness.Stop()
 	defer m.Pool.WhenGone(t, func() {
 		if !m.Quarantine.EndedBefore(t) {
-			live.Replaced(replacedSilence, func() { cancel(errReplaced) })
+			liveness.Replaced(replacedStallTimeout, func() { cancel(errReplaced) })
 		}
 	})()
-	defer m.Quarantine.OnRefusal(&h.works[i], func() { cancel(errRefused) })()
-	err := m.attempt(ctx, cancel, h, i, t, r, live)
+	defer m.Quarantine.OnRefusal(&h.works[i], func() { cancel(errQuarantined) })()
+	err := m.attempt(ctx, cancel, h, i, t, r, liveness)
 	m.mu.Lock()
 	delete(h.stops, i)
 	m.mu.Unlock()
-	m.Pool.EndBatch(t, outcomeOf(ctx, err), errors.Is(context.Cause(ctx), errYielded))
-	m.take(ctx, h, i, t, r, err)
-	m.signal()
-	h.signal()
+	m.Pool.EndBatch(t, outcomeOf(ctx, err), errors.Is(context.Cause(ctx), errPreempted))
+	m.attemptEnded(ctx, h, i, t, r, err)
+	m.wakeScheduler()
+	h.wakeCommitter()
 }
 
 // statusError is an answer of a target that is not the item's output.
@@ -209,16 +209,16 @@
 
 func (e statusError) Error() string { return "the target answered " + http.StatusText(int(e)) }
 
-func (m *Manager) attempt(ctx context.Context, cancel context.CancelCauseFunc, h *held, i int, t choose.Target, r *route.Route, live *target.Liveness) error {
+func (m *Manager) attempt(ctx context.Context, cancel context.CancelCauseFunc, h *heldJob, i int, t choose.Target, r *route.Route, liveness *target.Liveness) error {
 	m.mu.Lock()
-	held := h.progress.items[i].held
+	resumeAfter := h.progress.items[i].lastEvent
 	m.mu.Unlock()
 	item := &h.items[i]
-	watchdog := time.AfterFunc(silence, func() { cancel(errSilent) })
-	defer watchdog.Stop()
+	stallTimer := time.AfterFunc(stallTimeout, func() { cancel(errStalled) })
+	defer stallTimer.Stop()
 	answer, err := m.Sender.Send(ctx, target.Call{
 		Address: t.Addr, InstanceID: t.ID, Incarnation: t.Incarnation, RequestID: item.ID, Workspace: h.head.Workspace, Method: http.MethodPost, Host: h.head.Host, Path: item.Path,
-		Header: item.header(), Body: item.Body, ResumeAfter: held, Deadline: time.UnixMilli(h.head.Submitted).Add(r.AbandonAfter),
+		Header: item.header(), Body: item.Body, ResumeAfter: resumeAfter, Deadline: time.UnixMilli(h.head.Submitted).Add(r.AbandonAfter),
 	})
 	if err != nil {
 		return err
@@ -235,10 +235,10 @@
 		if err != nil {
 			return err
 		}
-		live.Brought()
-		watchdog.Reset(silence)
+		liveness.Brought()
+		stallTimer.Reset(stallTimeout)
 		m.mu.Lock()
-		h.progress.event(i, event.ID, event.Data)
+		h.progress.addEvent(i, event.ID, event.Data)
 		m.mu.Unlock()
 	}
 }
@@ -248,7 +248,7 @@
 	switch {
 	case err == nil:
 		return choose.Success
-	case errors.Is(context.Cause(ctx), errSilent):
+	case errors.Is(context.Cause(ctx), errStalled):
 		return choose.Failure
 	case errors.As(err, &status), ctx.Err() != nil:
 		return choose.Neutral
@@ -260,8 +260,8 @@
 	return choose.Failure
 }
 
-// take moves an item on after an attempt.
-func (m *Manager) take(ctx context.Context, h *held, i int, t choose.Target, r *route.Route, err error) {
+// attemptEnded moves an item on after an attempt.
+func (m *Manager) attemptEnded(ctx context.Context, h *heldJob, i int, t choose.Target, r *route.Route, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
@@ -269,7 +269,7 @@
 	if err == nil {
 		m.Quarantine.Completed(&h.works[i])
 		m.Recorder.Record(timeline.ItemDone, item.ID, t.ID, "", timeline.Field{Name: "job", Value: h.id},
-			timeline.Field{Name: "events", Value: h.progress.items[i].held}, timeline.Field{Name: "took_ms", Value: now.Sub(h.progress.items[i].sentAt).Milliseconds()})
+			timeline.Field{Name: "events", Value: h.progress.items[i].lastEvent}, timeline.Field{Name: "took_ms", Value: now.Sub(h.progress.items[i].sentAt).Milliseconds()})
 		h.progress.finish(i, Result{Item: item.ID, Text: string(h.progress.items[i].text)}, now)
 		return
 	}
@@ -277,42 +277,42 @@
 	if ctx.Err() != nil {
 		cause = context.Cause(ctx)
 	}
-	fields := []timeline.Field{{Name: "job", Value: h.id}, {Name: "held", Value: h.progress.items[i].held}}
+	fields := []timeline.Field{{Name: "job", Value: h.id}, {Name: "held", Value: h.progress.items[i].lastEvent}}
 	if target.EndOf(err).Ran() {
 		fields = append(fields, timeline.Field{Name: "work", Value: h.works[i].ID().String()})
 	}
 	m.Recorder.Record(timeline.ItemFailed, item.ID, t.ID, cause.Error(), fields...)
-	m.judge(ctx, h, i, t, r, err, now)
+	m.handleFailure(ctx, h, i, t, r, err, now)
 }
 
-// judge decides what follows an attempt that did not end with the whole output.
-func (m *Manager) judge(ctx context.Context, h *held, i int, t choose.Target, r *route.Route, err error, now time.Time) {
+// handleFailure decides what follows an attempt that did not end with the whole output.
+func (m *Manager) handleFailure(ctx context.Context, h *heldJob, i int, t choose.Target, r *route.Route, err error, now time.Time) {
 	var status statusError
 	var failure *target.Error
-	m.noteLoss(ctx, h, i, t, err)
+	m.reportToQuarantine(ctx, h, i, t, err)
 	switch {
-	case errors.Is(context.Cause(ctx), errYielded):
-		h.progress.unsent(i, now, yieldPause)
+	case errors.Is(context.Cause(ctx), errPreempted):
+		h.progress.requeue(i, now, preemptionBackoff)
 	case errors.Is(context.Cause(ctx), errEnded), errors.Is(context.Cause(ctx), errReleased):
-		h.progress.unsent(i, now, 0)
-	case errors.Is(context.Cause(ctx), errRefused), errors.Is(context.Cause(ctx), errMoved):
-		h.progress.unsent(i, now, 0)
+		h.progress.requeue(i, now, 0)
+	case errors.Is(context.Cause(ctx), errQuarantined), errors.Is(context.Cause(ctx), errMoved):
+		h.progress.requeue(i, now, 0)
 	case errors.As(err, &status) && status == http.StatusUnprocessableEntity:
-		m.dead(h, i, "the target says that it can never be done")
+		m.giveUpItem(h, i, "the target says that it can never be done")
 	case errors.As(err, &status) && status == http.StatusInternalServerError:
-		if !h.progress.failed(i, now, max(1, r.Attempts)) {
-			m.dead(h, i, "it failed at every attempt")
+		if !h.progress.attemptFailed(i, now, max(1, r.Attempts)) {
+			m.giveUpItem(h, i, "it failed at every attempt")
 		}
 	case errors.As(err, &failure) && !failure.End.Ran():
-		m.noteRefusal(t, failure)
-		h.progress.unsent(i, now, notRunPause)
+		m.handleRefusal(t, failure)
+		h.progress.requeue(i, now, refusalBackoff)
 	default:
-		h.progress.broke(i, now)
+		h.progress.attemptBroke(i, now)
 	}
 }
 
-// noteLoss tells the quarantine what the end of an attempt says about the target.
-func (m *Manager) noteLoss(ctx context.Context, h *held, i int, t choose.Target, err error) {
+// reportToQuarantine tells the quarantine what the end of an attempt says about the target.
+func (m *Manager) reportToQuarantine(ctx context.Context, h *heldJob, i int, t choose.Target, err error) {
 	var status statusError
 	var failure *target.Error
 	switch {
@@ -326,7 +326,7 @@
 	}
 }
 
-func (m *Manager) noteRefusal(t choose.Target, failure *target.Error) {
+func (m *Manager) handleRefusal(t choose.Target, failure *target.Error) {
 	switch {
 	case failure.End == target.WrongInstance:
 		m.Pool.Leave(t, string(quarantine.AnotherAtAddress))
--- a/internal/request/job/run_test.go
+++ b/internal/request/job/run_test.go
@@ -10,10 +10,10 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// callSender keeps the calls that are made, and answers none.
-type callSender struct{ calls chan target.Call }
+// recordingSender keeps the calls that are made, and answers none.
+type recordingSender struct{ calls chan target.Call }
 
-func (s callSender) Send(ctx context.Context, call target.Call) (*target.Answer, error) {
+func (s recordingSender) Send(ctx context.Context, call target.Call) (*target.Answer, error) {
 	s.calls <- call
 	<-ctx.Done()
 	return nil, &target.Error{End: target.GivenUp, Cause: ctx.Err()}
@@ -26,11 +26,11 @@
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	sender := callSender{make(chan target.Call, 8)}
+	sender := recordingSender{make(chan target.Call, 8)}
 	m := newTestManager("n", newMemoryStore())
 	m.Pool, m.Sender = newSlowPool(2), sender
 	m.Allotments = func() func(choose.Target) int { return func(choose.Target) int { return 2 } }
 	is.NoErr(m.Submit(ctx, submission("job")))
-	m.fill(ctx)
+	m.sendWaiting(ctx)
 	is.Equal((<-sender.calls).Incarnation, uint64(1))
 }
--- a/internal/request/job/submit.go
+++ b/internal/request/job/submit.go
@@ -13,9 +13,9 @@
 	"github.com/marblepond/marblepond/internal/request/backlog"
 )
 
-// answerMargin is kept between the last try of a write and the deadline of the
+// responseMargin is kept between the last try of a write and the deadline of the
 // answer.
-const answerMargin = 200 * time.Millisecond
+const responseMargin = 200 * time.Millisecond
 
 // Submit accepts a job: when it returns nil, the job is in the object store
 // and all of it is the system's to keep. A job that was accepted before is
@@ -35,10 +35,10 @@
 	if err := s.Check(); err != nil {
 		return errkind.Malformed.New("%v", err)
 	}
-	if m.known(s.ID) {
+	if m.isAccepted(s.ID) {
 		return nil
 	}
-	ctx, cancel := context.WithDeadline(ctx, s.Deadline.Add(-answerMargin))
+	ctx, cancel := context.WithDeadline(ctx, s.Deadline.Add(-responseMargin))
 	defer cancel()
 	release, err := m.reserve(ctx, s)
 	if err != nil {
@@ -56,16 +56,16 @@
 }
 
 const (
-	// mostInline is the most bytes of items that a head carries. Every node reads
+	// maxInlineBytes is the most bytes of items that a head carries. Every node reads
 	// the heads of all jobs now and then, and a job lets go of its items at the
 	// first commit, a few seconds after it was accepted.
-	mostInline = 48 << 10
-	// slowShare is the share of the objective of the answer from which on two
+	maxInlineBytes = 48 << 10
+	// slowWritesShare is the share of the objective of the answer from which on two
 	// writes one after the other are taken to miss it.
-	slowShare = 0.8
-	// inlineWait is how long, in objectives of the answer, one write may take to
+	slowWritesShare = 0.8
+	// inlineTimeoutObjectives is how long, in objectives of the answer, one write may take to
 	// be answered before the caller is told that the outcome is not known.
-	inlineWait = 2
+	inlineTimeoutObjectives = 2
 )
 
 // fitsInline reports whether a job is to be accepted with one write: it is small,
@@ -74,21 +74,21 @@
 // promise that nothing of the job runs.
 func (m *Manager) fitsInline(s *Submission) bool {
 	took := m.StoreLatency()
-	if took == 0 || s.Route.Objective <= 0 || float64(2*took) < slowShare*float64(s.Route.Objective) {
+	if took == 0 || s.Route.Objective <= 0 || float64(2*took) < slowWritesShare*float64(s.Route.Objective) {
 		return false
 	}
 	size := 0
 	for i := range s.Items {
 		size += itemSize(s.Items[i]) + encodingOverhead
 	}
-	return size <= mostInline
+	return size <= maxInlineBytes
 }
 
 // submitInline writes the head with the items in it: half the time of two
 // writes one after the other, which decides whether a job is accepted within the
 // objective when the store is slow.
 func (m *Manager) submitInline(ctx context.Context, s *Submission) error {
-	ctx, cancel := context.WithDeadline(ctx, s.Arrived.Add(inlineWait*s.Route.Objective))
+	ctx, cancel := context.WithDeadline(ctx, s.Arrived.Add(inlineTimeoutObjectives*s.Route.Objective))
 	defer cancel()
 	return m.writeHead(ctx, s, newHead(s, 0, s.Items))
 }
@@ -97,11 +97,11 @@
 	return &Head{Workspace: s.Workspace, Host: s.Host, Path: s.Path, Submitted: s.Arrived.UnixMilli(), Total: len(s.Items), Parts: parts, Inline: inline, Epoch: 1}
 }
 
-// known reports whether this node knows that a job was accepted.
-func (m *Manager) known(id string) bool {
+// isAccepted reports whether this node knows that a job was accepted.
+func (m *Manager) isAccepted(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.heads[id].whole || m.held[id] != nil
+	return m.heads[id].fromStore || m.held[id] != nil
 }
 
 // reserve counts the job's tokens against what may wait of its workspace on the route,
@@ -117,10 +117,10 @@
 	if err = m.Backlogs.Reserve(ctx, key, s.Tokens(), s.Route.TokenCap, add); err == nil {
 		return release, nil
 	}
-	switch _, _, lookUp := m.getHead(ctx, callbudget.Commit, s.ID); {
-	case lookUp == nil:
+	switch _, _, headErr := m.getHead(ctx, callbudget.Commit, s.ID); {
+	case headErr == nil:
 		return func() {}, nil // accepted before; what follows finds the head
-	case !errors.Is(lookUp, objects.ErrNotFound):
+	case !errors.Is(headErr, objects.ErrNotFound):
 		return nil, errkind.PlatformUnavailable.New("the job does not fit now, and whether it was accepted before is not known")
 	}
 	return nil, err
@@ -151,7 +151,7 @@
 // storeItems puts the items of a job into objects of their own and returns their
 // number. Those that are there already are left: they are the same.
 func (m *Manager) storeItems(ctx context.Context, id string, items []Item) (int, error) {
-	parts := split(items, m.cfg.MaxValueBytes*valueShare/100, itemSize)
+	parts := split(items, m.cfg.MaxValueBytes*valueFillPercent/100, itemSize)
 	errs := make([]error, len(parts))
 	var wg sync.WaitGroup
 	for n, part := range parts {
@@ -161,43 +161,43 @@
 	return len(parts), errors.Join(errs...)
 }
 
-// valueShare is the share in per cent of the store's largest value that an
+// valueFillPercent is the share in per cent of the store's largest value that an
 // object is filled to; the rest is for the object's own fields and for
 // characters that need escaping.
-const valueShare = 70
+const valueFillPercent = 70
 
 // writeHead makes the job accepted.
 func (m *Manager) writeHead(ctx context.Context, s *Submission, head *Head) error {
 	head.Holder, head.Keepers, head.Writer = m.cfg.Self, m.chooseKeepers(s.ID, nil), newToken()
 	o, existed, err := m.create(ctx, KindHeads, s.ID, encode(head))
 	switch {
-	case errors.Is(err, errMaybe):
+	case errors.Is(err, errOutcomeUnknown):
 		return errkind.UnknownOutcome.New("whether the job was accepted is not known; send it again")
 	case err != nil:
 		return errkind.PlatformUnavailable.New("the object store does not take the job: %v", err)
 	case existed:
-		return m.acceptedBefore(ctx, s, head)
+		return m.acceptExisting(ctx, s, head)
 	}
-	m.accepted(s, *head, o.Revision, "accepted")
+	m.startAccepted(s, *head, o.Revision, "accepted")
 	return nil
 }
 
-func (m *Manager) accepted(s *Submission, head Head, revision int64, why string) {
+func (m *Manager) startAccepted(s *Submission, head Head, revision int64, why string) {
 	m.Recorder.Record(timeline.JobAccepted, s.ID, "", "", timeline.Field{Name: "items", Value: head.Total},
 		timeline.Field{Name: "tokens", Value: s.Tokens()}, timeline.Field{Name: "took_ms", Value: time.Since(s.Arrived).Milliseconds()})
-	m.hold(s.ID, head, revision, s.Items, nil, why)
+	m.startHeldJob(s.ID, head, revision, s.Items, nil, why)
 }
 
-// acceptedBefore answers a job whose head is there: by another node, or by
+// acceptExisting answers a job whose head is there: by another node, or by
 // this one when the answer to its write was lost.
-func (m *Manager) acceptedBefore(ctx context.Context, s *Submission, mine *Head) error {
+func (m *Manager) acceptExisting(ctx context.Context, s *Submission, written *Head) error {
 	head, o, err := m.getHead(ctx, callbudget.Commit, s.ID)
-	if err == nil && head.Writer == mine.Writer {
-		m.accepted(s, head, o.Revision, "accepted; the answer of the store was lost")
+	if err == nil && head.Writer == written.Writer {
+		m.startAccepted(s, head, o.Revision, "accepted; the answer of the store was lost")
 		return nil
 	}
 	if err == nil {
-		m.learn(s.ID, head, o.Revision, time.Time{})
+		m.rememberHead(s.ID, head, o.Revision, time.Time{})
 	}
 	return nil // the head exists, whoever holds the job
 }
--- a/internal/request/job/submit_test.go
+++ b/internal/request/job/submit_test.go
@@ -30,9 +30,9 @@
 	return s.memoryStore.Create(ctx, class, kind, name, value)
 }
 
-// slow makes a manager take the store for slow, and the job for one that has to
+// makeStoreSlow makes a manager take the store for makeStoreSlow, and the job for one that has to
 // be accepted soon.
-func slow(m *Manager, s *Submission) {
+func makeStoreSlow(m *Manager, s *Submission) {
 	m.StoreLatency = func() time.Duration { return 200 * time.Millisecond }
 	s.Route.Objective = 300 * time.Millisecond
 }
@@ -43,7 +43,7 @@
 	store := slowStore{newMemoryStore(), 200 * time.Millisecond}
 	m := newTestManager("n1", store)
 	s := submission("j")
-	slow(m, s)
+	makeStoreSlow(m, s)
 	start := time.Now()
 	is.NoErr(m.Submit(context.Background(), s))
 	is.True(time.Since(start) < 300*time.Millisecond)
@@ -58,7 +58,7 @@
 	store := newMemoryStore()
 	first := newTestManager("n1", store)
 	s := submission("j")
-	slow(first, s)
+	makeStoreSlow(first, s)
 	is.NoErr(first.Submit(context.Background(), s))
 	second := newTestManager("n2", store)
 	_, err := second.Body(context.Background(), "j", "i1")
@@ -67,12 +67,12 @@
 	h := second.held["j"]
 	is.Equal(len(h.items), 2)
 
-	h.writing.Lock()
+	h.commitMu.Lock()
 	second.mu.Lock()
 	h.progress.finish(0, Result{Item: "i0", Text: "done"}, time.Now())
 	second.mu.Unlock()
 	is.True(second.commit(h))
-	h.writing.Unlock()
+	h.commitMu.Unlock()
 	is.Equal(store.count(KindItems), 1)
 	head, _, err := second.getHead(context.Background(), callbudget.Commit, "j")
 	is.NoErr(err)
@@ -96,12 +96,12 @@
 	for i := range 20 {
 		large.Items = append(large.Items, Item{ID: fmt.Sprint("i", i), Path: "/j/a", Body: []byte(strings.Repeat("x", 4<<10))})
 	}
-	slow(m, large)
+	makeStoreSlow(m, large)
 	is.NoErr(m.Submit(context.Background(), large))
 	is.Equal(store.count(KindItems), 1)
 	for _, took := range []time.Duration{0, 5 * time.Millisecond} { // it does not answer, or in time
 		s := submission(took.String())
-		slow(m, s)
+		makeStoreSlow(m, s)
 		m.StoreLatency = func() time.Duration { return took }
 		is.NoErr(m.Submit(context.Background(), s))
 	}
@@ -114,17 +114,17 @@
 	store := newMemoryStore()
 	m := newTestManager("n1", store)
 	s := submission("j")
-	slow(m, s)
+	makeStoreSlow(m, s)
 	is.NoErr(m.Submit(context.Background(), s))
 	h := m.held["j"]
-	h.writing.Lock()
+	h.commitMu.Lock()
 	m.mu.Lock()
 	for i, item := range h.items {
 		h.progress.finish(i, Result{Item: item.ID, Text: "done"}, time.Now())
 	}
 	m.mu.Unlock()
 	is.True(m.commit(h))
-	h.writing.Unlock()
+	h.commitMu.Unlock()
 	is.Equal(store.count(KindItems), 0)
 	head, _, err := m.getHead(context.Background(), callbudget.Commit, "j")
 	is.NoErr(err)
--- a/internal/request/job/sweep.go
+++ b/internal/request/job/sweep.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// suspectSweep is the time between sweeps while a holder does not answer or
+	// suspectSweepInterval is the time between sweeps while a holder does not answer or
 	// lost jobs are left.
-	suspectSweep = 600 * time.Millisecond
+	suspectSweepInterval = 600 * time.Millisecond
 	// adoptStagger is how much longer each further node in the order of a job
 	// waits before it takes the job over: the one before it has done so by then,
 	// or is not there.
-	adoptStagger = suspectSweep
+	adoptStagger = suspectSweepInterval
 	// restartGrace is how long a node that answers and does not hold a job is left
 	// the time to take it up again: it has just started.
 	restartGrace = 1500 * time.Millisecond
@@ -28,12 +28,12 @@
 	probeTimeout = 400 * time.Millisecond
 	// adoptTimeout bounds one take-over.
 	adoptTimeout = 5 * time.Second
-	// expiredSlack is added to the time that a job stays readable before it is
+	// removalMargin is added to the time that a job stays readable before it is
 	// removed from the store.
-	expiredSlack = 30 * time.Second
-	// firstSweep is when a starting node first looks: soon, because all nodes may
+	removalMargin = 30 * time.Second
+	// firstSweepDelay is when a starting node first looks: soon, because all nodes may
 	// have been lost at once, and after the first configuration is usually known.
-	firstSweep = 300 * time.Millisecond
+	firstSweepDelay = 300 * time.Millisecond
 )
 
 // sweep looks for jobs without a holder until ctx ends: those of an earlier
@@ -41,16 +41,16 @@
 // those whose holder does not answer for long. A starting node looks for the first
 // of these; for the others a few nodes of each data centre look.
 func (m *Manager) sweep(ctx context.Context) {
-	pause, ownLeft := firstSweep, true
-	for m.sweepPause(ctx, pause*3/4+rand.N(pause/2)) {
-		m.forgetOld()
+	pause, ownRemain := firstSweepDelay, true
+	for m.waitForSweep(ctx, pause*3/4+rand.N(pause/2)) {
+		m.pruneOld()
 		pause = m.cfg.SweepInterval
-		if !ownLeft && !m.Peers.IsSweeper() {
+		if !ownRemain && !m.Peers.IsSweeper() {
 			continue
 		}
 		var suspected bool
-		if suspected, ownLeft = m.sweepOnce(ctx); suspected {
-			pause = suspectSweep
+		if suspected, ownRemain = m.sweepOnce(ctx); suspected {
+			pause = suspectSweepInterval
 		}
 	}
 }
@@ -59,20 +59,20 @@
 // more.
 func (m *Manager) TriggerSweep() {
 	select {
-	case m.sweepSoon <- struct{}{}:
+	case m.sweepNow <- struct{}{}:
 	default: // asked for already
 	}
 }
 
-// sweepPause waits for the next sweep; false: ctx has ended.
-func (m *Manager) sweepPause(ctx context.Context, pause time.Duration) bool {
+// waitForSweep waits for the next sweep; false: ctx has ended.
+func (m *Manager) waitForSweep(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
 	case <-timer.C:
-	case <-m.sweepSoon:
+	case <-m.sweepNow:
 	}
 	return true
 }
@@ -89,7 +89,7 @@
 		switch {
 		case m.expired(&head):
 			m.remove(ctx, id, &head)
-		case head.Complete(), m.busy(id):
+		case head.Complete(), m.isExcluded(id):
 		default:
 			byHolder[head.Holder] = append(byHolder[head.Holder], id)
 		}
@@ -103,7 +103,7 @@
 			orphans[id] = true
 		}
 		for _, id := range lost {
-			if m.myTurn(id, holder) {
+			if m.shouldAdopt(id, holder) {
 				m.adopt(ctx, id, holder)
 			} else {
 				suspected = true
@@ -111,64 +111,64 @@
 		}
 	}
 	m.mu.Lock()
-	maps.DeleteFunc(m.orphans, func(id string, _ time.Time) bool { return !orphans[id] })
+	maps.DeleteFunc(m.orphanedSince, func(id string, _ time.Time) bool { return !orphans[id] })
 	m.mu.Unlock()
 	return suspected, ownLeft
 }
 
-// myTurn reports whether this node is to take a lost job over now. Nodes do so in
+// shouldAdopt reports whether this node is to take a lost job over now. Nodes do so in
 // an order of their own for each job, one after the other, so that not all of them
 // ask the store for it and the jobs of a lost node are spread.
-func (m *Manager) myTurn(id string, holder Holder) bool {
+func (m *Manager) shouldAdopt(id string, holder Holder) bool {
 	if holder.Node == m.cfg.Self.Node {
 		return true // of an earlier start of this node
 	}
 	rank := m.Peers.AdoptRank(id)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	since, known := m.orphans[id]
+	since, known := m.orphanedSince[id]
 	if !known {
 		since = time.Now()
-		m.orphans[id] = since
+		m.orphanedSince[id] = since
 	}
 	pause := time.Duration(rank) * adoptStagger
-	if holder != (Holder{}) && m.absent[holder.String()].IsZero() {
+	if holder != (Holder{}) && m.unreachableSince[holder.String()].IsZero() {
 		pause += restartGrace // its node answers
 	}
 	return time.Since(since) >= pause
 }
 
-// learnListed keeps a head from a list that may be seconds old. It names the
+// rememberListedHead keeps a head from a list that may be seconds old. It names the
 // holder to nodes that get a read, and a complete head never changes again.
-func (m *Manager) learnListed(id string, head Head, revision int64) {
+func (m *Manager) rememberListedHead(id string, head Head, revision int64) {
 	m.fence(id, &head)
 	m.mu.Lock()
 	old, ok := m.heads[id]
 	held := m.held[id] != nil
 	m.mu.Unlock()
-	if held || (ok && old.revision >= revision) || (ok && !old.whole && !head.Complete()) {
+	if held || (ok && old.revision >= revision) || (ok && !old.fromStore && !head.Complete()) {
 		return // known as well or, from the holder itself, better
 	}
-	m.learn(id, head, revision, time.Time{})
+	m.rememberHead(id, head, revision, time.Time{})
 }
 
-// busy reports whether a job is not to be taken over here: it is held or ended,
+// isExcluded reports whether a job is not to be taken over here: it is held or ended,
 // or this node leaves.
-func (m *Manager) busy(id string) bool {
+func (m *Manager) isExcluded(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.held[id] != nil || m.draining || m.endKnown(id)
 }
 
-// forgetOld drops what is remembered of jobs and holders that are long gone:
+// pruneOld drops what is remembered of jobs and holders that are long gone:
 // the store has had the ends, and can be asked for the heads again.
-func (m *Manager) forgetOld() {
+func (m *Manager) pruneOld() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	old := func(at time.Time) bool { return time.Since(at) > m.cfg.KeepResults }
-	maps.DeleteFunc(m.ends, func(_ string, at time.Time) bool { return old(at) })
+	maps.DeleteFunc(m.endedAt, func(_ string, at time.Time) bool { return old(at) })
 	maps.DeleteFunc(m.heads, func(_ string, known knownHead) bool { return old(known.at) })
-	maps.DeleteFunc(m.absent, func(_ string, since time.Time) bool { return old(since) })
+	maps.DeleteFunc(m.unreachableSince, func(_ string, since time.Time) bool { return old(since) })
 }
 
 // lostJobs returns which of a holder's jobs nobody works on; suspected tells
@@ -181,10 +181,10 @@
 	defer cancel()
 	resp, err := m.Peers.Job(holder.Address).Held(ctx, &v1.HeldRequest{Jobs: jobs})
 	if err != nil {
-		return m.silentHolder(holder, jobs)
+		return m.unreachableHolder(holder, jobs)
 	}
 	m.mu.Lock()
-	delete(m.absent, holder.String())
+	delete(m.unreachableSince, holder.String())
 	m.mu.Unlock()
 	held := map[string]bool{}
 	for _, id := range resp.Held {
@@ -198,16 +198,16 @@
 	return lost, len(lost) > 0
 }
 
-func (m *Manager) silentHolder(holder Holder, jobs []string) (lost []string, suspected bool) {
+func (m *Manager) unreachableHolder(holder Holder, jobs []string) (lost []string, suspected bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	since, known := m.absent[holder.String()]
+	since, known := m.unreachableSince[holder.String()]
 	if !known {
 		since = time.Now()
-		if at, silent := m.Peers.UnreachableSince(holder.Node); silent {
+		if at, unreachable := m.Peers.UnreachableSince(holder.Node); unreachable {
 			since = at // before the store could be asked what the node holds
 		}
-		m.absent[holder.String()] = since
+		m.unreachableSince[holder.String()] = since
 	}
 	if time.Since(since) < m.cfg.TakeOverAfter {
 		return nil, true
@@ -220,7 +220,7 @@
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
 	head, o, err := m.getHead(ctx, callbudget.Commit, id)
-	if err != nil || head.Holder != from || head.Complete() || m.busy(id) {
+	if err != nil || head.Holder != from || head.Complete() || m.isExcluded(id) {
 		return
 	}
 	items, err := m.getItems(ctx, id, &head)
@@ -231,7 +231,7 @@
 		m.Recorder.Record(timeline.ObjectRejected, id, KindItems, "items are missing")
 		return
 	}
-	came := m.loadCheckpoints(ctx, id, &head)
+	loaded := m.loadCheckpoints(ctx, id, &head)
 	head.Holder = m.cfg.Self
 	head.Epoch++
 	head.Keepers = m.chooseKeepers(id, head.Keepers)
@@ -239,12 +239,12 @@
 	if err != nil {
 		return // another node was first, or the next sweep finds this node's write
 	}
-	m.hold(id, head, revision, items, came, "taken over from "+from.String())
+	m.startHeldJob(id, head, revision, items, loaded, "taken over from "+from.String())
 }
 
 // expired reports whether a job need not be readable any more.
 func (m *Manager) expired(head *Head) bool {
-	return time.Since(time.UnixMilli(head.Submitted)) > m.cfg.KeepResults+expiredSlack
+	return time.Since(time.UnixMilli(head.Submitted)) > m.cfg.KeepResults+removalMargin
 }
 
 // remove deletes all objects of an expired job; the head last, so that an
--- a/internal/request/job/verify.go
+++ b/internal/request/job/verify.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// pauseNoticed is how late the scheduler must look for this node to take it
+	// suspensionThreshold is how late the scheduler must look for this node to take it
 	// that its process or machine stood still: far longer than a busy machine
 	// delays a timer, and shorter than the time after which others take over.
-	pauseNoticed = time.Second
-	// verifyPause is the pause after the store did not tell who holds a job.
-	verifyPause = 300 * time.Millisecond
-	// verifyEvery is the least time between two questions for one job: another
+	suspensionThreshold = time.Second
+	// verifyRetryDelay is the pause after the store did not tell who holds a job.
+	verifyRetryDelay = 300 * time.Millisecond
+	// verifyInterval is the least time between two questions for one job: another
 	// node says several times a second that it holds it.
-	verifyEvery = time.Second
+	verifyInterval = time.Second
 	// verifyTimeout bounds finding out; the next commit is fenced in any case.
 	verifyTimeout = 10 * time.Second
 )
@@ -36,7 +36,7 @@
 			m.fence(id, &head)
 			return
 		}
-		if !wait.For(ctx, verifyPause) {
+		if !wait.For(ctx, verifyRetryDelay) {
 			return
 		}
 	}
@@ -52,7 +52,7 @@
 }
 
 // verifyAll verifies every job held, after this node stood still.
-func (m *Manager) verifyAll(paused time.Duration) {
+func (m *Manager) verifyAll(suspended time.Duration) {
 	m.mu.Lock()
 	ids := make([]string, 0, len(m.held))
 	for id := range m.held {
@@ -60,6 +60,6 @@
 	}
 	m.mu.Unlock()
 	for _, id := range ids {
-		go m.verify(id, "this node stood still for "+paused.Round(time.Millisecond).String())
+		go m.verify(id, "this node stood still for "+suspended.Round(time.Millisecond).String())
 	}
 }
--- a/internal/request/job/write.go
+++ b/internal/request/job/write.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// writePause is the pause before a failed write is tried again; it doubles
+	// writeBackoff is the pause before a failed write is tried again; it doubles
 	// up to maxWritePause.
-	writePause    = 30 * time.Millisecond
-	maxWritePause = 500 * time.Millisecond
+	writeBackoff    = 30 * time.Millisecond
+	maxWriteBackoff = 500 * time.Millisecond
 )
 
-// errMaybe: a write was sent, has no answer, and could not be read back.
-var errMaybe = errors.New("the write may have taken effect or may still do so")
+// errOutcomeUnknown: a write was sent, has no answer, and could not be read back.
+var errOutcomeUnknown = errors.New("the write may have taken effect or may still do so")
 
 // create writes an object until the store has it or ctx ends. existed tells
 // that the object was there already; after a write without an answer that may
 // be the node's own. Errors: objects.ErrUnavailable (it was not written), or
 // errMaybe.
 func (m *Manager) create(ctx context.Context, kind, name string, value []byte) (o objects.Object, existed bool, err error) {
-	pause, maybe := writePause, false
+	pause, maybe := writeBackoff, false
 	for {
 		o, err = m.Store.Create(ctx, callbudget.Commit, kind, name, value)
 		switch {
@@ -40,11 +40,11 @@
 		}
 		if !wait.For(ctx, pause) {
 			if maybe {
-				return objects.Object{}, false, errMaybe
+				return objects.Object{}, false, errOutcomeUnknown
 			}
 			return objects.Object{}, false, objects.ErrUnavailable
 		}
-		pause = min(2*pause, maxWritePause)
+		pause = min(2*pause, maxWriteBackoff)
 	}
 }
 
@@ -57,7 +57,7 @@
 func (m *Manager) updateHead(ctx context.Context, id string, head *Head, revision int64) (int64, error) {
 	head.Writer = newToken()
 	value := encode(head)
-	pause, maybe := writePause, false
+	pause, maybe := writeBackoff, false
 	for {
 		o, err := m.Store.Update(ctx, callbudget.Lease, KindHeads, id, revision, value)
 		switch {
@@ -74,17 +74,17 @@
 		}
 		if !wait.For(ctx, pause) {
 			if maybe {
-				return 0, errMaybe
+				return 0, errOutcomeUnknown
 			}
 			return 0, objects.ErrUnavailable
 		}
-		pause = min(2*pause, maxWritePause)
+		pause = min(2*pause, maxWriteBackoff)
 	}
 }
 
 // readBack finds out whether the head in the store is the one of a token.
 func (m *Manager) readBack(ctx context.Context, id, token string) (int64, error) {
-	pause := writePause
+	pause := writeBackoff
 	for {
 		head, o, err := m.getHead(ctx, callbudget.Lease, id)
 		switch {
@@ -94,9 +94,9 @@
 			return 0, errFenced
 		}
 		if !wait.For(ctx, pause) {
-			return 0, errMaybe
+			return 0, errOutcomeUnknown
 		}
-		pause = min(2*pause, maxWritePause)
+		pause = min(2*pause, maxWriteBackoff)
 	}
 }
 
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -35,8 +35,8 @@
 mutant 9 lab/platform/server.go 's/version == want && version != 0/version >= 0 \&\& want >= 0/' lab/e2e TestOperatorsRace
 mutant 6 internal/request/forward/judge.go 's/case !req\.Route\.Repeatable\(\):/case !req.Route.Repeatable() \&\& c.begun:/' lab/hosted TestAtMostOnce
 mutant 5 internal/request/forward/place.go 's/case c\.ran > 0:/case c.ran > 5:/' lab/hosted TestRepeatable
-mutant 2 internal/request/job/manager.go 's/return told \|\| m\.Ended/_ = told\n\treturn m.Ended/' lab/hosted TestEndedJobStops
-mutant 1 internal/request/job/progress.go 's/if id <= s\.held/if id < s.held/' internal/request/job TestEveryItemHasOnePosition
+mutant 2 internal/request/job/manager.go 's/return notified \|\| m\.Ended/_ = notified\n\treturn m.Ended/' lab/hosted TestEndedJobStops
+mutant 1 internal/request/job/progress.go 's/if id <= s\.lastEvent/if id < s.lastEvent/' internal/request/job TestEveryItemHasOnePosition
 mutant 1 internal/request/job/write.go 's/KindHeads, id, revision, value/KindHeads, id, 0*revision, value/' internal/request/job TestFormerHolderIsFenced
 mutant 3 internal/request/choose/deal.go 's/room \* claim \/ total/room * claim \/ max(1, total-claim)/' internal/request/choose TestDealNeverExceedsTheRoom
 mutant 3 internal/request/choose/yield.go 's/over := -e\.free\(\) - e\.yielding/over := -100/' lab/hosted TestOnlineGoesFirst
@@ -73,7 +73,7 @@
 mutant 7 internal/version/discovery/list.go 's/if r\.Incarnation < p\.newest\[r\.ID\] \{/if r.Incarnation < p.newest[r.ID] \&\& r.Slots == 0 {/' internal/version/discovery TestOlderWordOverridesNoNewerOne
 mutant 6 internal/version/discovery/list.go 's/ended = p\.running\[r\.ID\]/_ = p.running[r.ID]/' internal/version/discovery TestAttemptsHearOfARestart
 mutant 7 platform/wire.go 's/\*w\.State != stateDraining\)/*w.State == "")/' platform TestEntriesOfAnotherWriterNameNoTarget
-mutant 1 internal/request/job/heads.go 's/return !fresh && k\.holderAnswers/return k.holderAnswers/' internal/request/job TestOldHeadDeniesNothing
+mutant 1 internal/request/job/heads.go 's/return !fresh && k\.holderUsable/return k.holderUsable/' internal/request/job TestOldHeadDeniesNothing
 mutant 1 internal/request/job/verify.go 's/head\.Epoch > h\.head\.Epoch/head.Epoch > h.head.Epoch+9/' internal/request/job TestFormerHolderHearsOfItsSuccessor
 mutant 7 internal/version/follow/cache.go 's/if slices\.Contains\(k\.heard, question\)/if question == 0/' internal/version/follow TestMarksDoNotStayYoungOnTheWay
 mutant 9 internal/version/follow/cache.go 's/k\.complete < m\.Latest/k.latest < m.Latest/' internal/version/follow TestGapInAListIsNoFreshness
@@ -82,7 +82,7 @@
 mutant 1 internal/request/batch/suspect.go 's/it\.watched = it\.suspect/it.watched = it.suspect \&\& it.attempts > 9/' internal/request/batch TestOnlyTheItemThatCrashesTargetsEnds
 mutant 1 internal/request/batch/suspect.go 's/it\.suspect = true/it.suspect = !s.at(it.target)/' internal/request/batch TestExcusedItemIsASuspect
 mutant 1 internal/request/checkpoint/checkpoint.go 's/saved\.Epoch < state\.epoch/saved.Epoch+9 < state.epoch/' internal/request/checkpoint TestFormerHolderIsIgnored
-mutant 1 internal/request/job/progress.go 's/s\.phase != waiting \|\| held <= s\.held/held <= s.held/' internal/request/job TestRestoreOnlyAdds
+mutant 1 internal/request/job/progress.go 's/s\.phase != waiting \|\| lastEvent <= s\.lastEvent/lastEvent <= s.lastEvent/' internal/request/job TestRestoreOnlyAdds
 mutant 1 internal/request/job/commit.go 's/head\.Parts, head\.Inline = parts, nil/head.Parts, head.Inline = 0*parts, nil/' internal/request/job TestItemsOfASmallJobAreAlwaysThere
 mutant 3 internal/request/choose/prefer.go 's/best\.freeOnline\(now\) >= homeRoom/best.freeOnline(now) > -99/' internal/request/choose TestHomeFirstThenElsewhere
 mutant 1 internal/request/job/sweep.go 's/since = at /_ = at /' internal/request/job TestSilenceCountsWhileTheStoreIsAway
@@ -90,7 +90,7 @@
 mutant 8 internal/connection/dial/silent.go 's/Control: limitUnacknowledged,//' internal/connection/dial TestSilentConnectionsAreFound
 mutant 1 internal/process/clock/clock.go 's/c\.suspended = away/_ = away/' internal/process/clock TestSuspensionsCount
 mutant 6 internal/request/forward/forward.go 's/if !f\.Now\(\)\.Before\(req\.Deadline\)/if c.begun \&\& f.Now().IsZero()/' internal/request/forward TestDeadlineCountsSuspensions
-mutant 1 internal/request/job/run.go 's/m\.Clock\.Since\(looked\)/time.Since(looked)/' internal/request/job TestSuspendedHolderAsksTheStore
+mutant 1 internal/request/job/run.go 's/m\.Clock\.Since\(started\)/time.Since(started)/' internal/request/job TestSuspendedHolderAsksTheStore
 mutant 1 internal/connection/beacon/send.go 's/w\.at\.After\(x\.woke\) && //' internal/connection/beacon TestSuspendedNodeTellsNothingOld
 mutant 1 internal/request/batch/lease.go 's/w\.clock\.Since\(l\.renewed\)/time.Since(l.renewed)/' internal/request/batch TestLeaseRunsOutDuringASuspension
 mutant 5 internal/request/quarantine/verdict.go 's/return trial\.together\(c, work, near\)/return trial.together(c, work, near) \&\& c == nil/' internal/request/quarantine TestTargetsKilledTogether
@@ -103,7 +103,7 @@
 mutant 5 internal/process/crashes/probe.go 's/w\.table\.Alive\(keyOf\(t\), began\)/_ = began/' internal/process/crashes TestWhatProvesNoCrash
 mutant 5 internal/process/crashes/exchange.go 's/w\.pulls\.Put\(node\)/_ = node/' internal/process/crashes TestCrashesAtThreeNodes
 mutant 5 internal/process/hosted/crashes.go 's/n\.crashes\.Merge\(evidence\)/_ = evidence/' lab/hosted TestWhatIsRefusedStaysSo
-mutant 5 internal/request/job/run.go 's/ && !m\.refused\(h, i\)//' lab/hosted TestItemThatEndsTargets
+mutant 5 internal/request/job/run.go 's/ && !m\.isQuarantined\(h, i\)//' lab/hosted TestItemThatEndsTargets
 mutant 5 internal/request/choose/choose.go 's/e\.apart\+e\.elsewhere\.Apart == 0/e.apart >= 0/' internal/request/choose TestSuspectsDontMeet
 mutant 5 internal/request/quarantine/verdict.go 's/!\(there && s == accused\) &&/!(there \&\& s > cleared) \&\&/' internal/request/quarantine TestOneRequestAtManyTargetsAtOnce
 mutant 5 internal/request/quarantine/verdict.go 's/ && !t\.explains\(other\)//' internal/request/quarantine TestSeveralInStep
