--- a/internal/request/job/checkpoint.go
+++ b/internal/request/job/checkpoint.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	// saveTimeout bounds one save; what it was to carry goes with the next.
+	// saveTimeout bounds one save; what it did not store is part of the next one.
 	saveTimeout = 400 * time.Millisecond
-	// loadTimeout bounds the question how far the items of a lost job had come. A
-	// keeper that does not answer in that time costs more than it saves.
+	// loadTimeout bounds the load of a lost job's checkpoints. Waiting longer for a keeper
+	// costs more than its checkpoint saves.
 	loadTimeout = 300 * time.Millisecond
 	// keeperFailureLimit is how many saves in a row may fail before another keeper is
-	// chosen, and keeperAvoided how long the failing one is then left out: far
-	// longer than a cut between data centres usually lasts.
+	// chosen, and keeperAvoidance how long the failing one is not chosen again: far longer
+	// than a network partition between data centres usually lasts.
 	keeperFailureLimit = 3
 	keeperAvoidance    = 10 * time.Second
 )
 
-// keeperState is what this node knows of a keeper that did not answer.
+// keeperState records the failures of a keeper, a node that stores checkpoints.
 type keeperState struct {
-	failures   int       // saves in a row
-	avoidUntil time.Time // until then
+	failures   int       // failed saves in a row
+	avoidUntil time.Time // not chosen as a keeper before
 }
 
-// savedItem is what the keeper of a job has of one item.
+// savedItem is how much of an item a keeper has stored.
 type savedItem struct {
-	bytes    int // of its text
-	complete bool
+	bytes    int  // of its text
+	complete bool // the text is the item's complete output
 }
 
-// savedJob is what one keeper has of a job.
+// savedJob is how much of a job one keeper has stored.
 type savedJob struct {
 	items map[int]savedItem
-	open  int // items without a listed result when it was last saved
+	open  int // items without a listed result at the last save
 }
 
-// checkpoints are what the keepers of a held job have.
+// checkpoints records what the keepers of a held job have stored.
 type checkpoints struct {
-	keepers []string // addresses, the first to be asked first
+	keepers []string // addresses, in order of preference
 	saved   map[string]*savedJob
 }
 
-// setKeepers sets the keepers; what others had is forgotten here.
+// setKeepers sets the keepers and drops the records of all others.
 func (c *checkpoints) setKeepers(keepers []string) {
 	saved := make(map[string]*savedJob, len(keepers))
 	for _, keeper := range keepers {
@@ -58,7 +58,7 @@
 	c.keepers, c.saved = keepers, saved
 }
 
-// anySaved reports whether a keeper has text of the job.
+// anySaved reports whether a keeper has stored text of the job.
 func (c *checkpoints) anySaved() bool {
 	for _, saved := range c.saved {
 		if len(saved.items) > 0 {
@@ -85,7 +85,7 @@
 	}
 }
 
-// saveCheckpoints sends what is new of each held job to its keepers.
+// saveCheckpoints sends the progress of each held job since the last save to its keepers.
 func (m *Manager) saveCheckpoints(ctx context.Context) {
 	m.saveMu.Lock()
 	defer m.saveMu.Unlock()
@@ -96,12 +96,12 @@
 	wg.Wait()
 }
 
-// unsaved returns what keepers lack, by their address.
+// unsaved returns what keepers have not stored yet, by their address.
 func (m *Manager) unsaved() map[string]*v1.SaveCheckpointsRequest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := map[string]*v1.SaveCheckpointsRequest{}
-	at := func(keeper string) *v1.SaveCheckpointsRequest {
+	requestTo := func(keeper string) *v1.SaveCheckpointsRequest {
 		if out[keeper] == nil {
 			out[keeper] = &v1.SaveCheckpointsRequest{}
 		}
@@ -114,20 +114,20 @@
 		h.checkpoints.setKeepers(m.Peers.Keepers(id, h.checkpoints.keepers, m.keeperUsable))
 		for keeper, saved := range h.checkpoints.saved {
 			if part := h.unsaved(saved); part != nil {
-				req := at(keeper)
+				req := requestTo(keeper)
 				req.Jobs = append(req.Jobs, part)
 			}
 		}
 	}
 	for keeper, jobs := range m.toForget {
-		at(keeper).Forget = jobs
+		requestTo(keeper).Forget = jobs
 	}
 	clear(m.toForget)
 	return out
 }
 
-// unsaved returns what a keeper lacks, nil when it lacks nothing. The caller
-// holds m.mu.
+// unsaved returns what a keeper has not stored yet, nil if it has all. The caller holds
+// m.mu.
 func (h *heldJob) unsaved(saved *savedJob) *v1.JobCheckpoint {
 	part := &v1.JobCheckpoint{Job: h.id, Epoch: uint32(h.head.Epoch)}
 	for i := range h.progress.items {
@@ -149,7 +149,7 @@
 	return part
 }
 
-// save sends one keeper what it lacks.
+// save sends one keeper what it has not stored yet.
 func (m *Manager) save(ctx context.Context, keeper string, req *v1.SaveCheckpointsRequest) {
 	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
@@ -158,7 +158,7 @@
 	defer m.mu.Unlock()
 	if err != nil {
 		m.keeperFailed(keeper, err)
-		return // sent again with the next
+		return // part of the next save
 	}
 	delete(m.keeperStates, keeper)
 	for _, part := range req.Jobs {
@@ -168,19 +168,18 @@
 	}
 	for _, id := range resp.Lacking {
 		if h := m.held[id]; h != nil && h.checkpoints.saved[keeper] != nil {
-			h.checkpoints.saved[keeper] = &savedJob{} // it has lost what it had
+			h.checkpoints.saved[keeper] = &savedJob{} // it has lost what it had stored
 		}
 	}
 }
 
-// keeperUsable reports whether a node answered of late, or was not asked. The
-// caller holds m.mu.
+// keeperUsable reports whether a node may be chosen as a keeper: it has not failed
+// recently. The caller holds m.mu.
 func (m *Manager) keeperUsable(address string) bool {
 	return !time.Now().Before(m.keeperStates[address].avoidUntil)
 }
 
-// keeperFailed notes that a keeper did not take what it was sent. The caller
-// holds m.mu.
+// keeperFailed records that a save to a keeper failed. The caller holds m.mu.
 func (m *Manager) keeperFailed(keeper string, err error) {
 	m.Metrics.Counter("checkpoints_not_saved").Inc(1)
 	state := m.keeperStates[keeper]
@@ -199,6 +198,7 @@
 	return m.Peers.Keepers(id, present, m.keeperUsable)
 }
 
+// add records that a checkpoint was stored.
 func (c *savedJob) add(part *v1.JobCheckpoint) {
 	if c.items == nil {
 		c.items = map[int]savedItem{}
@@ -209,8 +209,8 @@
 	c.open = len(part.Open)
 }
 
-// loadCheckpoints asks the keepers of a lost job how far its items had come. Each
-// may know less than another, or not answer.
+// loadCheckpoints loads the checkpoints of a lost job from its keepers. One of them may
+// have stored less than another, or not respond.
 func (m *Manager) loadCheckpoints(ctx context.Context, id string, head *Head) []*v1.JobCheckpoint {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -220,7 +220,7 @@
 		wg.Go(func() {
 			resp, err := m.Peers.Checkpoints(keeper).Load(ctx, &v1.LoadCheckpointRequest{Job: id})
 			if err != nil {
-				m.Recorder.Record(timeline.CheckpointLost, id, keeper, "its keeper does not answer: "+err.Error())
+				m.Recorder.Record(timeline.CheckpointLost, id, keeper, "its keeper did not respond: "+err.Error())
 				return
 			}
 			found[i] = resp.Checkpoint
@@ -230,8 +230,8 @@
 	return found
 }
 
-// restore lets the items of a job go on from the farthest of some checkpoints. The
-// caller holds m.mu.
+// restore sets the items of a job to resume from the furthest of the loaded checkpoints.
+// The caller holds m.mu.
 func (m *Manager) restore(h *heldJob, loaded []*v1.JobCheckpoint) {
 	now := time.Now()
 	restored := map[int]bool{}
--- a/internal/request/job/checkpoint_test.go
+++ b/internal/request/job/checkpoint_test.go
@@ -13,7 +13,7 @@
 	"github.com/marblepond/marblepond/internal/request/checkpoint"
 )
 
-// keeperPeers know one node that keeps checkpoints.
+// keeperPeers has one node that keeps checkpoints.
 type keeperPeers struct {
 	noPeers
 	store *checkpoint.Store
@@ -31,7 +31,7 @@
 	return checkpoint.Service{Store: p.store}
 }
 
-// runItemTo brings an item of a held job to an event, and returns its text.
+// runItemTo runs an item of a held job up to an event, and returns its text.
 func runItemTo(m *Manager, job string, item int, events int64) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -49,8 +49,8 @@
 	return m.held[job].progress.items[item]
 }
 
-// A node that takes a job over goes on from where the lost holder had brought
-// the items, and lists what it had finished and not yet committed.
+// A node that takes a job over resumes the items where the lost holder had brought them,
+// and lists the results that were finished but not committed.
 func TestTakeOverGoesOnFromTheCheckpoint(t *testing.T) {
 	is := is.New(t)
 	store, peers := newMemoryStore(), newKeeperPeers()
@@ -60,7 +60,7 @@
 	is.NoErr(first.Submit(context.Background(), s))
 	runItemTo(first, "j", 0, 5)
 	first.saveCheckpoints(context.Background())
-	text := runItemTo(first, "j", 0, 9) // goes as an addition to what was saved
+	text := runItemTo(first, "j", 0, 9) // sent as an addition to what was saved
 	done := runItemTo(first, "j", 1, 3)
 	first.mu.Lock()
 	first.held["j"].progress.finish(1, Result{Item: s.Items[1].ID, Text: done}, time.Now())
@@ -79,7 +79,7 @@
 	second.mu.Unlock()
 }
 
-// A keeper that lost everything gets it whole again.
+// A keeper that lost its data receives the complete checkpoint again.
 func TestLostCheckpointIsSavedAgain(t *testing.T) {
 	is := is.New(t)
 	peers := newKeeperPeers()
@@ -90,14 +90,15 @@
 	m.saveCheckpoints(context.Background())
 	peers.store.Save(nil, []string{"j"})
 	text := runItemTo(m, "j", 0, 8)
-	m.saveCheckpoints(context.Background()) // learns that the keeper lacks the start
+	m.saveCheckpoints(context.Background()) // the response says that the keeper lacks the start
 	m.saveCheckpoints(context.Background())
 	kept := peers.store.Load("j")
 	is.Equal(len(kept.Items), 1)
 	is.Equal(string(kept.Items[0].Text), text)
 }
 
-// twoKeepers know two nodes that keep checkpoints; the first has lost its disk.
+// twoKeepers has two nodes that keep checkpoints; once lost is set, the first one has lost
+// its data.
 type twoKeepers struct {
 	keeperPeers
 	lost *bool
@@ -114,7 +115,7 @@
 	return p.keeperPeers.Checkpoints(address)
 }
 
-// One keeper of two may lose what it had.
+// The checkpoint is restored if one of two keepers lost its data.
 func TestOneOfTwoKeepersSuffices(t *testing.T) {
 	is := is.New(t)
 	store, lost := newMemoryStore(), false
@@ -129,12 +130,13 @@
 	is.Equal(string(itemAt(second, "j", 0).text), text)
 }
 
-// Without an answer of the keeper items run from their start, and nothing waits.
+// If the keeper does not respond, the items run from their start, and the takeover does not
+// wait.
 func TestTakeOverWithoutTheCheckpoint(t *testing.T) {
 	is := is.New(t)
 	store := newMemoryStore()
 	first, second := newTestManager("n1", store), newTestManager("n2", store)
-	first.Peers, second.Peers = newKeeperPeers(), keeperPeers{} // which answers with an error
+	first.Peers, second.Peers = newKeeperPeers(), keeperPeers{} // responds with an error
 	is.NoErr(first.Submit(context.Background(), submission("j")))
 	runItemTo(first, "j", 0, 5)
 	first.saveCheckpoints(context.Background())
@@ -142,8 +144,8 @@
 	is.Equal(itemAt(second, "j", 0).lastEvent, int64(0))
 }
 
-// A finished item is not restored over, an older checkpoint takes nothing away,
-// and what is listed stays listed.
+// An older checkpoint does not replace newer progress, and items that run or are listed are
+// not restored.
 func TestRestoreOnlyAdds(t *testing.T) {
 	is := is.New(t)
 	p := newProgress(&Head{Total: 3, Segments: []Segment{{Items: []int{2}}}})
@@ -155,7 +157,7 @@
 	is.True(!p.restore(1, 9, []byte("runs")))
 }
 
-// A job that is done is not kept any longer.
+// The keeper drops the checkpoint of a finished job.
 func TestDoneJobIsForgotten(t *testing.T) {
 	is := is.New(t)
 	peers := newKeeperPeers()
--- a/internal/request/job/commit.go
+++ b/internal/request/job/commit.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// commitDelay is how long a finished result may wait for others before it is
-	// committed, also once its job is late: long enough that a job of ten items
-	// takes a few commits, short beside the seconds in which jobs are due. Several
-	// that wait share the time between them.
+	// commitDelay is how long a finished result may wait to be committed with others, also
+	// once its job is late: long enough that a job of ten items takes a few commits, and
+	// short compared with the seconds in which jobs are due. Several waiting results share
+	// the delay, see progress.commitDue.
 	commitDelay = 2 * time.Second
-	// urgentMargin is how long before its job is due a result waits dueDelay only: a
-	// commit takes some milliseconds, and a second when the store is slow.
+	// urgentMargin is how long before its job is due a result waits for urgentCommitDelay
+	// only: a commit takes some milliseconds, and a second when the object store is slow.
 	urgentMargin      = 3 * time.Second
 	urgentCommitDelay = 300 * time.Millisecond
-	// commitPollInterval is the time between looks at what waits, beside those when a result
-	// comes: a tenth of the time that a result usually waits.
+	// commitPollInterval is the time between checks for a due commit, besides those when a
+	// result arrives: a tenth of the time that a result usually waits.
 	commitPollInterval = 200 * time.Millisecond
-	// commitTimeout bounds one try of a commit; results are kept and tried again.
+	// commitTimeout bounds one attempt to commit; the results are kept and the commit is
+	// retried.
 	commitTimeout = 5 * time.Second
 )
 
-// commitLoop commits the results of one held job until all are listed or the
-// job is released.
+// commitLoop commits the results of one held job until all are listed or the job is
+// released.
 func (m *Manager) commitLoop(h *heldJob) {
 	ticker := time.NewTicker(commitPollInterval)
 	defer ticker.Stop()
@@ -48,8 +49,8 @@
 	}
 }
 
-// commitStep commits what is due; it returns true when nothing is left to do.
-// The caller holds h.writing.
+// commitStep commits pending results if they are due. It returns true when nothing is left
+// to do. The caller holds h.commitMu.
 func (m *Manager) commitStep(h *heldJob) bool {
 	m.mu.Lock()
 	m.giveUpExpired(h)
@@ -62,21 +63,20 @@
 	return m.finishIfComplete(h)
 }
 
-// keepersChanged reports whether the head names other keepers than those that
-// have the checkpoint: a node that takes the job over would not find it. The
-// caller holds m.mu.
+// keepersChanged reports whether the head names other keepers than those that store the
+// checkpoint, so that a node that takes the job over would not find it. The caller holds
+// m.mu.
 func (h *heldJob) keepersChanged() bool {
 	return h.checkpoints.anySaved() && !slices.Equal(h.checkpoints.keepers, h.head.Keepers)
 }
 
-// commitDelayOf returns how long a result of the job may wait for others. The caller
-// holds m.mu.
+// commitDelayOf returns how long a result of the job may wait for others. The caller holds
+// m.mu.
 func (m *Manager) commitDelayOf(h *heldJob) time.Duration {
 	return commitWait(time.Until(dueTime(&h.head, m.routeOf(&h.head))))
 }
 
-// commitWait returns how long a result waits for others when its job is due
-// after the time left.
+// commitWait returns how long a result waits for others if its job is due in the time left.
 func commitWait(left time.Duration) time.Duration {
 	if left < 0 || left > urgentMargin+commitDelay {
 		return commitDelay
@@ -84,7 +84,7 @@
 	return max(urgentCommitDelay, left-urgentMargin)
 }
 
-// giveUpExpired ends items whose route is gone or whose time is over. The
+// giveUpExpired gives up waiting items whose route was removed or whose time is over. The
 // caller holds m.mu.
 func (m *Manager) giveUpExpired(h *heldJob) {
 	if h.ended || h.released || m.Routes() == nil {
@@ -94,7 +94,7 @@
 	why := ""
 	switch {
 	case r == nil && m.RoutesFresh():
-		why = "its route is gone"
+		why = "its route was removed"
 	case r != nil && r.AbandonAfter > 0 && time.Since(time.UnixMilli(h.head.Submitted)) > r.AbandonAfter+abandonSlack:
 		why = "its time is over"
 	default:
@@ -107,11 +107,11 @@
 	}
 }
 
-// abandonSlack is added to the time after which an item may be given up: the
-// job was sent a little before a node read it, never after.
+// abandonSlack is added to the time after which an item may be given up: the caller always
+// sends a job a little before a node receives it.
 const abandonSlack = 500 * time.Millisecond
 
-// giveUpItem gives an item its final failure. The caller holds m.mu.
+// giveUpItem finishes an item without output. The caller holds m.mu.
 func (m *Manager) giveUpItem(h *heldJob, i int, why string) {
 	if h.progress.finish(i, Result{Item: h.items[i].ID, Dead: true}, time.Now()) {
 		m.Recorder.Record(timeline.ItemDead, h.items[i].ID, h.id, why, timeline.Field{Name: "failures", Value: h.progress.items[i].failures})
@@ -119,7 +119,8 @@
 	}
 }
 
-// commit writes what is pending; it returns false when the job was released.
+// commit writes the pending results and lists them in the head. It returns false if the job
+// was released.
 func (m *Manager) commit(h *heldJob) bool {
 	m.mu.Lock()
 	batch := slices.Clone(h.progress.pending)
@@ -134,7 +135,7 @@
 	for _, part := range splitResults(batch, m.cfg.MaxValueBytes*valueFillPercent/100) {
 		segment, err := m.writeSegment(ctx, h, part)
 		if err != nil {
-			return true // tried again at the next tick
+			return true // retried at the next check
 		}
 		head.Segments = append(head.Segments, segment)
 	}
@@ -153,9 +154,9 @@
 	return true
 }
 
-// moveInlineItems puts the items that a head carries into objects of their own, unless
-// the job is done and nobody needs them any more. Where the store does not take
-// them the head keeps them.
+// moveInlineItems moves the items in a head to objects of their own, or drops them if the
+// job is complete and no node needs them any more. If the object store does not accept
+// them, the head keeps them.
 func (m *Manager) moveInlineItems(ctx context.Context, id string, head *Head) {
 	switch {
 	case len(head.Inline) == 0:
@@ -170,7 +171,7 @@
 	}
 }
 
-// splitResults cuts pending results into parts that are stored as one object each.
+// splitResults splits pending results into parts that are stored as one object each.
 func splitResults(batch []pendingResult, limit int) [][]pendingResult {
 	if len(batch) == 0 {
 		return nil
@@ -178,8 +179,8 @@
 	return split(batch, limit, func(p pendingResult) int { return resultSize(p.result) })
 }
 
-// resolveCommit finds out, after a write of the head without an answer, which head is
-// in force. Until that is known nothing further is written.
+// resolveCommit finds out, after a write of the head without a response, which head is
+// stored. Until that is known, nothing further is written.
 func (m *Manager) resolveCommit(h *heldJob, head *Head, cause error) bool {
 	if !errors.Is(cause, errOutcomeUnknown) {
 		return true
@@ -193,7 +194,7 @@
 		m.mu.Unlock()
 		m.applyCommit(h, head, revision, batch)
 	}
-	return true // not written: the next try writes at the same revision and meets a late write as a conflict
+	return true // if it was not written, the next attempt uses the same revision, so that a late effect of this write shows as a conflict
 }
 
 func (m *Manager) writeSegment(ctx context.Context, h *heldJob, part []pendingResult) (Segment, error) {
@@ -203,13 +204,13 @@
 		results[i] = p.result
 		segment.Items = append(segment.Items, p.index)
 	}
-	h.sequence++ // a failed try leaves an object that no head names
+	h.sequence++ // a failed attempt leaves an object that no head names
 	segment.Object = segmentName(h.id, h.head.Epoch, h.sequence)
 	_, _, err := m.create(ctx, KindResults, segment.Object, encode(results))
 	return segment, err
 }
 
-// applyCommit takes a head that is in the store.
+// applyCommit updates the job after a head was written to the object store.
 func (m *Manager) applyCommit(h *heldJob, head *Head, revision int64, batch []pendingResult) {
 	results := make([]Result, len(batch))
 	for i, p := range batch {
@@ -230,7 +231,7 @@
 		timeline.Field{Name: "listed", Value: head.Listed()}, timeline.Field{Name: "total", Value: head.Total}, timeline.Field{Name: "revision", Value: revision})
 }
 
-// finishIfComplete stops holding a job that needs no more work.
+// finishIfComplete releases a job that needs no more work.
 func (m *Manager) finishIfComplete(h *heldJob) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/request/job/demand.go
+++ b/internal/request/job/demand.go
@@ -6,7 +6,7 @@
 	"github.com/marblepond/marblepond/internal/request/backlog"
 )
 
-// Demand returns how many items wait for a target or run here.
+// Demand returns how many items of this node's jobs wait for a target or run.
 func (m *Manager) Demand() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -20,15 +20,16 @@
 }
 
 const (
-	// announceDuration is how long a node tells others that it came to hold a job: in
-	// that time each of them has heard it a few times.
+	// announceDuration is how long a node announces to others that it holds a job: each of
+	// them receives the announcement several times in that time.
 	announceDuration = 2 * time.Second
-	// announceTakeoverDuration is the same for a job that it took over: its former holder
-	// may be cut off, usually for a few seconds, and has to hear it soon after.
+	// announceTakeoverDuration is the same for a job that the node took over: the former
+	// holder may be cut off, usually for a few seconds, and has to receive the announcement
+	// soon afterwards.
 	announceTakeoverDuration = 12 * time.Second
 )
 
-// Announced returns the jobs that this node lately came to hold.
+// Announced returns the jobs that this node recently started to hold.
 func (m *Manager) Announced() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -45,7 +46,8 @@
 	return out
 }
 
-// ObserveHolder takes the news that a node holds jobs.
+// ObserveHolder handles the announcement of another node that it holds jobs. If this node
+// holds one of them too, it checks the head in the object store.
 func (m *Manager) ObserveHolder(holder Holder, jobs []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -53,7 +55,7 @@
 		if h := m.held[id]; h != nil {
 			if time.Since(h.verifiedAt) > verifyInterval {
 				h.verifiedAt = time.Now()
-				go m.verify(id, "node "+holder.Node+" says that it holds the job")
+				go m.verify(id, "node "+holder.Node+" announced that it holds the job")
 			}
 			continue
 		}
@@ -64,8 +66,8 @@
 	}
 }
 
-// WaitingTokens returns the tokens of items that this node holds and that no target has
-// finished, with those of submissions in progress.
+// WaitingTokens returns the tokens of unfinished items of held jobs and of submissions in
+// progress.
 func (m *Manager) WaitingTokens() map[backlog.Key]int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/request/job/evacuate.go
+++ b/internal/request/job/evacuate.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// moveStartShare is the share of Config.EvacuatedWithin for which items run on at targets
-	// that are evacuated: most end in that time. Until the share moveUntil the others are
-	// stopped, and go on elsewhere from the events they hold.
+	// moveStartShare is the share of Config.EvacuatedWithin for which items at evacuated
+	// targets keep running: most finish in that time. From then until the share
+	// moveEndShare the others are stopped. They resume at other targets after the last
+	// event that they received.
 	moveStartShare = 0.2
 	moveEndShare   = 0.4
 )
 
-// moveEvacuated stops items at targets that are evacuated, at each look the part of
-// those left that is due by then: stopped all at once, they would meet at the targets
-// that are left.
+// moveEvacuated stops items at evacuated targets, a few in each run of the scheduler: if
+// all were stopped at once, they would all be sent to the remaining targets at the same
+// time.
 func (m *Manager) moveEvacuated(now time.Time) {
 	if m.cfg.EvacuatedWithin <= 0 {
 		return
@@ -38,26 +39,27 @@
 	}
 }
 
-// movesDue returns how many of the items left are to be moved at a look, when the share
-// passed of the time is over and the next look comes a share later.
-func movesDue(items int, passed, tick float64) int {
-	if passed < moveStartShare {
+// movesDue returns how many of the remaining items to move in this run of the scheduler.
+// elapsed is the share of the evacuation time that has passed, and tick the share until the
+// next run.
+func movesDue(items int, elapsed, tick float64) int {
+	if elapsed < moveStartShare {
 		return 0
 	}
-	runs := int((moveEndShare - passed) / tick)
+	runs := int((moveEndShare - elapsed) / tick)
 	if runs <= 1 {
 		return items
 	}
 	return (items + runs - 1) / runs
 }
 
-// moveItem stops an item so that it goes on at another target. The caller holds m.mu.
+// moveItem stops an item so that it resumes at another target. The caller holds m.mu.
 func (m *Manager) moveItem(item schedule.Item) {
 	h := m.held[item.Job]
 	stop := h.stops[item.Index]
 	delete(h.stops, item.Index)
 	if !stop(errMoved) {
-		return // it has ended otherwise
+		return // the attempt has already ended for another reason
 	}
 	m.Metrics.Counter("items_moved").Inc(1)
 	m.Recorder.Record(timeline.ItemMoved, h.items[item.Index].ID, h.progress.items[item.Index].target.ID, errMoved.Error())
--- a/internal/request/job/evacuate_test.go
+++ b/internal/request/job/evacuate_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestItemsAreMovedOverTime: items at evacuated targets run on at first, are then stopped
-// a few at a time, and none is left when the time is over.
+// TestItemsAreMovedOverTime: items at evacuated targets keep running at first, are then
+// stopped a few at a time, and all are stopped by moveEndShare.
 func TestItemsAreMovedOverTime(t *testing.T) {
 	is := is.New(t)
 	const within = 5 * time.Second
@@ -21,5 +21,5 @@
 		left -= due
 		most = max(most, due)
 	}
-	is.True(most <= 7) // of 300 in 50 looks
+	is.True(most <= 7) // of 300 in 50 runs of the scheduler
 }
--- a/internal/request/job/handover.go
+++ b/internal/request/job/handover.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// drainDuration is how long a leaving node lets items run on before it hands its
-	// jobs over; an item takes about a second.
+	// drainDuration is how long a leaving node lets items run before it hands its jobs
+	// over; an item takes about a second.
 	drainDuration = 2 * time.Second
-	// drainPollInterval is the time between looks at what is still running.
+	// drainPollInterval is the time between checks whether items still run.
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// Drain lets running items end for a short time, commits what is finished and
-// hands the jobs to other nodes.
+// Drain waits a short time for running items to finish, commits their results and hands the
+// held jobs over to other nodes.
 func (m *Manager) Drain(ctx context.Context) {
 	m.mu.Lock()
 	m.draining = true
@@ -41,7 +41,7 @@
 	m.handOver(ctx, jobs)
 }
 
-// noneRunning reports whether no item runs.
+// noneRunning reports whether no item of any held job runs.
 func (m *Manager) noneRunning() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -53,7 +53,7 @@
 	return true
 }
 
-// handOver gives the jobs up in the store and asks another node to hold them.
+// handOver releases the jobs in the object store and asks other nodes to adopt them.
 func (m *Manager) handOver(ctx context.Context, jobs []*heldJob) {
 	var relinquished []string
 	for _, h := range jobs {
@@ -76,19 +76,20 @@
 	wg.Wait()
 }
 
-// requestAdoption asks a node to hold jobs. When it does not answer, the next sweep
-// of any node finds them.
+// requestAdoption asks a node to adopt jobs. If it does not respond, the next sweep of any
+// node finds them.
 func (m *Manager) requestAdoption(ctx context.Context, address string, jobs []string) {
 	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	if _, err := m.Peers.Job(address).Adopt(ctx, &v1.AdoptRequest{Jobs: jobs}); err != nil {
 		for _, id := range jobs {
-			m.Recorder.Record(timeline.JobReleased, id, address, "the node asked to hold the job did not answer: "+err.Error())
+			m.Recorder.Record(timeline.JobReleased, id, address, "the node asked to adopt the job did not respond: "+err.Error())
 		}
 	}
 }
 
-// relinquish commits what is finished and writes a head without a holder.
+// relinquish commits the finished results and writes a head without a holder. It reports
+// whether that head was written.
 func (m *Manager) relinquish(ctx context.Context, h *heldJob) bool {
 	h.commitMu.Lock()
 	defer h.commitMu.Unlock()
@@ -109,7 +110,7 @@
 	}
 	head, revision := h.head, h.revision
 	head.Failed, head.Keepers = h.progress.failureCounts(), h.checkpoints.keepers
-	m.release(h, "this node leaves")
+	m.release(h, "this node is leaving")
 	m.mu.Unlock()
 	if head.Complete() {
 		return false
--- a/internal/request/job/heads.go
+++ b/internal/request/job/heads.go
@@ -14,28 +14,30 @@
 	"github.com/marblepond/marblepond/internal/process/timeline"
 )
 
-// knownHead is a head that another node holds, or that needs no more work.
+// knownHead is what this node remembers of the head of a job that another node holds or
+// that is finished.
 type knownHead struct {
 	head           Head
 	revision       int64
-	at             time.Time // when this node learned it; it may have been older then
-	readAt         time.Time // when the store was asked for it; zero: it came from a list or another node
-	holderFailedAt time.Time // when its holder was last found not to answer
-	fromStore      bool      // head is what the store held; else only its holder is known
+	at             time.Time // when this node received it; it may have been outdated by then
+	readAt         time.Time // when its read from the object store began; zero: it came from a list or another node
+	holderFailedAt time.Time // when its holder last failed to respond
+	fromStore      bool      // head came from the object store, possibly through another node; otherwise only its holder is known
 }
 
-// holderRetryDelay is how long a holder that did not answer is not asked again.
+// holderRetryDelay is how long a holder that did not respond is not queried again.
 const holderRetryDelay = 2 * time.Second
 
-// holderUsable reports whether the holder may be asked.
+// holderUsable reports whether the holder may be queried.
 func (k *knownHead) holderUsable() bool {
 	return k.head.Holder != (Holder{}) && time.Since(k.holderFailedAt) > holderRetryDelay && time.Since(k.at) < maxHolderAge
 }
 
-// rememberHead keeps a head that the store held. readAt is when the store was asked for
-// it, zero when the head may be older than this node can tell.
+// rememberHead remembers a head that was read from the object store, by this node or
+// another one. readAt is when this node began to read it, or zero if the head may be older
+// than this node can tell.
 func (m *Manager) rememberHead(id string, head Head, revision int64, readAt time.Time) {
-	head.Inline = nil // of no use without its holder, and large
+	head.Inline = nil // large, and only the holder needs it
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	old, ok := m.heads[id]
@@ -52,7 +54,7 @@
 	m.heads[id] = known
 }
 
-// knownHead returns what this node knows of a job that it does not hold.
+// knownHead returns what this node remembers of the head of a job that it does not hold.
 func (m *Manager) knownHead(id string) (knownHead, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -60,6 +62,7 @@
 	return known, ok
 }
 
+// markHolderFailed records that the holder of a job did not respond.
 func (m *Manager) markHolderFailed(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,32 +73,31 @@
 }
 
 const (
-	// locateTimeout bounds a question to the node that looks heads up: the store
-	// answers it in milliseconds, and a silent node must leave time to ask the
-	// store.
+	// locateTimeout bounds a request to the node that reads heads for this data centre. The
+	// object store answers that node within milliseconds, and if the node is unresponsive,
+	// there must be time left to read the object store.
 	locateTimeout = 400 * time.Millisecond
-	// headReuse is how long a head that was just looked up answers further
-	// questions: reads that come at the same moment cost one call. Together with
-	// locateTimeout it stays below the second within which what was read once has
-	// to be readable everywhere.
+	// headReuse is how long a head that was just read from the object store answers further
+	// requests, so that reads at the same moment cost one call. Together with locateTimeout
+	// it stays below one second, within which a result that was read once must be readable
+	// at every node.
 	headReuse = 500 * time.Millisecond
 )
 
-// locate finds the head of a job: through the node of this data centre that
-// looks it up for all others, or in the store itself. A head that is not fresh
-// may be seconds old: it names the holder, and what it lists is listed, but it
-// cannot tell that nothing more is. Errors: errkind.NotFound,
-// errkind.PlatformUnavailable when this node cannot be sure.
+// locate returns the head of a job: through the node that reads heads for this data centre,
+// or from the object store. Unless fresh is set, the head may be seconds old: it names the
+// holder, and the results that it lists are listed, but more may be listed by now. Errors:
+// errkind.NotFound, errkind.PlatformUnavailable if neither source gave an answer.
 func (m *Manager) locate(ctx context.Context, id string, fresh bool) (Head, error) {
 	address := m.Peers.Locator(id)
 	if address == "" {
 		return m.findHead(ctx, id, fresh)
 	}
-	asked, cancel := context.WithTimeout(ctx, locateTimeout)
+	locateCtx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
-	resp, err := m.Peers.Job(address).Locate(asked, &v1.LocateRequest{Job: id, Fresh: fresh})
+	resp, err := m.Peers.Job(address).Locate(locateCtx, &v1.LocateRequest{Job: id, Fresh: fresh})
 	if err != nil || resp.Outcome == v1.LocateResponse_UNSURE {
-		return m.readHeadShared(ctx, id) // that node is away, or the store turns it away
+		return m.readHeadShared(ctx, id) // that node did not respond, or could not read the object store
 	}
 	if resp.Outcome == v1.LocateResponse_ABSENT {
 		return Head{}, errNoJob(id)
@@ -110,9 +112,9 @@
 
 func errNoJob(id string) error { return errkind.NotFound.New("no job %s", id) }
 
-// findHead returns the head of a job from memory where that serves, or from the
-// store. A node that has just started lists all heads first: that costs less
-// than the questions for each of them.
+// findHead returns the head of a job from memory if that is recent enough, otherwise from
+// the object store. A node that has just started first lists all heads, which costs less
+// than reading them one by one.
 func (m *Manager) findHead(ctx context.Context, id string, fresh bool) (Head, error) {
 	known, ok := m.knownHead(id)
 	if !fresh && !ok && !m.headsListed.Load() {
@@ -125,8 +127,7 @@
 	return m.readHeadShared(ctx, id)
 }
 
-// listHeadsOnce lists the heads of all jobs once; questions that come together
-// share the list.
+// listHeadsOnce lists the heads of all jobs. Concurrent callers share one list call.
 func (m *Manager) listHeadsOnce(ctx context.Context) {
 	result := m.headReads.DoChan(listKey, func() (any, error) {
 		limited, cancel := context.WithTimeout(context.Background(), headReadTimeout)
@@ -136,15 +137,15 @@
 	})
 	select {
 	case <-ctx.Done():
-	case <-result: // without the list the job's own head is asked for
+	case <-result: // if the list failed, the caller reads the head of its job
 	}
 }
 
-// listKey names the list among the shared questions; no job has an empty ID.
+// listKey is the key of the list call in headReads; no job has an empty ID.
 const listKey = ""
 
-// listHeads lists the heads of all jobs, as they were some seconds ago at most,
-// and keeps what this node did not know.
+// listHeads returns the heads of all jobs, which may be some seconds old, and remembers
+// those that are newer than what this node knew.
 func (m *Manager) listHeads(ctx context.Context) (map[string]Head, error) {
 	page, err := m.Store.ListStale(ctx, KindHeads)
 	if err != nil {
@@ -164,9 +165,8 @@
 	return heads, nil
 }
 
-// readHeadShared reads the head of a job from the store. Questions that come together
-// share one answer, except that a job is absent: it may have been accepted
-// since the shared question was sent.
+// readHeadShared reads the head of a job from the object store. Concurrent calls share one
+// read, unless it finds no job: that may have been accepted after the shared read was sent.
 func (m *Manager) readHeadShared(ctx context.Context, id string) (Head, error) {
 	result := m.headReads.DoChan(id, func() (any, error) { return m.readHead(id) })
 	select {
@@ -186,26 +186,27 @@
 	}
 }
 
-// readHead returns a head that was read just now, here or for another question.
+// readHead returns the head of a job that was read from the object store just now, by this
+// call or by another one.
 func (m *Manager) readHead(id string) (Head, error) {
 	if known, ok := m.knownHead(id); ok && known.recentlyRead() {
 		return known.head, nil
 	}
-	asked := time.Now()
+	started := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), headReadTimeout)
 	defer cancel()
 	head, o, err := m.getHead(ctx, callbudget.Commit, id)
 	if err == nil {
-		m.rememberHead(id, head, o.Revision, asked)
+		m.rememberHead(id, head, o.Revision, started)
 	}
 	return head, err
 }
 
-// headReadTimeout bounds one shared question to the store, with its way through
-// other nodes.
+// headReadTimeout bounds one shared read of a head, including its relay through other
+// nodes.
 const headReadTimeout = 1500 * time.Millisecond
 
-// Locate implements the peers' service.
+// Locate returns the head of a job.
 func (s PeerService) Locate(ctx context.Context, req *v1.LocateRequest) (*v1.LocateResponse, error) {
 	m := s.m
 	_, err := m.findHead(ctx, req.Job, req.Fresh)
@@ -218,7 +219,7 @@
 	}
 	known, ok := m.knownHead(req.Job)
 	if !ok || !known.fromStore {
-		return &v1.LocateResponse{}, nil // forgotten meanwhile
+		return &v1.LocateResponse{}, nil // pruned meanwhile
 	}
 	return foundResponse(&known.head, known.revision), nil
 }
@@ -227,12 +228,12 @@
 	return &v1.LocateResponse{Outcome: v1.LocateResponse_FOUND, Head: encode(head), Revision: revision}
 }
 
-// recentlyRead reports whether the store was asked for the head so lately that it
-// decides what the job has listed.
+// recentlyRead reports whether this node read the head from the object store so recently
+// that it counts as current.
 func (k *knownHead) recentlyRead() bool { return time.Since(k.readAt) < headReuse }
 
-// canAnswer reports whether a head answers a question without another look into
-// the store.
+// canAnswer reports whether the head is recent enough that the object store need not be
+// read again.
 func (k *knownHead) canAnswer(fresh bool) bool {
 	switch {
 	case !k.fromStore:
--- a/internal/request/job/heads_test.go
+++ b/internal/request/job/heads_test.go
@@ -17,8 +17,7 @@
 	"github.com/marblepond/marblepond/internal/errkind"
 )
 
-// countingStore counts the reads of each kind; only is set after the first
-// writes.
+// countingStore counts the reads of each kind.
 type countingStore struct {
 	*memoryStore
 	gets map[string]int
@@ -31,8 +30,8 @@
 	return s.memoryStore.Get(ctx, class, kind, name)
 }
 
-// localPeers are the nodes of one data centre in one process; the first looks
-// heads up.
+// localPeers are the nodes of one data centre in one process; the first one reads heads for
+// all.
 type localPeers struct {
 	noPeers
 	self     string
@@ -67,8 +66,8 @@
 	return out
 }
 
-// TestReadsShareOneLookUp: however many nodes of a data centre get reads of a
-// job, the store is asked for its head once.
+// TestReadsShareOneLookUp: if many nodes of a data centre get reads of a job, its head is
+// read from the object store at most once.
 func TestReadsShareOneLookUp(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -87,8 +86,8 @@
 	is.True(errorx.IsOfType(err, errkind.NotFound))
 }
 
-// TestResultsComeFromTheirHolder: results that are listed are read from the
-// node that listed them, not from the store.
+// TestResultsComeFromTheirHolder: listed results are read from the node that listed them,
+// not from the object store.
 func TestResultsComeFromTheirHolder(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -110,16 +109,16 @@
 	is.Equal(store.gets[KindResults], 0)
 }
 
-// TestOldHeadDeniesNothing: a head that was read some time ago names the holder,
-// and never stands for the news that nothing more is listed.
-func TestOldHeadDeniesNothing(t *testing.T) {
+// TestStaleHeadDoesNotHideResults: a head that was read some time ago names the holder, but
+// is no proof that no further results are listed.
+func TestStaleHeadDoesNotHideResults(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	store := &countingStore{newMemoryStore(), map[string]int{}}
 	nodes := newLocalManagers(store, 3)
 	holder := nodes[2]
 	is.NoErr(holder.Submit(ctx, submission("job")))
-	for _, m := range nodes[:2] { // both others know the head as it was at first
+	for _, m := range nodes[:2] { // both others remember the first head
 		_, err := m.Read(ctx, "job", 0, 0)
 		is.NoErr(err)
 	}
@@ -133,7 +132,7 @@
 		is.Equal(len(page.Results), 1)
 	}
 	holder.mu.Lock()
-	holder.release(h, "test") // as if it were gone
+	holder.release(h, "test") // as if it had stopped
 	holder.mu.Unlock()
 	nodes[1].results.forget("job")
 	page, err := nodes[1].Read(ctx, "job", 0, 0)
@@ -141,9 +140,9 @@
 	is.Equal(len(page.Results), 1)
 }
 
-// TestListDecidesNothing: what a list of some seconds ago shows, and what another
-// node tells, does not stand for a question to the store.
-func TestListDecidesNothing(t *testing.T) {
+// TestListedHeadIsNotFresh: a head from a list that is seconds old, or from another node,
+// does not answer a request for a fresh head.
+func TestListedHeadIsNotFresh(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	store := &countingStore{newMemoryStore(), map[string]int{}}
@@ -164,8 +163,8 @@
 	is.Equal(store.gets[KindHeads], 0) // n0 has just read it
 }
 
-// TestHolderStopsWhenTheListShowsAnother: a holder that was away for long stops
-// when it sees in the list that its job was taken over.
+// TestHolderStopsWhenTheListShowsAnother: a holder that was cut off for long releases its
+// job when a list shows that another node has taken it over.
 func TestHolderStopsWhenTheListShowsAnother(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -180,8 +179,8 @@
 	is.Equal(m.held["job"], nil)
 }
 
-// TestStartingNodeListsOnce: a node that knows nothing yet answers reads of many
-// jobs after one list.
+// TestStartingNodeListsOnce: a node that has just started serves reads of many jobs after
+// one list call.
 func TestStartingNodeListsOnce(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -198,15 +197,15 @@
 	is.Equal(store.gets[KindHeads], 0)
 }
 
-// TestFormerHolderHearsOfItsSuccessor: a holder that was cut off stops working
-// on a job once it hears that another node took the job over.
-func TestFormerHolderHearsOfItsSuccessor(t *testing.T) {
+// TestFormerHolderStopsAfterTakeover: a holder that was cut off releases a job once another
+// node announces that it has taken it over.
+func TestFormerHolderStopsAfterTakeover(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	store := newMemoryStore()
 	former, next := newTestManager("n0", store), newTestManager("n1", store)
 	is.NoErr(former.Submit(ctx, submission("job")))
-	former.ObserveHolder(Holder{Node: "n2", Address: "n2"}, []string{"job"}) // not true: the store says otherwise
+	former.ObserveHolder(Holder{Node: "n2", Address: "n2"}, []string{"job"}) // wrong: the object store still names the former holder
 	time.Sleep(20 * time.Millisecond)
 	is.True(former.isAccepted("job"))
 	next.adopt(ctx, "job", former.cfg.Self)
@@ -224,11 +223,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the former holder goes on")
+	t.Fatal("the former holder still holds the job")
 }
 
-// TestLostJobsAreTakenInTurn: of many nodes that find the same lost jobs, one
-// asks the store for each; the next in order does so when it is not there.
+// TestLostJobsAreTakenInTurn: of many nodes that find the same lost jobs, only the first in
+// order reads their heads. The next one does so if the first is not running.
 func TestLostJobsAreTakenInTurn(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -238,7 +237,7 @@
 	for i := range jobs {
 		is.NoErr(nodes[5].Submit(ctx, submission(fmt.Sprintf("job-%d", i))))
 	}
-	for _, h := range nodes[5].held { // given up by a node that leaves
+	for _, h := range nodes[5].held { // released by a leaving node
 		is.True(nodes[5].relinquish(ctx, h))
 	}
 	nodes[5].draining = true
@@ -248,7 +247,7 @@
 	}
 	is.Equal(len(nodes[0].held), jobs)
 	is.Equal(store.gets[KindHeads], jobs)
-	for _, h := range nodes[0].held { // now it leaves too, and does not come back
+	for _, h := range nodes[0].held { // this node leaves too
 		is.True(nodes[0].relinquish(ctx, h))
 	}
 	nodes[1].sweepOnce(ctx)
@@ -258,8 +257,8 @@
 	is.Equal(len(nodes[1].held), jobs)
 }
 
-// TestRestartedHolderTakesItsJobsUp: a node that answers and does not hold a job
-// is left some time to take it up again.
+// TestRestartedHolderTakesItsJobsUp: a node that responds but does not hold its job is
+// given some time to resume it.
 func TestRestartedHolderTakesItsJobsUp(t *testing.T) {
 	is := is.New(t)
 	m := newTestManager("n0", newMemoryStore())
--- a/internal/request/job/idle_test.go
+++ b/internal/request/job/idle_test.go
@@ -12,7 +12,7 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// countingPool has no room and counts how often it is asked about it.
+// countingPool has no free slots and counts the calls of Excess.
 type countingPool struct {
 	noPool
 	excess atomic.Int32
@@ -23,9 +23,9 @@
 	return nil
 }
 
-// TestNodeWithoutJobsLooksForNothing: of 250 nodes that share ten jobs a second
-// most hold none at a moment. Such a node neither deals out room nor looks for
-// items to stop, however often what is in flight elsewhere changes.
+// TestNodeWithoutJobsLooksForNothing: of 250 nodes that share ten jobs a second, most hold
+// none at a given moment. Such a node neither computes allotments nor looks for items to
+// stop, however often the counts of other nodes change.
 func TestNodeWithoutJobsLooksForNothing(t *testing.T) {
 	is := is.New(t)
 	var shares atomic.Int32
@@ -52,15 +52,14 @@
 	is.Equal(pool.excess.Load(), int32(0))
 }
 
-// nonSweeperPeers are peers among which this node is not one that looks for the lost
-// jobs of others.
+// nonSweeperPeers are peers among which this node does not scan for lost jobs of others.
 type nonSweeperPeers struct{ noPeers }
 
 func (nonSweeperPeers) IsSweeper() bool { return false }
 
-// TestFewNodesSweep: of 250 nodes before ten jobs a second each listed the heads of
-// all jobs every five seconds. A node lists them at its start, for jobs of its own
-// before that, and then only if it is one of those that look for all.
+// TestFewNodesSweep: a node lists the heads of all jobs at its start, to find its own
+// earlier jobs, and then only if it is a sweeper. Otherwise, at ten jobs a second, each of
+// 250 nodes would list the heads of all jobs every five seconds.
 func TestFewNodesSweep(t *testing.T) {
 	for name, c := range map[string]struct {
 		peers   Peers
@@ -82,8 +81,8 @@
 	}
 }
 
-// TestStartingNodeLooksUntilItHasItsJobs: a node that can't list the heads at its
-// start looks again, also when it is not one of those that look for all.
+// TestStartingNodeLooksUntilItHasItsJobs: a node that can't list the heads at its start
+// tries again, also if it is not a sweeper.
 func TestStartingNodeLooksUntilItHasItsJobs(t *testing.T) {
 	is := is.New(t)
 	store := &listCounter{memoryStore: newMemoryStore()}
@@ -96,7 +95,7 @@
 	is.Equal(store.lists.Load(), int32(2))
 }
 
-// listCounter counts lists, the first few of which fail.
+// listCounter counts list calls, of which the first few fail.
 type listCounter struct {
 	*memoryStore
 	lists, failures atomic.Int32
--- a/internal/request/job/manager.go
+++ b/internal/request/job/manager.go
@@ -26,149 +26,155 @@
 	"github.com/marblepond/marblepond/internal/version/route"
 )
 
-// Pool places items on targets.
+// Pool chooses targets for items and counts the items there.
 type Pool interface {
+	// ChooseBatch chooses a target for an item and counts the item there.
 	ChooseBatch(need choose.Need) (choose.Target, bool)
-	// EndBatch takes the end of an item's attempt; yielded says whether it was
-	// stopped to make room, as Yielding noted.
+	// EndBatch records the end of an item's attempt; yielded says whether the attempt was
+	// stopped for an online request and counted by Yielding.
 	EndBatch(t choose.Target, outcome choose.Outcome, yielded bool)
-	// Excess returns how many of this node's items are to make room, by target.
+	// Excess returns how many of this node's items have to stop for online requests, by
+	// target.
 	Excess() map[string]int
-	// Yielding notes that an item at a target was told to make room.
+	// Yielding counts an item at a target that was stopped for an online request.
 	Yielding(t choose.Target)
-	// RefusedItem notes that a target refused an item because it was full.
+	// RefusedItem records that a target refused an item because it was full.
 	RefusedItem(t choose.Target)
+	// Leave stops new requests to a target.
 	Leave(t choose.Target, why string)
-	// Evacuated reports whether a target stands in a data centre that is evacuated.
+	// Evacuated reports whether a target is in a data centre that is evacuated.
 	Evacuated(t choose.Target) bool
-	// WhenGone has a function called when a target is known to have started again; stop
-	// takes it back. What ran there before is lost, what was sent since is not.
+	// WhenGone registers a function that is called when a target is known to have
+	// restarted; stop unregisters it. What ran there before the restart is lost, what was
+	// sent since is not.
 	WhenGone(t choose.Target, ended func()) (stop func())
 }
 
-// Backlogs counts the tokens that wait over all nodes.
+// Backlogs limits the tokens of waiting items over all nodes.
 type Backlogs interface {
-	// Reserve has a job of so many tokens counted over all nodes, and calls granted, which
-	// has it counted by WaitingTokens, if it fits. The error is of errkind, and promises
-	// that the job does not run.
+	// Reserve checks whether a job of so many tokens fits under the limit, counted over all
+	// nodes. If so, it calls granted, which makes WaitingTokens include the job. The error
+	// is of errkind and guarantees that the job does not run.
 	Reserve(ctx context.Context, key backlog.Key, job, limit int64, granted func()) error
 }
 
-// Quarantine knows the work under which targets crash.
+// Quarantine knows which work crashes targets. Work is what a fingerprint identifies:
+// requests with the same content.
 type Quarantine interface {
-	// Refuse returns the error that refuses such work, nil for all other work.
+	// Refuse returns an error if the work is quarantined, otherwise nil.
 	Refuse(work *fingerprint.Work) error
-	// Lost takes work whose connection to a target broke, and Completed work that was
-	// answered whole.
+	// Lost records that the connection to a target broke while it ran the work, and
+	// Completed that the work was answered completely.
 	Lost(work *fingerprint.Work, t choose.Target)
-	// EndedBefore reports whether a target was known to have ended when an attempt was
-	// sent there, which has then met the next incarnation.
+	// EndedBefore reports whether the incarnation of a target was known to have ended when
+	// an attempt was sent there. Such an attempt reached the next incarnation.
 	EndedBefore(t choose.Target) bool
 	Completed(work *fingerprint.Work)
-	// Ended takes proof that an incarnation of a target has ended.
+	// Ended records proof that an incarnation of a target has ended.
 	Ended(t choose.Target, proof quarantine.Proof)
-	// OnRefusal has a function called when work is refused that is under way; done
-	// takes it back.
+	// OnRefusal registers a function that is called when running work is quarantined; done
+	// unregisters it.
 	OnRefusal(work *fingerprint.Work, stop func()) (done func())
 }
 
-// Peers reaches the job services of other nodes.
+// Peers gives access to other nodes.
 type Peers interface {
+	// Job returns a client of the job service at an address.
 	Job(address string) marblepondv1connect.JobServiceClient
-	// Holders returns the addresses of the nodes that may hold jobs, without
-	// this one.
+	// Holders returns the addresses of the other nodes that may hold jobs.
 	Holders() []string
-	// Locator returns the address of the node of this data centre that looks
-	// the head of a job up for all others, "" when this node does.
+	// Locator returns the address of the node that reads the head of a job for all nodes of
+	// this data centre, or "" if this node does.
 	Locator(job string) string
-	// IsSweeper reports whether this node is one of the few of its data centre that
-	// look for lost jobs of others.
+	// IsSweeper reports whether this node is one of the few in its data centre that scan
+	// for lost jobs of other nodes.
 	IsSweeper() bool
-	// AdoptRank returns the place of this node in the order of those that may
-	// take a job over, 0 for the first.
+	// AdoptRank returns the position of this node in the order in which nodes may take a
+	// job over, 0 for the first.
 	AdoptRank(job string) int
-	// UnreachableSince returns when a node that is heard no more was last heard; false:
-	// it is heard, or never was.
+	// UnreachableSince returns when the last message of an unreachable node was received;
+	// false: the node is reachable or was never known.
 	UnreachableSince(node string) (time.Time, bool)
-	// Checkpoints reaches the checkpoint service of another node, and Keepers
-	// returns the addresses of the nodes that are to keep a job's checkpoint, among
-	// those that are usable: the present ones while they are there.
+	// Checkpoints returns a client of the checkpoint service at an address.
 	Checkpoints(address string) marblepondv1connect.CheckpointServiceClient
+	// Keepers returns the addresses of the nodes that store a job's checkpoint, chosen from
+	// the usable ones. Those in present stay chosen as long as they qualify.
 	Keepers(job string, present []string, usable func(address string) bool) []string
 }
 
-// Config of a manager.
+// Config configures a Manager.
 type Config struct {
 	Self Holder
-	// HoldsJobs says whether this node holds jobs; one that does not only reads.
+	// HoldsJobs says whether this node holds jobs; otherwise it only serves reads.
 	HoldsJobs     bool
-	MaxValueBytes int // largest value of the store, in bytes
-	KeepResults   time.Duration
-	TakeOverAfter time.Duration
-	SweepInterval time.Duration
-	// EvacuatedWithin is the time in which an evacuation has to be in force; 0: there are
-	// none.
+	MaxValueBytes int           // largest value that the object store accepts
+	KeepResults   time.Duration // how long after its submission a job is readable
+	TakeOverAfter time.Duration // how long a holder must be unresponsive before its jobs are taken over
+	SweepInterval time.Duration // time between scans for lost jobs
+	// EvacuatedWithin is the time within which an evacuation has to be in effect; 0: there
+	// are no evacuations.
 	EvacuatedWithin time.Duration
-	// CheckpointInterval is the time between saves of how far items have come; 0:
-	// nothing is saved.
+	// CheckpointInterval is the time between saves of the items' progress; 0 disables them.
 	CheckpointInterval time.Duration
-	// Selectors are the headers of an item whose values change what it asks for.
+	// Selectors are the headers of an item that are part of its fingerprint.
 	Selectors []string
-	// ResultCacheBytes bounds the results kept in memory, in bytes.
+	// ResultCacheBytes bounds the results that are cached in memory.
 	ResultCacheBytes int
 }
 
-// Dependencies are what a manager works with.
+// Dependencies are the components that a Manager uses.
 type Dependencies struct {
 	Store objects.Store
-	// StoreLatency returns how long the store takes to answer, 0 while that is not
-	// known or it does not answer.
+	// StoreLatency returns how long the object store takes to answer, 0 if that is unknown
+	// or it does not answer.
 	StoreLatency func() time.Duration
 	Pool         Pool
 	Quarantine   Quarantine
 	Sender       target.Sender
 	Peers        Peers
-	// Routes returns the routing table in force, nil before the first.
+	// Routes returns the current routing table, nil before the first one is known.
 	Routes func() *route.Table
-	// RoutesFresh reports whether the table is trusted to hold every route.
+	// RoutesFresh reports whether the table can be relied on to contain every route.
 	RoutesFresh func() bool
 	Backlogs    Backlogs
-	// Ended reports whether the end of a job is known to this node.
+	// Ended reports whether this node's cached copy of the object store contains the end of
+	// a job.
 	Ended func(job string) bool
-	// Clock counts suspensions of the machine.
+	// Clock also counts the time for which the VM was suspended.
 	Clock *clock.Clock
-	// Allotments returns the function that tells how many items this node may have
-	// at a target at once, by what is known now. It must not be called, but its
-	// result may be, while the manager or the pool is locked.
+	// Allotments returns a function that returns how many items this node may have at a
+	// target at once, from what is known now. Call Allotments only while neither the
+	// manager nor the pool is locked; its result may be called under their locks.
 	Allotments func() func(t choose.Target) int
 	Recorder   *timeline.Recorder
 	Checker    *invariant.Checker
 	Metrics    tally.Scope
 }
 
-// Manager keeps the jobs of one node. It is safe for concurrent use.
+// Manager runs the jobs that this node holds, and serves reads of all jobs. It is safe for
+// concurrent use.
 type Manager struct {
 	cfg Config
 	Dependencies
 	results     *resultCache
-	headReads   singleflight.Group // of heads, by job
-	headsListed atomic.Bool        // all heads were listed in this life of the process
-	scheduleNow chan struct{}      // the scheduler looks at once
-	sweepNow    chan struct{}      // the next sweep comes at once
+	headReads   singleflight.Group // shared reads of heads, by job
+	headsListed atomic.Bool        // this process has listed all heads
+	scheduleNow chan struct{}      // wakes the scheduler
+	sweepNow    chan struct{}      // starts the next sweep
 	stopped     chan struct{}      // closed when Run ends
-	saveMu      sync.Mutex         // held while checkpoints are sent: keepers get them in order
+	saveMu      sync.Mutex         // held while checkpoints are sent, so that keepers receive them in order
 
 	mu               sync.Mutex
-	fair             *schedule.FairQueue // among workspaces
+	fair             *schedule.FairQueue // orders items among workspaces
 	held             map[string]*heldJob
 	reserved         map[backlog.Key]int64 // tokens of submissions in progress
 	draining         bool
-	evacuatingSince  time.Time            // since when items run at targets that are evacuated; zero: none does
-	unreachableSince map[string]time.Time // holders: since when they do not answer
-	orphanedSince    map[string]time.Time // jobs that nobody holds: since when this node knows
-	heads            map[string]knownHead // of jobs that others hold
-	endedAt          map[string]time.Time // when the end of a job was told; the copy of the store may be older
-	toForget         map[string][]string  // by keeper: jobs whose checkpoint is not needed any more
+	evacuatingSince  time.Time            // since when items run at evacuated targets; zero: none does
+	unreachableSince map[string]time.Time // by Holder.String: since when the holder is unresponsive
+	orphanedSince    map[string]time.Time // by job: when this node found that no node runs it
+	heads            map[string]knownHead // of jobs that this node does not hold
+	endedAt          map[string]time.Time // by job: when its end was received; the cached copy of the object store may lag behind
+	toForget         map[string][]string  // by keeper: jobs whose checkpoint is no longer needed
 	keeperStates     map[string]keeperState
 	committers       sync.WaitGroup
 }
@@ -179,22 +185,22 @@
 	head        Head
 	revision    int64
 	items       []Item
-	works       []fingerprint.Work // what the items ask for
+	works       []fingerprint.Work // of each item
 	progress    *progress
-	commitMu    sync.Mutex // held during a commit: one at a time changes the head
-	sequence    int        // segments written by this holder
-	heldSince   time.Time  // when this node came to hold it
-	verifiedAt  time.Time  // when the store was last asked because another node says it holds it
+	commitMu    sync.Mutex // held during a commit, so that only one at a time updates the head
+	sequence    int        // number of the last segment that this holder wrote
+	heldSince   time.Time  // when this node started to hold it
+	verifiedAt  time.Time  // when the head was last read because another node announced that it holds the job
 	ended       bool
 	released    bool // this node no longer holds it
 	checkpoints checkpoints
-	stops       map[int]stopFunc // running items
-	commitNow   chan struct{}    // the committer looks at once
-	changed     chan struct{}    // closed when results were listed
+	stops       map[int]stopFunc // of running items, by index
+	commitNow   chan struct{}    // wakes the committer
+	changed     chan struct{}    // closed and replaced when results are listed or the job is released
 }
 
-// stopFunc ends the attempt at an item for a reason. It returns whether that was
-// what ended it.
+// stopFunc cancels the attempt at an item with a cause. It reports whether the attempt
+// ended for that cause.
 type stopFunc func(cause error) bool
 
 // NewManager returns a manager; Run starts it.
@@ -204,7 +210,7 @@
 		endedAt: map[string]time.Time{}, toForget: map[string][]string{}, keeperStates: map[string]keeperState{}}
 }
 
-// Run schedules items and looks for jobs without a holder until ctx ends.
+// Run schedules items, takes over lost jobs and saves checkpoints until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
 	if !m.cfg.HoldsJobs {
 		<-ctx.Done()
@@ -219,9 +225,9 @@
 	m.committers.Wait()
 }
 
-// startHeldJob starts to work on a job whose head names this node. from is how far its
-// items came under an earlier holder, as far as that is known.
-func (m *Manager) startHeldJob(id string, head Head, revision int64, items []Item, from []*v1.JobCheckpoint, why string) {
+// startHeldJob starts to run a job whose head names this node as its holder. loaded contains
+// the checkpoints that were loaded from the job's keepers.
+func (m *Manager) startHeldJob(id string, head Head, revision int64, items []Item, loaded []*v1.JobCheckpoint, why string) {
 	h := &heldJob{id: id, heldSince: time.Now(), head: head, revision: revision, items: items, works: worksOf(&head, items, m.cfg.Selectors), progress: newProgress(&head),
 		stops: map[int]stopFunc{}, commitNow: make(chan struct{}, 1), changed: make(chan struct{})}
 	h.checkpoints.setKeepers(head.Keepers)
@@ -231,7 +237,7 @@
 		return
 	}
 	h.ended = m.endKnown(id)
-	m.restore(h, from)
+	m.restore(h, loaded)
 	m.held[id] = h
 	delete(m.heads, id)
 	delete(m.orphanedSince, id)
@@ -246,8 +252,8 @@
 	m.wakeScheduler()
 }
 
-// worksOf returns what items ask for. An item is sent as the same request would be
-// that a caller sends by itself, and so has its fingerprint.
+// worksOf returns the work of each item. An item is sent like an online request of the same
+// content, and so has the same fingerprint.
 func worksOf(head *Head, items []Item, selectors []string) []fingerprint.Work {
 	works := make([]fingerprint.Work, len(items))
 	for i := range items {
@@ -272,7 +278,7 @@
 	}
 }
 
-// release ends this node's hold on a job. The caller holds m.mu.
+// release stops the work on a job that this node no longer holds. The caller holds m.mu.
 func (m *Manager) release(h *heldJob, why string) {
 	if h.released {
 		return
@@ -288,7 +294,7 @@
 	m.Recorder.Record(timeline.JobReleased, h.id, "", why)
 }
 
-// MarkEnded takes the news that the caller of a job has ended it.
+// MarkEnded records that the caller of a job has ended it, and stops its items.
 func (m *Manager) MarkEnded(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -305,14 +311,14 @@
 	m.Recorder.Record(timeline.JobEnded, id, "", "its caller ended it")
 }
 
-// endKnown reports whether the end of a job is known here, from the copy of the
-// store or from another node. The caller holds m.mu.
+// endKnown reports whether this node knows that a job was ended, from its cached copy of
+// the object store or from another node. The caller holds m.mu.
 func (m *Manager) endKnown(id string) bool {
 	_, notified := m.endedAt[id]
 	return notified || m.Ended(id)
 }
 
-// routeOf returns the route of a job in the table in force, nil when it has none.
+// routeOf returns the route of a job in the current routing table, or nil if it has none.
 func (m *Manager) routeOf(head *Head) *route.Route {
 	table := m.Routes()
 	if table == nil {
@@ -321,7 +327,7 @@
 	return table.Match(head.Host, head.Path)
 }
 
-// dueTime returns when a job's results are due.
+// dueTime returns when the results of a job are due.
 func dueTime(head *Head, r *route.Route) time.Time {
 	at := time.UnixMilli(head.Submitted)
 	if r != nil {
@@ -330,7 +336,7 @@
 	return at
 }
 
-// heldByDueTime returns the held jobs, earliest due first. The caller holds m.mu.
+// heldByDueTime returns the held jobs, earliest due time first. The caller holds m.mu.
 func (m *Manager) heldByDueTime() []*heldJob {
 	jobs := make([]*heldJob, 0, len(m.held))
 	for _, h := range m.held {
--- a/internal/request/job/manager_test.go
+++ b/internal/request/job/manager_test.go
@@ -93,7 +93,7 @@
 	return page, nil
 }
 
-// noPool has no room, noPeers knows nobody.
+// noPool has no free slots; noPeers has no other nodes.
 type noPool struct{}
 
 func (noPool) ChooseBatch(choose.Need) (choose.Target, bool) { return choose.Target{}, false }
@@ -105,7 +105,7 @@
 func (noPool) Leave(choose.Target, string)                   {}
 func (noPool) WhenGone(choose.Target, func()) func()         { return func() {} }
 
-// noQuarantine knows of no work under which targets crash.
+// noQuarantine quarantines no work.
 type noQuarantine struct{}
 
 func (noQuarantine) Refuse(*fingerprint.Work) error             { return nil }
@@ -146,15 +146,15 @@
 		Route: &route.Route{Name: "r", Host: "h", Prefix: "/j/", Kind: route.Batch}, Items: []Item{{ID: "i0", Path: "/j/a"}, {ID: "i1", Path: "/j/b"}}}
 }
 
-// TestFormerHolderIsFenced: a holder that was paused while another node took
-// its job over lists nothing more, and what the new holder listed stays.
+// TestFormerHolderIsFenced: a holder that was suspended while another node took its job
+// over lists nothing more, and the results that the new holder listed stay.
 func TestFormerHolderIsFenced(t *testing.T) {
 	is := is.New(t)
 	store := newMemoryStore()
 	paused, successor := newTestManager("paused", store), newTestManager("fresh", store)
 	is.NoErr(paused.Submit(context.Background(), submission("job")))
 	mine := paused.held["job"]
-	mine.commitMu.Lock() // it stands still
+	mine.commitMu.Lock() // the holder is suspended
 
 	successor.adopt(context.Background(), "job", paused.cfg.Self)
 	theirs := successor.held["job"]
@@ -165,19 +165,19 @@
 	theirs.commitMu.Unlock()
 
 	mine.progress.finish(0, Result{Item: "i0", Text: "of the former holder"}, time.Now())
-	is.True(!paused.commit(mine)) // refused
+	is.True(!paused.commit(mine)) // fenced
 	mine.commitMu.Unlock()
 	is.Equal(paused.held["job"], nil)
 	page, err := successor.Read(context.Background(), "job", 0, 0)
 	is.NoErr(err)
 	is.Equal(len(page.Results), 1)
 	is.Equal(page.Results[0].Text, "of the new holder")
-	page, err = paused.Read(context.Background(), "job", 0, 0) // it reads what the store holds
+	page, err = paused.Read(context.Background(), "job", 0, 0) // from the object store
 	is.NoErr(err)
 	is.Equal(page.Results[0].Text, "of the new holder")
 }
 
-// TestRemovedWhenExpired: all objects of an expired job leave the store.
+// TestRemovedWhenExpired: all objects of an expired job are deleted from the object store.
 func TestRemovedWhenExpired(t *testing.T) {
 	is := is.New(t)
 	store := newMemoryStore()
@@ -193,7 +193,7 @@
 	is.Equal(len(store.objects), 0)
 }
 
-// unreachablePeers know when the holder was last heard.
+// unreachablePeers reports every node as unreachable since a time.
 type unreachablePeers struct {
 	noPeers
 	since time.Time
@@ -201,9 +201,9 @@
 
 func (p unreachablePeers) UnreachableSince(string) (time.Time, bool) { return p.since, true }
 
-// The time after which a silent holder is taken for lost counts from when it was
-// last heard, also when the store could not be asked for its jobs until now.
-func TestSilenceCountsWhileTheStoreIsAway(t *testing.T) {
+// TestUnreachableTimeCountsDuringStoreOutage: TakeOverAfter counts from when the last
+// message of the holder was received, even if the object store could not be read until now.
+func TestUnreachableTimeCountsDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
 	m := newTestManager("n1", newMemoryStore())
 	m.cfg.TakeOverAfter = 6 * time.Second
@@ -212,14 +212,14 @@
 	lost, _ := m.unreachableHolder(holder, []string{"j"})
 	is.Equal(lost, []string{"j"})
 	m.Peers = unreachablePeers{since: time.Now().Add(-2 * time.Second)}
-	lost, suspected := m.unreachableHolder(Holder{Node: "quiet", Boot: 1}, []string{"j"})
+	lost, sweepSoon := m.unreachableHolder(Holder{Node: "quiet", Boot: 1}, []string{"j"})
 	is.Equal(len(lost), 0)
-	is.True(suspected)
+	is.True(sweepSoon)
 }
 
-// TestSuspendedHolderAsksTheStore: while the machine of a holder is suspended another
-// node takes its job over. When it wakes, no timer and no message tells it so; it asks
-// the store and works on the job no more.
+// TestSuspendedHolderAsksTheStore: another node takes a job over while the VM of its holder
+// is suspended. After the suspension no timer and no message reports that, so the holder
+// has to read the head, and releases the job.
 func TestSuspendedHolderAsksTheStore(t *testing.T) {
 	is := is.New(t)
 	store := newMemoryStore()
@@ -233,7 +233,7 @@
 	go holder.Run(ctx)
 	other.adopt(context.Background(), "job", holder.cfg.Self)
 	time.Sleep(3 * allRunningInterval)
-	is.Equal(holder.Demand(), 2) // it does not know yet
+	is.Equal(holder.Demand(), 2) // it has not noticed the takeover yet
 	suspended.Store(int64(10 * time.Second))
 	for range 100 {
 		if holder.Demand() == 0 {
@@ -241,10 +241,10 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("it still works on the job a second after it woke")
+	t.Fatal("it still works on the job a second after its suspension")
 }
 
-// unlimitedBacklogs has room for every job.
+// unlimitedBacklogs accepts every job.
 type unlimitedBacklogs struct{}
 
 func (unlimitedBacklogs) Reserve(_ context.Context, _ backlog.Key, _, _ int64, granted func()) error {
--- a/internal/request/job/peer.go
+++ b/internal/request/job/peer.go
@@ -9,13 +9,13 @@
 	"github.com/marblepond/marblepond/internal/process/timeline"
 )
 
-// PeerService answers other nodes about the jobs of a manager.
+// PeerService implements the job service for other nodes.
 type PeerService struct{ m *Manager }
 
-// PeerService returns the service for other nodes.
+// PeerService returns the job service of this manager for other nodes.
 func (m *Manager) PeerService() PeerService { return PeerService{m} }
 
-// Held implements the peers' service.
+// Held returns which of the given jobs this node holds.
 func (s PeerService) Held(_ context.Context, req *v1.HeldRequest) (*v1.HeldResponse, error) {
 	s.m.mu.Lock()
 	defer s.m.mu.Unlock()
@@ -28,13 +28,13 @@
 	return resp, nil
 }
 
-// End implements the peers' service.
+// End records that the caller of a job has ended it.
 func (s PeerService) End(_ context.Context, req *v1.EndRequest) (*v1.EndResponse, error) {
 	s.m.MarkEnded(req.Job)
 	return &v1.EndResponse{}, nil
 }
 
-// Adopt implements the peers' service: it takes over jobs that nobody holds.
+// Adopt takes over jobs that no node holds.
 func (s PeerService) Adopt(_ context.Context, req *v1.AdoptRequest) (*v1.AdoptResponse, error) {
 	if !s.m.cfg.HoldsJobs {
 		return &v1.AdoptResponse{}, nil
@@ -47,14 +47,15 @@
 	return &v1.AdoptResponse{}, nil
 }
 
-// notifyTimeout bounds a message that only speeds up what the store tells too.
+// notifyTimeout bounds a notification that only saves time: the receiver also learns its
+// content from the object store.
 const notifyTimeout = 300 * time.Millisecond
 
-// endTimeout bounds the writing of a job's end.
+// endTimeout bounds the write of a job's end.
 const endTimeout = 2 * time.Second
 
-// EndJob ends a job for its caller; when it returns nil the end is in the
-// store. Errors: errkind.NotFound, errkind.PlatformUnavailable.
+// EndJob ends a job for its caller. When it returns nil, the end is in the object store.
+// Errors: errkind.NotFound, errkind.PlatformUnavailable.
 func (m *Manager) EndJob(ctx context.Context, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, endTimeout)
 	defer cancel()
@@ -69,7 +70,7 @@
 	}
 	if !m.Ended(id) {
 		if _, _, err := m.create(ctx, KindEnds, id, encode(struct{ Ended int64 }{time.Now().UnixMilli()})); err != nil {
-			return errkind.PlatformUnavailable.New("the end of the job is not in the object store: %v", err)
+			return errkind.PlatformUnavailable.New("the end of the job could not be written to the object store: %v", err)
 		}
 	}
 	m.MarkEnded(id)
@@ -79,12 +80,13 @@
 	return nil
 }
 
+// notifyEnd notifies the holder of a job that its caller has ended it.
 func (m *Manager) notifyEnd(holder Holder, id string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
 		if _, err := m.Peers.Job(holder.Address).End(ctx, &v1.EndRequest{Job: id}); err != nil {
-			m.Recorder.Record(timeline.JobEnded, id, holder.Node, "the holder was not told and learns it from the store: "+err.Error())
+			m.Recorder.Record(timeline.JobEnded, id, holder.Node, "the holder was not notified and learns it from the object store: "+err.Error())
 		}
 	}()
 }
--- a/internal/request/job/progress.go
+++ b/internal/request/job/progress.go
@@ -6,42 +6,43 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// phase is the life of one item at the holder.
+// phase is the state of an item at the holder of its job.
 type phase int
 
 const (
 	waiting  phase = iota
-	running        // at a target
-	finished       // its result waits to be committed
-	listed         // its result has a position
+	running        // an attempt at a target is in progress
+	finished       // its result is not committed yet
+	listed         // its result is committed and has a position
 )
 
-// progress is the pure state machine of one held job. Time comes from outside.
+// progress is the state machine of the items of one held job. It is pure: the caller passes
+// the time.
 type progress struct {
 	items   []itemState
-	pending []pendingResult // finished and not committed, in the order they came
+	pending []pendingResult // finished but not committed, in order of completion
 }
 
 type itemState struct {
 	phase             phase
-	failures          int           // answers that count as failed attempts
-	consecutiveBreaks int           // attempts in a row that broke off
-	notBefore         time.Time     // not before this
-	lastEvent         int64         // ID of the last event held
-	text              []byte        // data of the events held; kept until the result is listed
-	givenUp           bool          // finished without its whole output
-	quarantined       bool          // not sent, because targets crash under it
+	failures          int           // attempts that the target answered with a failure
+	consecutiveBreaks int           // attempts in a row that broke off without a new event
+	notBefore         time.Time     // earliest time of the next attempt
+	lastEvent         int64         // ID of the last event received
+	text              []byte        // data of the events received; kept until the result is listed
+	givenUp           bool          // finished without its complete output
+	quarantined       bool          // not sent, because its work crashes targets
 	target            choose.Target // where it runs
-	sentAt            time.Time     // when it was sent there
+	sentAt            time.Time     // when the attempt started
 }
 
 type pendingResult struct {
 	index  int
 	result Result
-	at     time.Time // when it came
+	at     time.Time // when the item finished
 }
 
-// newProgress returns the progress of a job as its head tells it.
+// newProgress returns the progress that the head of a job records.
 func newProgress(h *Head) *progress {
 	p := &progress{items: make([]itemState, h.Total)}
 	for _, s := range h.Segments {
@@ -56,32 +57,33 @@
 }
 
 const (
-	// breakBackoff is the pause after an attempt broke off; it doubles up to
-	// maxBreakPause with each further one in a row.
+	// breakBackoff is the delay after an attempt broke off. It doubles with each further
+	// one in a row, up to maxBreakBackoff.
 	breakBackoff    = 50 * time.Millisecond
 	maxBreakBackoff = 2 * time.Second
-	// failureBackoff is the pause after an answer of failure, so that a passing
-	// fault of a target does not use up the attempts at once.
+	// failureBackoff is the delay after a failed attempt, so that a transient fault of a
+	// target does not use up all attempts at once.
 	failureBackoff = 250 * time.Millisecond
 )
 
-// mayBeSent reports whether an item waits and its pause is over.
+// mayBeSent reports whether an item waits and its backoff is over.
 func (p *progress) mayBeSent(i int, now time.Time) bool {
 	return p.items[i].phase == waiting && !now.Before(p.items[i].notBefore)
 }
 
-// markSent notes that an item is at a target.
+// markSent records that an attempt at an item has started at a target.
 func (p *progress) markSent(i int, target choose.Target, now time.Time) {
 	s := &p.items[i]
 	s.phase, s.target, s.sentAt = running, target, now
 }
 
-// requeue notes that an attempt did not begin, or was stopped to make room.
+// requeue returns an item to waiting after an attempt that did not start, broke off, failed
+// or was stopped.
 func (p *progress) requeue(i int, now time.Time, pause time.Duration) {
 	p.items[i].phase, p.items[i].notBefore = waiting, now.Add(pause)
 }
 
-// attemptBroke notes an attempt that attemptBroke off after it held up to event held.
+// attemptBroke records that an attempt broke off. The next one resumes after lastEvent.
 func (p *progress) attemptBroke(i int, now time.Time) {
 	s := &p.items[i]
 	pause := min(breakBackoff<<min(s.consecutiveBreaks, 10), maxBreakBackoff)
@@ -89,7 +91,7 @@
 	p.requeue(i, now, pause)
 }
 
-// attemptFailed notes an answer of failure. It returns whether attempts are left.
+// attemptFailed records a failed attempt. It returns whether attempts are left.
 func (p *progress) attemptFailed(i int, now time.Time, attempts int) (left bool) {
 	s := &p.items[i]
 	s.failures++
@@ -97,8 +99,8 @@
 	return s.failures < attempts
 }
 
-// addEvent adds an addEvent's data to the text held. Events that are held already
-// are left out.
+// addEvent appends an event's data to the text of an item. Events that were received before
+// are ignored.
 func (p *progress) addEvent(i int, id int64, data []byte) {
 	s := &p.items[i]
 	if id <= s.lastEvent {
@@ -112,8 +114,8 @@
 	s.consecutiveBreaks = 0
 }
 
-// restore lets a waiting item go on after event held, whose text is known. It
-// reports whether that is news.
+// restore lets a waiting item resume after lastEvent with the text up to there. It reports
+// whether that is further than the item had come.
 func (p *progress) restore(i int, lastEvent int64, text []byte) bool {
 	s := &p.items[i]
 	if s.phase != waiting || lastEvent <= s.lastEvent {
@@ -123,7 +125,8 @@
 	return true
 }
 
-// finish gives an item its result. A second result of an item is ignored.
+// finish records the result of an item. It returns false, and ignores the result, if the
+// item already has one.
 func (p *progress) finish(i int, r Result, now time.Time) bool {
 	s := &p.items[i]
 	if s.phase == finished || s.phase == listed {
@@ -134,9 +137,9 @@
 	return true
 }
 
-// commitDue reports whether the pending results are to be committed now: when all of
-// them together have waited for the delay. One result waits that long, many that
-// came at once a fraction of it; a commit costs the same for all.
+// commitDue reports whether to commit the pending results now: when no item is without a
+// result, or when the pending ones together have waited for delay. One result waits that
+// long, many that came at once a fraction of it; a commit costs the same for all.
 func (p *progress) commitDue(now time.Time, delay time.Duration) bool {
 	if len(p.pending) == 0 {
 		return false
@@ -159,7 +162,8 @@
 	return n
 }
 
-// demand returns the number of items that wait for a target or are at one.
+// demand returns the number of items that wait for a target or run, without those that are
+// quarantined.
 func (p *progress) demand() int {
 	n := p.unfinished()
 	for i := range p.items {
@@ -170,7 +174,7 @@
 	return n
 }
 
-// markListed notes that the first n pending results are listed.
+// markListed records that the first n pending results are listed.
 func (p *progress) markListed(n int) {
 	for _, r := range p.pending[:n] {
 		p.items[r.index].phase = listed
@@ -179,7 +183,8 @@
 	p.pending = p.pending[n:]
 }
 
-// failureCounts returns the failed attempts by item, where there are any.
+// failureCounts returns the failed attempts by item index, for items that have any and are
+// not listed.
 func (p *progress) failureCounts() map[int]int {
 	var out map[int]int
 	for i := range p.items {
@@ -193,7 +198,7 @@
 	return out
 }
 
-// noneRunning reports whether no item is at a target.
+// noneRunning reports whether no item runs.
 func (p *progress) noneRunning() bool {
 	for i := range p.items {
 		if p.items[i].phase == running {
--- a/internal/request/job/progress_test.go
+++ b/internal/request/job/progress_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestEveryItemHasOnePosition: whatever order attempts end in, every item gets
-// one result, and its text holds each event once.
+// TestEveryItemHasOnePosition: in whatever order attempts end, every item gets one result,
+// and its text contains each event once.
 func TestEveryItemHasOnePosition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 8).Draw(t, "items")
@@ -63,11 +63,11 @@
 
 func TestAttemptsAreBounded(t *testing.T) {
 	is := is.New(t)
-	p := newProgress(&Head{Total: 1, Failed: map[int]int{0: 1}}) // one failure under the holder before
+	p := newProgress(&Head{Total: 1, Failed: map[int]int{0: 1}}) // one failure under the former holder
 	now := time.Unix(0, 0)
 	p.markSent(0, choose.Target{ID: "t"}, now)
 	is.True(p.attemptFailed(0, now, 3))
-	is.True(!p.mayBeSent(0, now)) // pauses first
+	is.True(!p.mayBeSent(0, now)) // backs off first
 	is.True(p.mayBeSent(0, now.Add(failureBackoff)))
 	p.markSent(0, choose.Target{ID: "t"}, now)
 	is.True(!p.attemptFailed(0, now, 3))
@@ -111,7 +111,7 @@
 	c := newResultCache(100)
 	long := strings.Repeat("x", 40)
 	is.Equal(c.put("a", 0, []Result{{Text: long}}), -1)
-	is.Equal(c.put("a", 0, []Result{{Text: "another"}}), 0) // it keeps what was there, and tells
+	is.Equal(c.put("a", 0, []Result{{Text: "another"}}), 0) // the first result stays, and the conflict is returned
 	c.put("b", 0, []Result{{Text: long}})
 	c.from("a", 0)
 	c.put("c", 0, []Result{{Text: long}})
@@ -121,8 +121,8 @@
 	is.Equal(len(got), 0)
 }
 
-// TestCommitsAreGrouped: results wait for others, shortly before their job is
-// due much less, and again once it is late.
+// TestCommitsAreGrouped: results wait to be committed with others, much less shortly before
+// their job is due, and as long as before once it is late.
 func TestCommitsAreGrouped(t *testing.T) {
 	is := is.New(t)
 	is.Equal(commitWait(15*time.Second), commitDelay)
@@ -131,7 +131,7 @@
 	is.Equal(commitWait(-time.Second), commitDelay)
 }
 
-// Many results that come at once are listed much sooner than a single one: a
+// Many results that finish together are listed much sooner than a single one, so that a
 // caller that ends its job a second later has read them.
 func TestManyResultsAreCommittedSooner(t *testing.T) {
 	is := is.New(t)
--- a/internal/request/job/read.go
+++ b/internal/request/job/read.go
@@ -15,28 +15,29 @@
 	"github.com/marblepond/marblepond/internal/process/wait"
 )
 
-// Page is the answer to a read: results from a position on.
+// Page is a part of a job's results, from a position on.
 type Page struct {
 	Total   int
 	Results []Result
 }
 
 const (
-	// pageBytes bounds the text of one page; a larger single result is sent alone.
+	// pageBytes bounds the text of one page in bytes; a larger single result is sent alone.
 	pageBytes = 900 << 10
-	// maxHolderAge is how long a head read from the store is trusted to name the holder.
+	// maxHolderAge is how long a remembered head is trusted to name the holder.
 	maxHolderAge = 10 * time.Second
-	// rereadInterval is the least time between two looks for the results of a job
-	// without a holder while a caller waits: until a node takes the job over there
-	// is nothing new, and the caller asks again by itself.
+	// rereadInterval is the minimum time between two reads of a job without a holder while
+	// a caller waits: there are no new results until a node takes the job over, and the
+	// caller repeats its request anyway.
 	rereadInterval = 900 * time.Millisecond
-	// holderResponseTimeout is added to the time that a holder may wait before it answers.
+	// holderResponseTimeout is the time for the response of a holder, in addition to the
+	// time that it may wait for results.
 	holderResponseTimeout = 300 * time.Millisecond
 )
 
-// Read returns results from position after on; when there is none yet it waits
-// up to the time given. Errors: errkind.NotFound when no such job exists,
-// errkind.PlatformUnavailable when this node cannot be sure.
+// Read returns results from position after on. If there are none yet, it waits for up to
+// waitFor. Errors: errkind.NotFound if there is no such job, errkind.PlatformUnavailable if
+// this node cannot determine its state.
 func (m *Manager) Read(ctx context.Context, id string, after int, waitFor time.Duration) (Page, error) {
 	until := time.Now().Add(waitFor)
 	for {
@@ -57,6 +58,8 @@
 	}
 }
 
+// waitChange waits for changed to be closed, and reports whether it was before the time
+// until.
 func waitChange(ctx context.Context, changed <-chan struct{}, until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -69,10 +72,10 @@
 	return false
 }
 
-// errNotHolder: this node does not hold the job.
-var errNotHolder = errors.New("job is not held here")
+// errNotHolder means that this node does not hold the job.
+var errNotHolder = errors.New("this node does not hold the job")
 
-// readHeld answers for a job that this node holds.
+// readHeld reads from a job that this node holds.
 func (m *Manager) readHeld(ctx context.Context, id string, after int) (Page, <-chan struct{}, error) {
 	m.mu.Lock()
 	h := m.held[id]
@@ -86,8 +89,8 @@
 	return page, changed, err
 }
 
-// readRemote answers for a job that is not held here: from memory, from its
-// holder, or from the store.
+// readRemote reads from a job that this node does not hold: from memory, from the holder,
+// or from the object store.
 func (m *Manager) readRemote(ctx context.Context, id string, after int, waitFor time.Duration) (Page, error) {
 	known, ok := m.knownHead(id)
 	if ok && known.fromStore && (known.head.Listed() > after || known.head.Complete()) {
@@ -105,10 +108,10 @@
 	return m.readLocated(ctx, id, after, waitFor, known.head.Holder)
 }
 
-// readLocated answers for a job whose holder, when one was known, did not
-// answer: from its present holder, or from what the store lists now.
-func (m *Manager) readLocated(ctx context.Context, id string, after int, waitFor time.Duration, lost Holder) (Page, error) {
-	if lost == (Holder{}) {
+// readLocated reads from a job whose last known holder, if any, did not respond: from the
+// current holder, or the results that the object store lists now.
+func (m *Manager) readLocated(ctx context.Context, id string, after int, waitFor time.Duration, lastKnown Holder) (Page, error) {
+	if lastKnown == (Holder{}) {
 		head, err := m.locate(ctx, id, false)
 		if err != nil {
 			return Page{}, err
@@ -128,8 +131,8 @@
 	return m.remotePage(ctx, id, &head, after)
 }
 
-// remotePage returns the results that the head of another node's job lists.
-// What is not in memory here usually is at the node that listed it.
+// remotePage returns results that the head of another node's job lists. Results that are
+// not cached here are requested from the holder first, which usually still caches them.
 func (m *Manager) remotePage(ctx context.Context, id string, head *Head, after int) (Page, error) {
 	if after >= head.Listed() || m.results.has(id, after) {
 		return m.page(ctx, id, head, after)
@@ -140,7 +143,7 @@
 	return m.page(ctx, id, head, after)
 }
 
-// queryHolder asks the node that holds the job.
+// queryHolder requests results from the holder of a job.
 func (m *Manager) queryHolder(ctx context.Context, id string, head *Head, after int, waitFor time.Duration) (Page, error) {
 	if head.Holder == (Holder{}) || head.Holder.Node == m.cfg.Self.Node {
 		return Page{}, errNotHolder
@@ -164,7 +167,7 @@
 	return page, nil
 }
 
-// Results implements the peers' service.
+// Results returns results of a job that this node holds, or held until it was complete.
 func (s PeerService) Results(ctx context.Context, req *v1.ResultsRequest) (*v1.ResultsResponse, error) {
 	m := s.m
 	until := time.Now().Add(time.Duration(req.WaitMs) * time.Millisecond)
@@ -190,7 +193,7 @@
 	}
 }
 
-// readFinished answers for a job that this node held to its end.
+// readFinished reads from a job that this node held until it was complete.
 func (m *Manager) readFinished(ctx context.Context, id string, after int) (Page, error) {
 	known, ok := m.knownHead(id)
 	if !ok || !known.fromStore || !known.head.Complete() {
@@ -199,8 +202,8 @@
 	return m.page(ctx, id, &known.head, after)
 }
 
-// page returns the results that a head lists from a position on. What is no
-// longer in memory is read from the store.
+// page returns the results that a head lists from a position on. Results that are not
+// cached are read from the object store.
 func (m *Manager) page(ctx context.Context, id string, head *Head, after int) (Page, error) {
 	page := Page{Total: head.Total}
 	if after >= head.Listed() {
@@ -227,16 +230,16 @@
 	return page, nil
 }
 
-// cacheResults holds listed results in memory.
+// cacheResults caches listed results.
 func (m *Manager) cacheResults(id string, first int, results []Result) {
-	moved := m.results.put(id, first, results)
-	m.Checker.Assert(moved < 0, invariant.PositionKept, id, "", "position %d held another result", moved)
+	conflict := m.results.put(id, first, results)
+	m.Checker.Assert(conflict < 0, invariant.PositionKept, id, "", "position %d had another result", conflict)
 }
 
 func (m *Manager) readSegment(ctx context.Context, s Segment) ([]Result, error) {
 	o, err := m.Store.Get(ctx, callbudget.Commit, KindResults, s.Object)
 	if err != nil {
-		return nil, errkind.PlatformUnavailable.New("results in the object store: %v", err)
+		return nil, errkind.PlatformUnavailable.New("results could not be read from the object store: %v", err)
 	}
 	results, err := decode[[]Result](o.Value)
 	if err != nil || len(results) != len(s.Items) {
@@ -245,7 +248,7 @@
 	return results, nil
 }
 
-// limitToPage cuts a list of results to the size of a page; at least one is left.
+// limitToPage cuts a list of results to the size of a page, but keeps at least one.
 func limitToPage(results []Result) []Result {
 	sum := 0
 	for i, r := range results {
@@ -257,8 +260,8 @@
 	return results
 }
 
-// Body returns the body of an item. Errors: errkind.NotFound,
-// errkind.PlatformUnavailable when this node cannot be sure.
+// Body returns the body of an item. Errors: errkind.NotFound, errkind.PlatformUnavailable
+// if this node cannot determine the state of the job.
 func (m *Manager) Body(ctx context.Context, id, item string) ([]byte, error) {
 	m.mu.Lock()
 	h := m.held[id]
@@ -284,24 +287,24 @@
 		}
 	}
 	if head.Parts == 0 {
-		// The items are in the head as the store has it, which is not kept here.
+		// The items are in the stored head; remembered heads do not contain them.
 		var err error
 		head, _, err = m.getHead(ctx, callbudget.Commit, id)
 		switch {
 		case errors.Is(err, objects.ErrNotFound):
 			return nil, errNoJob(id)
 		case err != nil:
-			return nil, errkind.PlatformUnavailable.New("the head of the job in the object store: %v", err)
+			return nil, errkind.PlatformUnavailable.New("the head of the job could not be read from the object store: %v", err)
 		}
 	}
 	items, err := m.getItems(ctx, id, &head)
 	if err != nil {
-		return nil, errkind.PlatformUnavailable.New("items in the object store: %v", err)
+		return nil, errkind.PlatformUnavailable.New("items could not be read from the object store: %v", err)
 	}
 	return findBody(items, id, item)
 }
 
-// queryBody asks the node that holds the job for the body of an item.
+// queryBody requests the body of an item from the holder of its job.
 func (m *Manager) queryBody(ctx context.Context, head *Head, id, item string) (body []byte, found bool, err error) {
 	if head.Holder.Node == m.cfg.Self.Node {
 		return nil, false, errNotHolder
@@ -318,7 +321,7 @@
 	return resp.Body, resp.Found, nil
 }
 
-// Body implements the peers' service.
+// Body returns the body of an item of a job that this node holds.
 func (s PeerService) Body(_ context.Context, req *v1.BodyRequest) (*v1.BodyResponse, error) {
 	s.m.mu.Lock()
 	h := s.m.held[req.Job]
--- a/internal/request/job/record.go
+++ b/internal/request/job/record.go
@@ -1,12 +1,12 @@
-// Package job keeps batch jobs that are submitted whole: it accepts them into
-// the object store, runs their items in the room that online requests leave,
-// commits results in groups, and answers reads at any node.
+// Package job runs batch jobs that callers submit as one unit: it stores an accepted job in
+// the object store, runs its items on capacity that online requests leave free, commits
+// results in batches, and serves reads at any node.
 //
-// A job is accepted when its head exists in the object store; its items were
-// written before. One node holds the job and alone changes the head, by
-// conditional writes; another node that takes the job over changes the head
-// first, so that every later write of the former holder fails. A result has
-// its position from the write of the head that lists it, and never moves.
+// A job is accepted when its head exists in the object store; its items are written before
+// the head, or with it. One node, the holder, runs the job and alone updates the head, by
+// conditional writes. A node that takes the job over first writes itself and a higher epoch
+// into the head, so every later write of the former holder fails. A result gets its
+// position from the write of the head that lists it, and the position never changes.
 package job
 
 import (
@@ -23,53 +23,55 @@
 
 // Kinds of objects in the store.
 const (
-	KindHeads   = "marblepond-jobs"    // one Head a job
-	KindItems   = "marblepond-items"   // the submitted items, in parts
-	KindResults = "marblepond-results" // committed results, in segments
-	KindEnds    = "marblepond-ends"    // one object for each job that its caller ended
+	KindHeads   = "marblepond-jobs"    // one Head per job
+	KindItems   = "marblepond-items"   // submitted items, in one or more objects per job
+	KindResults = "marblepond-results" // committed results, one object per segment
+	KindEnds    = "marblepond-ends"    // one object per job that its caller ended
 )
 
-// Kinds lists them: the only ones that one node may change for another.
+// Kinds lists the only kinds of objects that a node may change on behalf of another node.
 var Kinds = []string{KindHeads, KindItems, KindResults, KindEnds}
 
-// Holder is one boot of a node that holds a job. The zero Holder is nobody.
+// Holder identifies one incarnation of a node as the holder of a job. The zero Holder means
+// that no node holds the job.
 type Holder struct {
 	Node    string
 	Boot    int64  // Unix microseconds at process start
 	Address string // IP:port of the node's services for other nodes
 }
 
-// String describes a holder for the log.
+// String formats a holder for logs.
 func (h Holder) String() string {
 	if h == (Holder{}) {
-		return "nobody"
+		return "no node"
 	}
 	return fmt.Sprintf("%s boot %d", h.Node, h.Boot)
 }
 
-// Head is the state of a job that every decision about it depends on.
+// Head is the authoritative state of a job: who holds it and which results are listed. Only
+// the holder updates it, and a node that takes the job over.
 type Head struct {
-	Workspace string `json:",omitempty"` // whose job it is; empty: of a configuration without workspaces
+	Workspace string `json:",omitempty"` // empty if the configuration has no workspaces
 	Host      string // of the submission
-	Path      string // of the submission; names the route in any version
-	Submitted int64  // Unix milliseconds when a node first read the job
-	Total     int    // items
-	Parts     int    // objects of KindItems
-	// Inline are the items while they are not in objects of their own: a small job
-	// is accepted with one write. They move at the first commit.
+	Path      string // of the submission; identifies the route in any configuration version
+	Submitted int64  // Unix milliseconds when a node received the submission
+	Total     int    // number of items
+	Parts     int    // number of KindItems objects
+	// Inline holds the items of a small job, which is accepted with a single write. The
+	// first commit moves them to KindItems objects.
 	Inline   []Item `json:",omitempty"`
 	Holder   Holder
-	Epoch    int         // counts holders
-	Segments []Segment   // in the order of their positions
-	Failed   map[int]int `json:",omitempty"` // answers of failure by item index, where any
-	Keepers  []string    `json:",omitempty"` // IP:port of the nodes that keep checkpoints
-	Writer   string      // token of the last write, to recognise it after a lost answer
+	Epoch    int         // fencing token, incremented by each takeover
+	Segments []Segment   // in order of result position
+	Failed   map[int]int `json:",omitempty"` // number of failed attempts by item index; items without any are absent
+	Keepers  []string    `json:",omitempty"` // IP:port of the nodes that store the job's checkpoint
+	Writer   string      // token of the last write, which identifies it if its response was lost
 }
 
-// Segment lists results that one commit added.
+// Segment lists the results that a commit stored in one object.
 type Segment struct {
-	Object string // of KindResults
-	Items  []int  // item indexes, in the order of their positions
+	Object string // name of the KindResults object
+	Items  []int  // item indexes, in order of result position
 }
 
 // Listed returns the number of results that have a position.
@@ -81,7 +83,7 @@
 	return n
 }
 
-// Complete reports whether every item has its result.
+// Complete reports whether every item has a listed result.
 func (h *Head) Complete() bool { return h.Listed() >= h.Total }
 
 // Item is one request of a job.
@@ -90,10 +92,10 @@
 	Path   string
 	Header map[string]string
 	Body   []byte
-	Tokens int64 // of the prompt and the longest answer together
+	Tokens int64 // prompt tokens plus maximum output tokens
 }
 
-// header returns the item's header as it is sent.
+// header returns the HTTP header to send with the item.
 func (i *Item) header() http.Header {
 	header := make(http.Header, len(i.Header))
 	for k, v := range i.Header {
@@ -105,28 +107,28 @@
 // Result is the outcome of one item.
 type Result struct {
 	Item string
-	Dead bool   // given up; Text is empty
-	Text string // the data of all events, separated by line feeds
+	Dead bool   // the item was given up; Text is empty
+	Text string // data of all events, separated by line feeds
 }
 
 // Submission is a job as its caller sends it.
 type Submission struct {
 	ID        string // as ScopedID returns it
-	Workspace string // whose job it is; empty: the configuration has no workspaces
+	Workspace string // empty if the configuration has no workspaces
 	Host      string
 	Path      string
 	Route     *route.Route
 	Items     []Item
 	Arrived   time.Time
-	Deadline  time.Time // of the answer
+	Deadline  time.Time // of the response to the submission
 }
 
-// scopeSeparator separates the ID that a caller gave a job from its workspace.
+// scopeSeparator separates the caller's job ID from the workspace in a scoped ID.
 const scopeSeparator = "@"
 
-// ScopedID returns the ID under which a job of a workspace is kept. The same ID of two
-// workspaces names two jobs, and neither can name the other's: the mark is escaped in
-// both parts.
+// ScopedID returns the ID under which a job of a workspace is stored. The same ID in two
+// workspaces names two jobs, and no workspace can name a job of another: the separator is
+// escaped in both parts.
 func ScopedID(workspace, id string) string {
 	if workspace == "" {
 		return id
@@ -134,12 +136,12 @@
 	return scopeEscaper.Replace(id) + scopeSeparator + scopeEscaper.Replace(workspace)
 }
 
-// Scoped reports whether an ID could be that of a workspace's job.
+// Scoped reports whether an ID may be a scoped ID: it contains the separator.
 func Scoped(id string) bool { return strings.Contains(id, scopeSeparator) }
 
 var scopeEscaper = strings.NewReplacer("%", "%25", scopeSeparator, "%40")
 
-// Tokens returns the tokens of all items.
+// Tokens returns the sum of the tokens of all items.
 func (s *Submission) Tokens() int64 {
 	total := int64(0)
 	for i := range s.Items {
@@ -148,17 +150,17 @@
 	return total
 }
 
-// MaxItems is the most items that one job may have.
+// MaxItems is the maximum number of items in a job.
 const MaxItems = 200
 
-// Errors of a submission that can never be accepted.
+// Validation errors of a submission.
 var (
 	errNoItems      = errors.New("a job needs at least one item")
 	errNoJobID      = errors.New("a job needs an ID")
 	errTooManyItems = fmt.Errorf("a job has at most %d items", MaxItems)
 )
 
-// Check returns what is wrong with a submission, or nil.
+// Check returns the first validation error of a submission, or nil.
 func (s *Submission) Check() error {
 	switch {
 	case s.ID == ScopedID(s.Workspace, ""):
@@ -174,7 +176,7 @@
 		case item.ID == "":
 			return errors.New("an item has no ID")
 		case seen[item.ID]:
-			return fmt.Errorf("item ID %q stands twice", item.ID)
+			return fmt.Errorf("duplicate item ID %q", item.ID)
 		case !hasPrefix(item.Path, s.Route.Prefix):
 			return fmt.Errorf("the path of item %q is outside the route", item.ID)
 		case item.Tokens < 0:
@@ -189,30 +191,30 @@
 	return len(path) >= len(prefix) && path[:len(prefix)] == prefix
 }
 
-// partName names one object of KindItems; the item index tells the part.
+// partName returns the name of the n-th KindItems object of a job.
 func partName(job string, n int) string { return fmt.Sprintf("%s.%d", job, n) }
 
-// segmentName names one object of KindResults. Epoch and sequence make it
-// unique, so that a former holder never writes the name of its successor.
+// segmentName returns the name of a KindResults object. Epoch and sequence make it unique,
+// so that a former holder never writes under a name that its successor uses.
 func segmentName(job string, epoch, sequence int) string {
 	return fmt.Sprintf("%s.%d.%d", job, epoch, sequence)
 }
 
-// encode returns the stored form of a record of plain fields.
+// encode returns the JSON form of a stored record.
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // records hold only plain fields
+		panic(err) // all stored records can be marshalled
 	}
 	return data
 }
 
-// encodingOverhead is the room in bytes that one entry takes beside its text
-// or, in base64, its body.
+// encodingOverhead is the number of bytes reserved for each entry beside its text or its
+// base64 body.
 const encodingOverhead = 512
 
-// split cuts a list into parts whose encoded size stays under limit bytes. An
-// entry that is larger alone gets a part of its own.
+// split cuts a list into parts whose encoded size stays under limit bytes. An entry that
+// exceeds the limit gets a part of its own.
 func split[T any](list []T, limit int, size func(T) int) [][]T {
 	var parts [][]T
 	start, sum := 0, 0
@@ -227,7 +229,8 @@
 	return append(parts, list[start:])
 }
 
-// itemSize counts the body in base64: four characters for each three bytes.
+// itemSize estimates the encoded size of an item. Base64 takes four characters for each
+// three bytes of the body.
 func itemSize(i Item) int { return len(i.Body)*4/3 + len(i.Path) + headerSize(i.Header) }
 
 func headerSize(h map[string]string) int {
@@ -238,15 +241,16 @@
 	return n
 }
 
-// resultSize allows for characters that JSON escapes.
+// resultSize estimates the encoded size of a result, with room for characters that JSON
+// escapes.
 func resultSize(r Result) int { return len(r.Text) * 5 / 4 }
 
-// decode reads a stored record.
+// decode parses a stored record.
 func decode[T any](data []byte) (T, error) {
 	var v T
 	err := json.Unmarshal(data, &v)
 	return v, err
 }
 
-// newToken returns a token that no other write has.
+// newToken returns a random token that identifies one write.
 func newToken() string { return fmt.Sprintf("%016x", rand.Uint64()) }
--- a/internal/request/job/results.go
+++ b/internal/request/job/results.go
@@ -5,9 +5,8 @@
 	"sync"
 )
 
-// resultCache keeps listed results in memory, the least recently read job is
-// dropped first. Everything in it can be read from the store again. It is safe
-// for concurrent use.
+// resultCache caches listed results and evicts the least recently used job first.
+// Everything in it can be read from the object store again. It is safe for concurrent use.
 type resultCache struct {
 	limit int // bytes
 
@@ -29,17 +28,17 @@
 	return &resultCache{limit: limit, jobs: map[string]*cachedJob{}, order: list.New()}
 }
 
-// put keeps results at consecutive positions. It returns a position that held
-// another result, -1 when there is none.
-func (c *resultCache) put(id string, first int, results []Result) (moved int) {
+// put caches results at consecutive positions from first on. It returns a position that
+// already held a different result, or -1.
+func (c *resultCache) put(id string, first int, results []Result) (conflict int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	moved = -1
+	conflict = -1
 	j := c.get(id)
 	for i, r := range results {
 		if old, ok := j.results[first+i]; ok {
 			if old != r {
-				moved = first + i
+				conflict = first + i
 			}
 			continue
 		}
@@ -50,9 +49,11 @@
 	for c.bytes > c.limit && c.order.Len() > 1 {
 		c.drop(c.order.Back().Value.(*cachedJob))
 	}
-	return moved
+	return conflict
 }
 
+// get returns the cache entry of a job, which it creates if needed and marks as most
+// recently used. The caller holds c.mu.
 func (c *resultCache) get(id string) *cachedJob {
 	j := c.jobs[id]
 	if j == nil {
@@ -65,13 +66,14 @@
 	return j
 }
 
+// drop removes a cache entry. The caller holds c.mu.
 func (c *resultCache) drop(j *cachedJob) {
 	c.order.Remove(j.element)
 	delete(c.jobs, j.id)
 	c.bytes -= j.bytes
 }
 
-// setTotal notes the number of items of a job.
+// setTotal records the number of items of a cached job.
 func (c *resultCache) setTotal(id string, total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,8 +82,8 @@
 	}
 }
 
-// from returns the results at consecutive positions from one on, as far as
-// they are in memory, and the number of items of the job.
+// from returns the cached results at consecutive positions from after on, and the number of
+// items of the job.
 func (c *resultCache) from(id string, after int) ([]Result, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +102,7 @@
 	}
 }
 
-// has reports whether the result at a position is in memory.
+// has reports whether the result at a position is cached.
 func (c *resultCache) has(id string, position int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +114,7 @@
 	return ok
 }
 
-// forget drops a job.
+// forget removes a job from the cache.
 func (c *resultCache) forget(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/request/job/room.go
+++ b/internal/request/job/room.go
@@ -6,8 +6,8 @@
 	"github.com/marblepond/marblepond/internal/request/schedule"
 )
 
-// PreemptItems stops items at targets that online requests have filled. They go on
-// later from the events they hold.
+// PreemptItems stops items at targets whose slots online requests need. The items resume
+// later after the last event that they received.
 func (m *Manager) PreemptItems() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -19,8 +19,7 @@
 	}
 }
 
-// anyRunning reports whether an item runs that was not stopped. The caller holds
-// m.mu.
+// anyRunning reports whether an item runs that was not told to stop. The caller holds m.mu.
 func (m *Manager) anyRunning() bool {
 	for _, h := range m.held {
 		if len(h.stops) > 0 {
@@ -37,8 +36,8 @@
 	m.preempt(id, 1)
 }
 
-// preempt stops up to n items at a target. The caller holds m.mu until the pool has
-// counted them, so that none of them ends there before.
+// preempt stops up to n items at a target. The caller holds m.mu until the pool has counted
+// them as yielding, so that no attempt ends before it is counted.
 func (m *Manager) preempt(id string, n int) {
 	running := m.runningWhere(func(t choose.Target) bool { return t.ID == id })
 	for _, item := range schedule.SelectYielding(running, n) {
@@ -46,7 +45,7 @@
 		stop := h.stops[item.Index]
 		delete(h.stops, item.Index)
 		if !stop(errPreempted) {
-			continue // it has ended otherwise
+			continue // the attempt has already ended for another reason
 		}
 		m.Pool.Yielding(h.progress.items[item.Index].target)
 		m.Metrics.Counter("items_yielded").Inc(1)
@@ -54,8 +53,8 @@
 	}
 }
 
-// runningWhere returns the items that run at some targets and were not stopped. The
-// caller holds m.mu.
+// runningWhere returns the items that run at matching targets and were not told to stop.
+// The caller holds m.mu.
 func (m *Manager) runningWhere(match func(choose.Target) bool) []schedule.Item {
 	var items []schedule.Item
 	for _, h := range m.held {
--- a/internal/request/job/room_test.go
+++ b/internal/request/job/room_test.go
@@ -14,8 +14,8 @@
 	"github.com/marblepond/marblepond/internal/version/discovery"
 )
 
-// slowPool is a pool of one target that is slow to count what it is told, as one may be
-// on a busy machine.
+// slowPool is a pool of one target that is slow to count yielding and ended items, as a
+// pool on a busy VM may be.
 type slowPool struct {
 	*discovery.Pool
 	yielding, ending time.Duration
@@ -48,7 +48,7 @@
 	p.ends.Done()
 }
 
-// delaySender's attempts end as soon as they are stopped, or at a time of their own.
+// delaySender ends attempts after a delay, or as soon as they are cancelled.
 type delaySender struct{ after time.Duration }
 
 func (s delaySender) Send(ctx context.Context, _ target.Call) (*target.Answer, error) {
@@ -59,23 +59,23 @@
 	return nil, &target.Error{End: target.NotSent, Cause: errors.New("it has ended")}
 }
 
-// TestItemsThatHaveLeftAreNotLeaving: whenever an item ends while it is told to make
-// room, none counts as making room once all have left.
+// TestEndedItemsAreNotCountedAsYielding: whenever an item ends while it is being stopped
+// for an online request, no item counts as yielding once all have ended.
 //
-// What happened: online requests were refused after 60 ms while items held the target,
-// and no item made room from then on. Why: the item was told first and counted after
-// that, so that an attempt which ended at once, being still connecting, had left before;
-// the count stayed one too high for good, and for each online request the table took an
-// item for leaving already. What showed it: in the refused attempts of failing plays of
-// TestRoomIsWaitedFor "yielding" is 1 and "items" 6 from the first to the last.
-func TestItemsThatHaveLeftAreNotLeaving(t *testing.T) {
+// It guards against items being cancelled first and counted as yielding afterwards: an
+// attempt that was still connecting ended before it was counted. The count then stayed one
+// too high, so that for each online request an item seemed to be yielding already. No
+// further item was stopped, and online requests were refused after 60 ms while items
+// occupied the target. TestRoomIsWaitedFor failed in this way: in its refused attempts
+// "yielding" was 1 and "items" 6 throughout.
+func TestEndedItemsAreNotCountedAsYielding(t *testing.T) {
 	for name, c := range map[string]struct {
 		pool  *slowPool
 		sends delaySender
 	}{
-		"it ends before it is counted":             {&slowPool{yielding: 30 * time.Millisecond}, delaySender{time.Minute}},
-		"it ends by itself while it is told to":    {&slowPool{ending: 30 * time.Millisecond}, delaySender{20 * time.Millisecond}},
-		"it has ended and its end is not told yet": {&slowPool{ending: 60 * time.Millisecond}, delaySender{0}},
+		"it ends before it is counted":                {&slowPool{yielding: 30 * time.Millisecond}, delaySender{time.Minute}},
+		"it ends by itself while it is stopped":       {&slowPool{ending: 30 * time.Millisecond}, delaySender{20 * time.Millisecond}},
+		"it has ended but its end is not counted yet": {&slowPool{ending: 60 * time.Millisecond}, delaySender{0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -90,7 +90,7 @@
 			m.PreemptItemAt("t")
 			m.PreemptItemAt("t")
 			m.mu.Lock()
-			m.draining = true // none is sent again
+			m.draining = true // no item is sent again
 			m.mu.Unlock()
 			pool.ends.Wait()
 			is.Equal(pool.Counts("t"), choose.Counts{Free: 2})
--- a/internal/request/job/run.go
+++ b/internal/request/job/run.go
@@ -17,7 +17,7 @@
 	"github.com/marblepond/marblepond/internal/version/route"
 )
 
-// Reasons for which the attempt at an item is stopped.
+// Causes with which the attempt at an item is cancelled.
 var (
 	errEnded       = errors.New("the job was ended by its caller")
 	errReleased    = errors.New("the job is handed over")
@@ -29,31 +29,31 @@
 )
 
 const (
-	// scheduleInterval is the time between looks for room while items wait; a finished
-	// item or a new job wakes the scheduler at once.
+	// scheduleInterval is the time between runs of the scheduler while items wait; a
+	// finished item or a new job wakes it at once.
 	scheduleInterval = 20 * time.Millisecond
-	// allRunningInterval is the same while all items run: then only the time grows for
-	// which online requests wait where they do.
+	// allRunningInterval is the same while all items run: then the only thing that changes
+	// is how long online requests have waited for a slot.
 	allRunningInterval = 50 * time.Millisecond
-	// refusalBackoff is the pause after a target refused an item.
+	// refusalBackoff is the delay after a target refused an item.
 	refusalBackoff = 40 * time.Millisecond
-	// preemptionBackoff is the pause after an item made room.
+	// preemptionBackoff is the delay after an item was stopped for an online request.
 	preemptionBackoff = 100 * time.Millisecond
-	// stallTimeout ends an attempt whose target sends nothing: many times the usual
-	// pause between events, and short beside the time in which jobs are due.
+	// stallTimeout ends an attempt whose target sends no event: many times the usual
+	// interval between events, and short compared with the time in which jobs are due.
 	stallTimeout = 2 * time.Second
-	// replacedStallTimeout is the same once the target is said to have started again.
+	// replacedStallTimeout is the same once the target is known to have restarted.
 	replacedStallTimeout = 200 * time.Millisecond
 )
 
-// schedule sends items while there is room, in the order of package schedule.
+// schedule sends items while targets have free slots, in the order of package schedule.
 func (m *Manager) schedule(ctx context.Context) {
 	timer := time.NewTimer(scheduleInterval)
 	defer timer.Stop()
 	for m.waitForWork(ctx) {
 		started := m.Clock.Now()
 		m.moveEvacuated(started)
-		m.PreemptItems() // also while nothing changes: the time for which requests wait for a slot grows
+		m.PreemptItems() // even if nothing has changed: how long online requests have waited for a slot matters too
 		m.sendWaiting(ctx)
 		timer.Reset(m.nextScheduleIn())
 		select {
@@ -67,7 +67,7 @@
 	}
 }
 
-// nextScheduleIn returns when the scheduler looks for room again.
+// nextScheduleIn returns the time until the next run of the scheduler.
 func (m *Manager) nextScheduleIn() time.Duration {
 	if m.anyWaiting(time.Now().Add(allRunningInterval)) {
 		return scheduleInterval
@@ -75,9 +75,9 @@
 	return allRunningInterval
 }
 
-// waitForWork waits until this node holds a job; false: ctx has ended. A node
-// without jobs has nothing to look for, and most nodes of a large fleet are that:
-// without this wait the looks take a tenth of an idle node's processor time.
+// waitForWork waits until this node holds a job; false: ctx has ended. Most nodes of a
+// large fleet hold no job at a given moment, and without this wait the scheduler takes a
+// tenth of the processor time of an idle node.
 func (m *Manager) waitForWork(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		if m.holdsAny() {
@@ -97,14 +97,14 @@
 	return len(m.held) > 0
 }
 
-// anyWaiting reports whether an item may be sent now.
+// anyWaiting reports whether any item may be sent at the given time.
 func (m *Manager) anyWaiting(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.draining && len(m.waitingItems(now)) > 0
 }
 
-// sendWaiting sends as many items as there is room for.
+// sendWaiting sends as many items as there are free slots for.
 func (m *Manager) sendWaiting(ctx context.Context) {
 	now := time.Now()
 	if !m.anyWaiting(now) {
@@ -113,7 +113,7 @@
 	allotment := m.Allotments()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	full := map[string]bool{} // services without room
+	full := map[string]bool{} // services without a free slot
 	for _, item := range m.waitingItems(now) {
 		h := m.held[item.Job]
 		if r := m.routeOf(&h.head); r != nil && !m.draining {
@@ -122,8 +122,8 @@
 	}
 }
 
-// waitingItems returns the items that may be sent now, in their order. The caller
-// holds m.mu.
+// waitingItems returns the items that may be sent now, in the order in which to send them.
+// The caller holds m.mu.
 func (m *Manager) waitingItems(now time.Time) []schedule.Item {
 	var items []schedule.Item
 	for _, h := range m.held {
@@ -141,8 +141,9 @@
 	return items
 }
 
-// isQuarantined reports whether targets crash under an item. It then waits: it may be given
-// up only when its time is over, and may be let go before. The caller holds m.mu.
+// isQuarantined reports whether an item's work is quarantined because it crashes targets.
+// Such an item waits: it is given up only when its time is over, and may be released from
+// quarantine before. The caller holds m.mu.
 func (m *Manager) isQuarantined(h *heldJob, i int) bool {
 	err := m.Quarantine.Refuse(&h.works[i])
 	if quarantined := err != nil; quarantined != h.progress.items[i].quarantined {
@@ -154,7 +155,7 @@
 	return err != nil
 }
 
-// sendItem sends one item if there is room. The caller holds m.mu.
+// sendItem sends one item if a target has a free slot. The caller holds m.mu.
 func (m *Manager) sendItem(ctx context.Context, h *heldJob, item schedule.Item, now time.Time, r *route.Route, allotment func(choose.Target) int, full map[string]bool) {
 	i := item.Index
 	service := r.Service(rand.Float64())
@@ -180,10 +181,11 @@
 	go m.run(attempt, cancel, h, i, t, r)
 }
 
-// run makes one attempt at an item and takes its end. Once the item is not among those
-// that can be stopped, whether it was told to make room is settled: the pool is told of
-// both the same, or its count of items that are making room would stay too high, and no
-// other would be told to.
+// run makes one attempt at an item and records its end. Once the item is removed from
+// h.stops, it can no longer be stopped for an online request. Only then is the pool told of
+// the end, so that EndBatch and Yielding agree on whether the item was stopped: otherwise
+// the pool's count of yielding items would stay too high, and no other item would be
+// stopped.
 func (m *Manager) run(ctx context.Context, cancel context.CancelCauseFunc, h *heldJob, i int, t choose.Target, r *route.Route) {
 	defer cancel(nil)
 	liveness := &target.Liveness{}
@@ -204,7 +206,7 @@
 	h.wakeCommitter()
 }
 
-// statusError is an answer of a target that is not the item's output.
+// statusError is the status of a response that is not the item's output.
 type statusError int
 
 func (e statusError) Error() string { return "the target answered " + http.StatusText(int(e)) }
@@ -243,6 +245,7 @@
 	}
 }
 
+// outcomeOf returns what the end of an attempt says about the health of the target.
 func outcomeOf(ctx context.Context, err error) choose.Outcome {
 	var status statusError
 	switch {
@@ -260,7 +263,7 @@
 	return choose.Failure
 }
 
-// attemptEnded moves an item on after an attempt.
+// attemptEnded updates an item after an attempt.
 func (m *Manager) attemptEnded(ctx context.Context, h *heldJob, i int, t choose.Target, r *route.Route, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -285,7 +288,8 @@
 	m.handleFailure(ctx, h, i, t, r, err, now)
 }
 
-// handleFailure decides what follows an attempt that did not end with the whole output.
+// handleFailure decides what follows an attempt that did not return the complete output.
+// The caller holds m.mu.
 func (m *Manager) handleFailure(ctx context.Context, h *heldJob, i int, t choose.Target, r *route.Route, err error, now time.Time) {
 	var status statusError
 	var failure *target.Error
@@ -298,10 +302,10 @@
 	case errors.Is(context.Cause(ctx), errQuarantined), errors.Is(context.Cause(ctx), errMoved):
 		h.progress.requeue(i, now, 0)
 	case errors.As(err, &status) && status == http.StatusUnprocessableEntity:
-		m.giveUpItem(h, i, "the target says that it can never be done")
+		m.giveUpItem(h, i, "the target answered that the item can never succeed")
 	case errors.As(err, &status) && status == http.StatusInternalServerError:
 		if !h.progress.attemptFailed(i, now, max(1, r.Attempts)) {
-			m.giveUpItem(h, i, "it failed at every attempt")
+			m.giveUpItem(h, i, "every attempt failed")
 		}
 	case errors.As(err, &failure) && !failure.End.Ran():
 		m.handleRefusal(t, failure)
@@ -311,13 +315,13 @@
 	}
 }
 
-// reportToQuarantine tells the quarantine what the end of an attempt says about the target.
+// reportToQuarantine reports what the end of an attempt shows about the target.
 func (m *Manager) reportToQuarantine(ctx context.Context, h *heldJob, i int, t choose.Target, err error) {
 	var status statusError
 	var failure *target.Error
 	switch {
 	case errors.As(err, &status):
-		m.Quarantine.Completed(&h.works[i]) // it failed, and the target lived to say so
+		m.Quarantine.Completed(&h.works[i]) // it failed, but the target did not crash
 	case errors.Is(context.Cause(ctx), errReplaced):
 		m.Quarantine.Lost(&h.works[i], t)
 		m.Quarantine.Ended(t, quarantine.Restarted)
@@ -326,6 +330,7 @@
 	}
 }
 
+// handleRefusal records what a target that did not run an item shows about itself.
 func (m *Manager) handleRefusal(t choose.Target, failure *target.Error) {
 	switch {
 	case failure.End == target.WrongInstance:
--- a/internal/request/job/run_test.go
+++ b/internal/request/job/run_test.go
@@ -10,7 +10,7 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// recordingSender keeps the calls that are made, and answers none.
+// recordingSender records calls and answers none.
 type recordingSender struct{ calls chan target.Call }
 
 func (s recordingSender) Send(ctx context.Context, call target.Call) (*target.Answer, error) {
@@ -19,9 +19,9 @@
 	return nil, &target.Error{End: target.GivenUp, Cause: ctx.Err()}
 }
 
-// TestItemNamesTheIncarnation: connections are kept by incarnation, so that an item
-// shares those of online requests and is never written into one of a process that has
-// ended.
+// TestItemNamesTheIncarnation: the call names the target's incarnation. Connections are
+// kept by incarnation, so that an item shares those of online requests and is never written
+// to a connection of a process that has ended.
 func TestItemNamesTheIncarnation(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/request/job/submit.go
+++ b/internal/request/job/submit.go
@@ -13,14 +13,13 @@
 	"github.com/marblepond/marblepond/internal/request/backlog"
 )
 
-// responseMargin is kept between the last try of a write and the deadline of the
-// answer.
+// responseMargin is the time between the last retry of a write and the deadline of the
+// response.
 const responseMargin = 200 * time.Millisecond
 
-// Submit accepts a job: when it returns nil, the job is in the object store
-// and all of it is the system's to keep. A job that was accepted before is
-// accepted again. Errors are of errkind; only those that say so promise that
-// nothing of the job runs.
+// Submit accepts a job: when it returns nil, the job is in the object store and this system
+// is responsible for all of it. A job that was accepted before is accepted again. Errors
+// are of errkind; only those that say so guarantee that nothing of the job runs.
 func (m *Manager) Submit(ctx context.Context, s *Submission) error {
 	err := m.submit(ctx, s)
 	if err != nil {
@@ -50,28 +49,28 @@
 	}
 	parts, err := m.writeItems(ctx, s)
 	if err != nil {
-		return errkind.PlatformUnavailable.New("the object store does not take the job: %v", err)
+		return errkind.PlatformUnavailable.New("the object store did not accept the job: %v", err)
 	}
 	return m.writeHead(ctx, s, newHead(s, parts, nil))
 }
 
 const (
-	// maxInlineBytes is the most bytes of items that a head carries. Every node reads
-	// the heads of all jobs now and then, and a job lets go of its items at the
+	// maxInlineBytes is the maximum size of the items in a head. Every node reads the heads
+	// of all jobs from time to time, and a job moves its items out of its head with the
 	// first commit, a few seconds after it was accepted.
 	maxInlineBytes = 48 << 10
-	// slowWritesShare is the share of the objective of the answer from which on two
-	// writes one after the other are taken to miss it.
+	// slowWritesShare is the share of the response objective from which on two writes, one
+	// after the other, are expected to miss it.
 	slowWritesShare = 0.8
-	// inlineTimeoutObjectives is how long, in objectives of the answer, one write may take to
-	// be answered before the caller is told that the outcome is not known.
+	// inlineTimeoutObjectives is the timeout of a single write, as a multiple of the
+	// response objective, after which the caller is told that the outcome is unknown.
 	inlineTimeoutObjectives = 2
 )
 
-// fitsInline reports whether a job is to be accepted with one write: it is small,
-// and two writes would take too long. Otherwise, and while the store does not
-// answer, two are better: the first one, of the items, may be given up with the
-// promise that nothing of the job runs.
+// fitsInline reports whether to accept a job with one write: it is small, and two writes
+// would take too long. Otherwise, and while the object store does not answer, two writes
+// are better: if the first one, of the items, fails, the caller can be assured that nothing
+// of the job runs.
 func (m *Manager) fitsInline(s *Submission) bool {
 	took := m.StoreLatency()
 	if took == 0 || s.Route.Objective <= 0 || float64(2*took) < slowWritesShare*float64(s.Route.Objective) {
@@ -84,9 +83,9 @@
 	return size <= maxInlineBytes
 }
 
-// submitInline writes the head with the items in it: half the time of two
-// writes one after the other, which decides whether a job is accepted within the
-// objective when the store is slow.
+// submitInline writes the head with the items in it. This takes half the time of two
+// writes, which decides whether a job is accepted within the objective when the object
+// store is slow.
 func (m *Manager) submitInline(ctx context.Context, s *Submission) error {
 	ctx, cancel := context.WithDeadline(ctx, s.Arrived.Add(inlineTimeoutObjectives*s.Route.Objective))
 	defer cancel()
@@ -104,8 +103,8 @@
 	return m.heads[id].fromStore || m.held[id] != nil
 }
 
-// reserve counts the job's tokens against what may wait of its workspace on the route,
-// over all nodes.
+// reserve counts the job's tokens against the limit on waiting tokens of its workspace and
+// route over all nodes.
 func (m *Manager) reserve(ctx context.Context, s *Submission) (release func(), err error) {
 	key := backlog.Key{Route: s.Route.Name, Workspace: s.Workspace}
 	add := func() { m.addReserved(key, s.Tokens()) }
@@ -119,14 +118,14 @@
 	}
 	switch _, _, headErr := m.getHead(ctx, callbudget.Commit, s.ID); {
 	case headErr == nil:
-		return func() {}, nil // accepted before; what follows finds the head
+		return func() {}, nil // accepted before; the write of the head will find it
 	case !errors.Is(headErr, objects.ErrNotFound):
-		return nil, errkind.PlatformUnavailable.New("the job does not fit now, and whether it was accepted before is not known")
+		return nil, errkind.PlatformUnavailable.New("too many tokens wait to accept the job, and whether it was accepted before is not known")
 	}
 	return nil, err
 }
 
-// addReserved counts tokens of submissions in progress.
+// addReserved adds to the tokens of submissions in progress.
 func (m *Manager) addReserved(key backlog.Key, tokens int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -136,9 +135,9 @@
 	}
 }
 
-// writeItems stores the items and returns the number of parts. It gives up
-// once the objective of the answer has passed: another node may reach the
-// store, and the caller is told to ask again.
+// writeItems stores the items and returns the number of their objects. It gives up once the
+// response objective has passed: another node may reach the object store, and the caller is
+// told to retry.
 func (m *Manager) writeItems(ctx context.Context, s *Submission) (int, error) {
 	if s.Route.Objective > 0 {
 		var cancel context.CancelFunc
@@ -148,8 +147,8 @@
 	return m.storeItems(ctx, s.ID, s.Items)
 }
 
-// storeItems puts the items of a job into objects of their own and returns their
-// number. Those that are there already are left: they are the same.
+// storeItems writes the items of a job to objects of their own and returns the number of
+// these. Existing ones are left, because their content is the same.
 func (m *Manager) storeItems(ctx context.Context, id string, items []Item) (int, error) {
 	parts := split(items, m.cfg.MaxValueBytes*valueFillPercent/100, itemSize)
 	errs := make([]error, len(parts))
@@ -161,12 +160,11 @@
 	return len(parts), errors.Join(errs...)
 }
 
-// valueFillPercent is the share in per cent of the store's largest value that an
-// object is filled to; the rest is for the object's own fields and for
-// characters that need escaping.
+// valueFillPercent is the percentage of the object store's largest value to which an object
+// is filled. The rest is for the object's own fields and for characters that need escaping.
 const valueFillPercent = 70
 
-// writeHead makes the job accepted.
+// writeHead accepts the job by writing its head.
 func (m *Manager) writeHead(ctx context.Context, s *Submission, head *Head) error {
 	head.Holder, head.Keepers, head.Writer = m.cfg.Self, m.chooseKeepers(s.ID, nil), newToken()
 	o, existed, err := m.create(ctx, KindHeads, s.ID, encode(head))
@@ -174,7 +172,7 @@
 	case errors.Is(err, errOutcomeUnknown):
 		return errkind.UnknownOutcome.New("whether the job was accepted is not known; send it again")
 	case err != nil:
-		return errkind.PlatformUnavailable.New("the object store does not take the job: %v", err)
+		return errkind.PlatformUnavailable.New("the object store did not accept the job: %v", err)
 	case existed:
 		return m.acceptExisting(ctx, s, head)
 	}
@@ -182,22 +180,23 @@
 	return nil
 }
 
+// startAccepted records that a job was accepted and starts to run it.
 func (m *Manager) startAccepted(s *Submission, head Head, revision int64, why string) {
 	m.Recorder.Record(timeline.JobAccepted, s.ID, "", "", timeline.Field{Name: "items", Value: head.Total},
 		timeline.Field{Name: "tokens", Value: s.Tokens()}, timeline.Field{Name: "took_ms", Value: time.Since(s.Arrived).Milliseconds()})
 	m.startHeldJob(s.ID, head, revision, s.Items, nil, why)
 }
 
-// acceptExisting answers a job whose head is there: by another node, or by
-// this one when the answer to its write was lost.
+// acceptExisting handles a submission whose head already exists: written by another node,
+// or by this one in a write whose response was lost.
 func (m *Manager) acceptExisting(ctx context.Context, s *Submission, written *Head) error {
 	head, o, err := m.getHead(ctx, callbudget.Commit, s.ID)
 	if err == nil && head.Writer == written.Writer {
-		m.startAccepted(s, head, o.Revision, "accepted; the answer of the store was lost")
+		m.startAccepted(s, head, o.Revision, "accepted; the response of the object store was lost")
 		return nil
 	}
 	if err == nil {
 		m.rememberHead(s.ID, head, o.Revision, time.Time{})
 	}
-	return nil // the head exists, whoever holds the job
+	return nil // the head exists, whichever node holds the job
 }
--- a/internal/request/job/submit_test.go
+++ b/internal/request/job/submit_test.go
@@ -19,7 +19,7 @@
 	return len(page.Objects)
 }
 
-// slowStore answers writes late.
+// slowStore delays the creation of objects.
 type slowStore struct {
 	*memoryStore
 	delay time.Duration
@@ -30,14 +30,14 @@
 	return s.memoryStore.Create(ctx, class, kind, name, value)
 }
 
-// makeStoreSlow makes a manager take the store for makeStoreSlow, and the job for one that has to
-// be accepted soon.
+// makeStoreSlow makes a manager expect a slow object store, and gives the job a short
+// response objective.
 func makeStoreSlow(m *Manager, s *Submission) {
 	m.StoreLatency = func() time.Duration { return 200 * time.Millisecond }
 	s.Route.Objective = 300 * time.Millisecond
 }
 
-// A small job is accepted in the time of one call to a slow store.
+// A small job is accepted with a single write to a slow object store.
 func TestSmallJobIsAcceptedWithOneWrite(t *testing.T) {
 	is := is.New(t)
 	store := slowStore{newMemoryStore(), 200 * time.Millisecond}
@@ -51,8 +51,8 @@
 	is.Equal(store.count(KindHeads), 1)
 }
 
-// Its items are there for a node that takes it over or is asked for a body,
-// before and after they move to objects of their own.
+// The items of a small job are available to a node that takes it over or is asked for a
+// body, before and after they move to objects of their own.
 func TestItemsOfASmallJobAreAlwaysThere(t *testing.T) {
 	is := is.New(t)
 	store := newMemoryStore()
@@ -85,8 +85,8 @@
 	is.Equal(len(third.held["j"].items), 2)
 }
 
-// A large job, and any while the store does not answer, is written in two steps:
-// the first may be given up with the promise that nothing runs.
+// A large job, and any job while the object store does not answer or is fast, is written in
+// two steps: if the first fails, the caller can be assured that nothing runs.
 func TestItemsGoFirstWhereOneWriteDoesNotServe(t *testing.T) {
 	is := is.New(t)
 	store := newMemoryStore()
@@ -99,7 +99,7 @@
 	makeStoreSlow(m, large)
 	is.NoErr(m.Submit(context.Background(), large))
 	is.Equal(store.count(KindItems), 1)
-	for _, took := range []time.Duration{0, 5 * time.Millisecond} { // it does not answer, or in time
+	for _, took := range []time.Duration{0, 5 * time.Millisecond} { // it does not answer, or answers in time
 		s := submission(took.String())
 		makeStoreSlow(m, s)
 		m.StoreLatency = func() time.Duration { return took }
@@ -108,7 +108,7 @@
 	is.Equal(store.count(KindItems), 3)
 }
 
-// A job that is done with its first commit leaves no items behind.
+// A job that is complete with its first commit stores no item objects.
 func TestDoneJobHasNoItems(t *testing.T) {
 	is := is.New(t)
 	store := newMemoryStore()
--- a/internal/request/job/sweep.go
+++ b/internal/request/job/sweep.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// suspectSweepInterval is the time between sweeps while a holder does not answer or
-	// lost jobs are left.
+	// suspectSweepInterval is the time between sweeps while a holder is unresponsive or
+	// lost jobs remain.
 	suspectSweepInterval = 600 * time.Millisecond
-	// adoptStagger is how much longer each further node in the order of a job
-	// waits before it takes the job over: the one before it has done so by then,
-	// or is not there.
+	// adoptStagger is how much longer each further node in the order of a job waits before
+	// it takes the job over: by then the node before it has done so, or is not running.
 	adoptStagger = suspectSweepInterval
-	// restartGrace is how long a node that answers and does not hold a job is left
-	// the time to take it up again: it has just started.
+	// restartGrace is how long a node that responds but does not hold its job is given to
+	// resume it: it has just restarted.
 	restartGrace = 1500 * time.Millisecond
-	// probeTimeout bounds the question to a holder whether it still holds.
+	// probeTimeout bounds the request that asks a holder which jobs it still holds.
 	probeTimeout = 400 * time.Millisecond
-	// adoptTimeout bounds one take-over.
+	// adoptTimeout bounds one takeover.
 	adoptTimeout = 5 * time.Second
-	// removalMargin is added to the time that a job stays readable before it is
-	// removed from the store.
+	// removalMargin is added to the time for which a job is readable before its objects are
+	// removed from the object store.
 	removalMargin = 30 * time.Second
-	// firstSweepDelay is when a starting node first looks: soon, because all nodes may
-	// have been lost at once, and after the first configuration is usually known.
+	// firstSweepDelay is the time from the start of a node to its first sweep: short,
+	// because all nodes may have stopped at once, but usually long enough for the first
+	// configuration to be known.
 	firstSweepDelay = 300 * time.Millisecond
 )
 
-// sweep looks for jobs without a holder until ctx ends: those of an earlier
-// boot of this node, those whose holder says that it does not hold them, and
-// those whose holder does not answer for long. A starting node looks for the first
-// of these; for the others a few nodes of each data centre look.
+// sweep scans for lost jobs until ctx ends: those of an earlier incarnation of this node,
+// those whose holder responds that it does not hold them, and those whose holder is
+// unresponsive for too long. Every node scans after its start until none of its own earlier
+// jobs remain. After that, only a few nodes of each data centre scan.
 func (m *Manager) sweep(ctx context.Context) {
 	pause, ownRemain := firstSweepDelay, true
 	for m.waitForSweep(ctx, pause*3/4+rand.N(pause/2)) {
@@ -48,19 +48,18 @@
 		if !ownRemain && !m.Peers.IsSweeper() {
 			continue
 		}
-		var suspected bool
-		if suspected, ownRemain = m.sweepOnce(ctx); suspected {
+		var sweepSoon bool
+		if sweepSoon, ownRemain = m.sweepOnce(ctx); sweepSoon {
 			pause = suspectSweepInterval
 		}
 	}
 }
 
-// TriggerSweep makes the next sweep come at once, because a node is heard no
-// more.
+// TriggerSweep starts the next sweep at once, because a node has become unreachable.
 func (m *Manager) TriggerSweep() {
 	select {
 	case m.sweepNow <- struct{}{}:
-	default: // asked for already
+	default: // already triggered
 	}
 }
 
@@ -77,12 +76,13 @@
 	return true
 }
 
-// sweepOnce returns whether a holder is suspected, and whether jobs of an earlier
-// boot of this node may be left.
-func (m *Manager) sweepOnce(ctx context.Context) (suspected, ownLeft bool) {
+// sweepOnce removes expired jobs and takes over lost ones. It returns whether the next
+// sweep should follow soon, and whether jobs of an earlier incarnation of this node may
+// remain.
+func (m *Manager) sweepOnce(ctx context.Context) (sweepSoon, ownRemain bool) {
 	heads, err := m.listHeads(ctx)
 	if err != nil {
-		return true, true // the store is away; look again soon after it is back
+		return true, true // the object store is unavailable; retry soon
 	}
 	byHolder := map[Holder][]string{}
 	for id, head := range heads {
@@ -94,34 +94,34 @@
 			byHolder[head.Holder] = append(byHolder[head.Holder], id)
 		}
 	}
-	orphans := map[string]bool{}
+	orphaned := map[string]bool{}
 	for holder, jobs := range byHolder {
-		ownLeft = ownLeft || holder.Node == m.cfg.Self.Node
-		lost, maybe := m.lostJobs(ctx, holder, jobs)
-		suspected = suspected || maybe
+		ownRemain = ownRemain || holder.Node == m.cfg.Self.Node
+		lost, again := m.lostJobs(ctx, holder, jobs)
+		sweepSoon = sweepSoon || again
 		for _, id := range lost {
-			orphans[id] = true
+			orphaned[id] = true
 		}
 		for _, id := range lost {
 			if m.shouldAdopt(id, holder) {
 				m.adopt(ctx, id, holder)
 			} else {
-				suspected = true
+				sweepSoon = true
 			}
 		}
 	}
 	m.mu.Lock()
-	maps.DeleteFunc(m.orphanedSince, func(id string, _ time.Time) bool { return !orphans[id] })
+	maps.DeleteFunc(m.orphanedSince, func(id string, _ time.Time) bool { return !orphaned[id] })
 	m.mu.Unlock()
-	return suspected, ownLeft
+	return sweepSoon, ownRemain
 }
 
-// shouldAdopt reports whether this node is to take a lost job over now. Nodes do so in
-// an order of their own for each job, one after the other, so that not all of them
-// ask the store for it and the jobs of a lost node are spread.
+// shouldAdopt reports whether this node should take a lost job over now. Nodes do so one
+// after another, in an order that differs by job, so that not all of them read the head and
+// the jobs of a lost node are spread over several nodes.
 func (m *Manager) shouldAdopt(id string, holder Holder) bool {
 	if holder.Node == m.cfg.Self.Node {
-		return true // of an earlier start of this node
+		return true // of an earlier incarnation of this node
 	}
 	rank := m.Peers.AdoptRank(id)
 	m.mu.Lock()
@@ -133,13 +133,14 @@
 	}
 	pause := time.Duration(rank) * adoptStagger
 	if holder != (Holder{}) && m.unreachableSince[holder.String()].IsZero() {
-		pause += restartGrace // its node answers
+		pause += restartGrace // its node responds
 	}
 	return time.Since(since) >= pause
 }
 
-// rememberListedHead keeps a head from a list that may be seconds old. It names the
-// holder to nodes that get a read, and a complete head never changes again.
+// rememberListedHead remembers a head from a list that may be seconds old: it names the
+// holder for reads, and a complete head never changes. If it shows a later holder of a job
+// that this node holds, the job is released.
 func (m *Manager) rememberListedHead(id string, head Head, revision int64) {
 	m.fence(id, &head)
 	m.mu.Lock()
@@ -147,21 +148,21 @@
 	held := m.held[id] != nil
 	m.mu.Unlock()
 	if held || (ok && old.revision >= revision) || (ok && !old.fromStore && !head.Complete()) {
-		return // known as well or, from the holder itself, better
+		return // what is known is as recent, or came from the holder itself
 	}
 	m.rememberHead(id, head, revision, time.Time{})
 }
 
-// isExcluded reports whether a job is not to be taken over here: it is held or ended,
-// or this node leaves.
+// isExcluded reports whether this node must not take a job over: it holds the job, the job
+// was ended, or the node is leaving.
 func (m *Manager) isExcluded(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.held[id] != nil || m.draining || m.endKnown(id)
 }
 
-// pruneOld drops what is remembered of jobs and holders that are long gone:
-// the store has had the ends, and can be asked for the heads again.
+// pruneOld forgets jobs and holders of which nothing was received for KeepResults: by then
+// the object store contains the ends, and the heads can be read again.
 func (m *Manager) pruneOld() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -171,9 +172,9 @@
 	maps.DeleteFunc(m.unreachableSince, func(_ string, since time.Time) bool { return old(since) })
 }
 
-// lostJobs returns which of a holder's jobs nobody works on; suspected tells
-// that the holder does not answer but may.
-func (m *Manager) lostJobs(ctx context.Context, holder Holder, jobs []string) (lost []string, suspected bool) {
+// lostJobs returns which of a holder's jobs no node runs, and whether the next sweep should
+// follow soon.
+func (m *Manager) lostJobs(ctx context.Context, holder Holder, jobs []string) (lost []string, sweepSoon bool) {
 	if holder == (Holder{}) || holder.Node == m.cfg.Self.Node {
 		return jobs, false
 	}
@@ -198,14 +199,16 @@
 	return lost, len(lost) > 0
 }
 
-func (m *Manager) unreachableHolder(holder Holder, jobs []string) (lost []string, suspected bool) {
+// unreachableHolder returns the jobs of a holder that did not respond, once it has been
+// unresponsive for TakeOverAfter, and whether the next sweep should follow soon.
+func (m *Manager) unreachableHolder(holder Holder, jobs []string) (lost []string, sweepSoon bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	since, known := m.unreachableSince[holder.String()]
 	if !known {
 		since = time.Now()
 		if at, unreachable := m.Peers.UnreachableSince(holder.Node); unreachable {
-			since = at // before the store could be asked what the node holds
+			since = at // the object store may have been unavailable since, so that no sweep ran
 		}
 		m.unreachableSince[holder.String()] = since
 	}
@@ -215,7 +218,7 @@
 	return jobs, false
 }
 
-// adopt takes a job over, unless its head shows another holder by now.
+// adopt takes a job over, unless its head names another holder by now.
 func (m *Manager) adopt(ctx context.Context, id string, from Holder) {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
@@ -237,18 +240,18 @@
 	head.Keepers = m.chooseKeepers(id, head.Keepers)
 	revision, err := m.updateHead(ctx, id, &head, o.Revision)
 	if err != nil {
-		return // another node was first, or the next sweep finds this node's write
+		return // another node was first, or the next sweep finds the write of this one
 	}
 	m.startHeldJob(id, head, revision, items, loaded, "taken over from "+from.String())
 }
 
-// expired reports whether a job need not be readable any more.
+// expired reports whether a job no longer has to be readable.
 func (m *Manager) expired(head *Head) bool {
 	return time.Since(time.UnixMilli(head.Submitted)) > m.cfg.KeepResults+removalMargin
 }
 
-// remove deletes all objects of an expired job; the head last, so that an
-// interrupted removal is found again.
+// remove deletes all objects of an expired job. The head comes last, so that a later sweep
+// finds and finishes an interrupted removal.
 func (m *Manager) remove(ctx context.Context, id string, head *Head) {
 	m.mu.Lock()
 	if h := m.held[id]; h != nil {
@@ -265,13 +268,13 @@
 	for n := range head.Parts {
 		all = append(all, object{KindItems, partName(id, n)})
 	}
-	if m.Ended(id) { // as the store has it
+	if m.Ended(id) { // the end is stored
 		all = append(all, object{KindEnds, id})
 	}
 	all = append(all, object{KindHeads, id})
 	for _, o := range all {
 		if err := m.Store.Delete(ctx, callbudget.Status, o.kind, o.name); err != nil && !errors.Is(err, objects.ErrNotFound) {
-			return // the next sweep goes on
+			return // the next sweep continues
 		}
 	}
 	m.Recorder.Record(timeline.JobDropped, id, "", "")
--- a/internal/request/job/verify.go
+++ b/internal/request/job/verify.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// suspensionThreshold is how late the scheduler must look for this node to take it
-	// that its process or machine stood still: far longer than a busy machine
-	// delays a timer, and shorter than the time after which others take over.
+	// suspensionThreshold is how late a run of the scheduler must be for this node to
+	// conclude that its process or VM was suspended: far longer than a busy VM delays a
+	// timer, and shorter than the time after which other nodes take its jobs over.
 	suspensionThreshold = time.Second
-	// verifyRetryDelay is the pause after the store did not tell who holds a job.
+	// verifyRetryDelay is the delay after the head of a job could not be read.
 	verifyRetryDelay = 300 * time.Millisecond
-	// verifyInterval is the least time between two questions for one job: another
-	// node says several times a second that it holds it.
+	// verifyInterval is the minimum time between two verifications of one job: another node
+	// announces several times a second that it holds the job.
 	verifyInterval = time.Second
-	// verifyTimeout bounds finding out; the next commit is fenced in any case.
+	// verifyTimeout bounds one verification; commits of a former holder fail in any case.
 	verifyTimeout = 10 * time.Second
 )
 
-// verify finds out whether this node still holds a job that another node may
-// have taken over, and stops working on it when it does not. Writes of a former
-// holder fail in any case, but its reads would miss what its successor lists.
+// verify reads the head of a job that another node may have taken over, and releases the
+// job if that is so. Writes of a former holder fail in any case, but reads from it would
+// miss the results that its successor lists.
 func (m *Manager) verify(id, why string) {
 	ctx, cancel := context.WithTimeout(context.Background(), verifyTimeout)
 	defer cancel()
@@ -42,7 +42,7 @@
 	}
 }
 
-// fence stops the work on a job whose head shows a later holder.
+// fence releases a job whose head shows a later holder.
 func (m *Manager) fence(id string, head *Head) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// verifyAll verifies every job held, after this node stood still.
+// verifyAll verifies every held job after this node was suspended.
 func (m *Manager) verifyAll(suspended time.Duration) {
 	m.mu.Lock()
 	ids := make([]string, 0, len(m.held))
@@ -60,6 +60,6 @@
 	}
 	m.mu.Unlock()
 	for _, id := range ids {
-		go m.verify(id, "this node stood still for "+suspended.Round(time.Millisecond).String())
+		go m.verify(id, "this node was suspended for "+suspended.Round(time.Millisecond).String())
 	}
 }
--- a/internal/request/job/write.go
+++ b/internal/request/job/write.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// writeBackoff is the pause before a failed write is tried again; it doubles
-	// up to maxWritePause.
+	// writeBackoff is the delay before a failed write is retried; it doubles up to
+	// maxWriteBackoff.
 	writeBackoff    = 30 * time.Millisecond
 	maxWriteBackoff = 500 * time.Millisecond
 )
 
-// errOutcomeUnknown: a write was sent, has no answer, and could not be read back.
+// errOutcomeUnknown means that a write was sent, was not answered and could not be read
+// back.
 var errOutcomeUnknown = errors.New("the write may have taken effect or may still do so")
 
-// create writes an object until the store has it or ctx ends. existed tells
-// that the object was there already; after a write without an answer that may
-// be the node's own. Errors: objects.ErrUnavailable (it was not written), or
-// errMaybe.
+// create writes an object, with retries, until the object store has it or ctx ends. existed
+// means that the object was there already; after a write without a response it may be the
+// node's own. Errors: objects.ErrUnavailable (it was not written), or errOutcomeUnknown.
 func (m *Manager) create(ctx context.Context, kind, name string, value []byte) (o objects.Object, existed bool, err error) {
-	pause, maybe := writeBackoff, false
+	pause, ambiguous := writeBackoff, false
 	for {
 		o, err = m.Store.Create(ctx, callbudget.Commit, kind, name, value)
 		switch {
@@ -35,11 +35,11 @@
 		case errors.Is(err, objects.ErrConflict):
 			return objects.Object{}, true, nil
 		case errors.Is(err, objects.ErrUnknownOutcome):
-			maybe = true
+			ambiguous = true
 			m.Recorder.Record(timeline.PlatformAmbiguous, name, kind, err.Error())
 		}
 		if !wait.For(ctx, pause) {
-			if maybe {
+			if ambiguous {
 				return objects.Object{}, false, errOutcomeUnknown
 			}
 			return objects.Object{}, false, objects.ErrUnavailable
@@ -48,32 +48,32 @@
 	}
 }
 
-// errFenced: another node has changed the head.
+// errFenced means that another node has changed the head.
 var errFenced = errors.New("another node holds the job")
 
-// updateHead replaces a head at a revision until it is written or ctx ends. A
-// write that had no answer is recognised by its token. Errors: errFenced,
-// objects.ErrUnavailable, errMaybe.
+// updateHead replaces a head at a revision, with retries, until it is written or ctx ends.
+// A write without a response is recognised by its token. Errors: errFenced,
+// objects.ErrUnavailable, errOutcomeUnknown.
 func (m *Manager) updateHead(ctx context.Context, id string, head *Head, revision int64) (int64, error) {
 	head.Writer = newToken()
 	value := encode(head)
-	pause, maybe := writeBackoff, false
+	pause, ambiguous := writeBackoff, false
 	for {
 		o, err := m.Store.Update(ctx, callbudget.Lease, KindHeads, id, revision, value)
 		switch {
 		case err == nil:
 			return o.Revision, nil
 		case errors.Is(err, objects.ErrConflict), errors.Is(err, objects.ErrNotFound):
-			if !maybe {
+			if !ambiguous {
 				return 0, errFenced
 			}
 			return m.readBack(ctx, id, head.Writer)
 		case errors.Is(err, objects.ErrUnknownOutcome):
-			maybe = true
+			ambiguous = true
 			m.Recorder.Record(timeline.PlatformAmbiguous, id, KindHeads, err.Error())
 		}
 		if !wait.For(ctx, pause) {
-			if maybe {
+			if ambiguous {
 				return 0, errOutcomeUnknown
 			}
 			return 0, objects.ErrUnavailable
@@ -82,7 +82,7 @@
 	}
 }
 
-// readBack finds out whether the head in the store is the one of a token.
+// readBack finds out whether the stored head was written with the given token.
 func (m *Manager) readBack(ctx context.Context, id, token string) (int64, error) {
 	pause := writeBackoff
 	for {
@@ -100,7 +100,7 @@
 	}
 }
 
-// getHead reads the head of a job.
+// getHead reads the head of a job from the object store.
 func (m *Manager) getHead(ctx context.Context, class callbudget.Class, id string) (Head, objects.Object, error) {
 	o, err := m.Store.Get(ctx, class, KindHeads, id)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return head, o, nil
 }
 
-// getItems returns all items of a job whose head was just read.
+// getItems returns all items of a job whose head was just read from the object store.
 func (m *Manager) getItems(ctx context.Context, id string, head *Head) ([]Item, error) {
 	if len(head.Inline) > 0 {
 		return head.Inline, nil
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -73,8 +73,8 @@
 mutant 7 internal/version/discovery/list.go 's/if r\.Incarnation < p\.newest\[r\.ID\] \{/if r.Incarnation < p.newest[r.ID] \&\& r.Slots == 0 {/' internal/version/discovery TestOlderWordOverridesNoNewerOne
 mutant 6 internal/version/discovery/list.go 's/ended = p\.running\[r\.ID\]/_ = p.running[r.ID]/' internal/version/discovery TestAttemptsHearOfARestart
 mutant 7 platform/wire.go 's/\*w\.State != stateDraining\)/*w.State == "")/' platform TestEntriesOfAnotherWriterNameNoTarget
-mutant 1 internal/request/job/heads.go 's/return !fresh && k\.holderUsable/return k.holderUsable/' internal/request/job TestOldHeadDeniesNothing
-mutant 1 internal/request/job/verify.go 's/head\.Epoch > h\.head\.Epoch/head.Epoch > h.head.Epoch+9/' internal/request/job TestFormerHolderHearsOfItsSuccessor
+mutant 1 internal/request/job/heads.go 's/return !fresh && k\.holderUsable/return k.holderUsable/' internal/request/job TestStaleHeadDoesNotHideResults
+mutant 1 internal/request/job/verify.go 's/head\.Epoch > h\.head\.Epoch/head.Epoch > h.head.Epoch+9/' internal/request/job TestFormerHolderStopsAfterTakeover
 mutant 7 internal/version/follow/cache.go 's/if slices\.Contains\(k\.heard, question\)/if question == 0/' internal/version/follow TestMarksDoNotStayYoungOnTheWay
 mutant 9 internal/version/follow/cache.go 's/k\.complete < m\.Latest/k.latest < m.Latest/' internal/version/follow TestGapInAListIsNoFreshness
 mutant 7 internal/version/follow/cache.go 's/if k\.complete < m\.Floor/if m.Floor < 0/' internal/version/follow TestListHidesNoDeletion
@@ -85,7 +85,7 @@
 mutant 1 internal/request/job/progress.go 's/s\.phase != waiting \|\| lastEvent <= s\.lastEvent/lastEvent <= s.lastEvent/' internal/request/job TestRestoreOnlyAdds
 mutant 1 internal/request/job/commit.go 's/head\.Parts, head\.Inline = parts, nil/head.Parts, head.Inline = 0*parts, nil/' internal/request/job TestItemsOfASmallJobAreAlwaysThere
 mutant 3 internal/request/choose/prefer.go 's/best\.freeOnline\(now\) >= homeRoom/best.freeOnline(now) > -99/' internal/request/choose TestHomeFirstThenElsewhere
-mutant 1 internal/request/job/sweep.go 's/since = at /_ = at /' internal/request/job TestSilenceCountsWhileTheStoreIsAway
+mutant 1 internal/request/job/sweep.go 's/since = at /_ = at /' internal/request/job TestUnreachableTimeCountsDuringStoreOutage
 mutant 3 internal/connection/dial/dial.go 's/d\.at\(address\)\.failed\+\+/d.at(address)/' internal/connection/dial TestLimitFollowsTheNetwork
 mutant 8 internal/connection/dial/silent.go 's/Control: limitUnacknowledged,//' internal/connection/dial TestSilentConnectionsAreFound
 mutant 1 internal/process/clock/clock.go 's/c\.suspended = away/_ = away/' internal/process/clock TestSuspensionsCount
@@ -111,7 +111,7 @@
 mutant 6 internal/connection/target/liveness.go 's/silent-time\.Since\(l\.last\)/0*(silent-time.Since(l.last))/' internal/connection/target TestSilentAttemptIsLost
 mutant 6 internal/request/forward/attempt.go 's/live\.Replaced\(longestGap\(req\.Route\)/live.Replaced(0*longestGap(req.Route)/' lab/hosted TestAnswerGoesOnAtTheNextStart
 mutant 6 internal/connection/dial/checked.go 's/c\.kept\.Swap\(false\) && c\.closed\(\)/c.kept.Swap(false) \&\& c.closed() \&\& c.raw == nil/' platform TestKeptConnectionsOfAnEndedProcess
-mutant 3 internal/request/job/run.go 's/\tm\.mu\.Lock\(\)\n\tdelete\(h\.stops, i\)\n\tm\.mu\.Unlock\(\)\n//' internal/request/job TestItemsThatHaveLeftAreNotLeaving
+mutant 3 internal/request/job/run.go 's/\tm\.mu\.Lock\(\)\n\tdelete\(h\.stops, i\)\n\tm\.mu\.Unlock\(\)\n//' internal/request/job TestEndedItemsAreNotCountedAsYielding
 mutant 3 internal/request/choose/room.go 's/e\.full = now/e.saturated = now/' internal/request/choose TestRefusedItemStopsNoOther
 mutant 3 internal/request/forward/place.go 's/f\.Targets\.RoomExpected\(req\.Service\)/f.Targets == nil/' internal/request/forward TestRoomOfItemsIsWaitedFor
 mutant 3 internal/process/hosted/peers.go 's/\]\.Boot != n\.boot \{/].Boot != n.boot \&\& n.boot < 0 {/' internal/process/hosted TestNodeJoinsOnceItIsKnown
