--- a/internal/request/batch/closer.go
+++ b/internal/request/batch/closer.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	// watchPause is the pause after a failed watch.
-	watchPause = 300 * time.Millisecond
-	// closeInterval is the time between looks at the jobs this node closes.
+	// watchRetryDelay is the delay before a failed watch is retried.
+	watchRetryDelay = 300 * time.Millisecond
+	// closeInterval is the time between two scans for jobs that this node ends.
 	closeInterval = 500 * time.Millisecond
-	// standInAfter is how long a job of another closer must not change before
-	// this node looks after it too.
-	standInAfter = 15 * time.Second
+	// fallbackCloseAfter is the time since this node last read a job's chunks after
+	// which it checks the job for its end, although another node is responsible.
+	fallbackCloseAfter = 15 * time.Second
 )
 
-// watchJobs keeps the open jobs known.
+// watchJobs keeps w.jobs up to date by watching the job objects in the platform.
 func (w *Worker) watchJobs(ctx context.Context) {
 	var since int64
 	for ctx.Err() == nil {
 		change, err := w.platform.Watch(ctx, record.JobPrefix, since, w.cfg.WatchTimeout)
 		if err != nil {
-			wait.For(ctx, watchPause)
+			wait.For(ctx, watchRetryDelay)
 			continue
 		}
 		since = change.Newest
 		for _, o := range change.Objects {
 			if job, err := record.Decode[record.Job](o.Value); err == nil {
-				w.takeJob(job, o.Version)
+				w.updateJob(job, o.Version)
 			}
 		}
 		w.signal()
 	}
 }
 
-func (w *Worker) takeJob(job record.Job, version int64) {
+// updateJob applies a version of a job object.
+func (w *Worker) updateJob(job record.Job, version int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	v := w.jobs[job.ID]
@@ -51,7 +52,7 @@
 	case v != nil:
 		v.setJob(job, version)
 	case !job.State.Final():
-		w.jobs[job.ID] = newView(job, version)
+		w.jobs[job.ID] = newJobView(job, version)
 	}
 	if job.State.Final() {
 		delete(w.jobs, job.ID)
@@ -61,24 +62,24 @@
 	}
 	for _, l := range w.leases {
 		if l.job.ID == job.ID {
-			l.wake() // its next renewal sees the state and stops
+			l.requestCommit() // its next renewal reads the job's state and ends the lease
 		}
 	}
 }
 
-// closeJobs ends jobs whose chunks have all ended, or that were cancelled and
-// whose holders have all stopped.
+// closeJobs writes the final state of jobs whose chunks are all done, and of
+// cancelled jobs with no chunk under lease.
 func (w *Worker) closeJobs(ctx context.Context) {
 	for wait.For(ctx, closeInterval) {
 		w.mu.Lock()
-		views := make([]*view, 0, len(w.jobs))
+		views := make([]*jobView, 0, len(w.jobs))
 		for _, v := range w.jobs {
 			views = append(views, v)
 		}
 		w.mu.Unlock()
 		var wg sync.WaitGroup
 		for _, v := range views {
-			if w.closes(v) {
+			if w.shouldClose(v) {
 				wg.Go(func() { w.closeJob(ctx, v) })
 			}
 		}
@@ -86,38 +87,41 @@
 	}
 }
 
-// closes reports whether this node looks after the job's end: one node of
-// each data centre, and the others of a job that is stuck.
-func (w *Worker) closes(v *view) bool {
+// shouldClose reports whether this node checks the job for its end now. One
+// node of each data centre is responsible; the others check after
+// fallbackCloseAfter, in case the responsible one makes no progress.
+func (w *Worker) shouldClose(v *jobView) bool {
 	job, _ := v.current()
-	view := w.members()
-	if rendezvous.First(job.ID, view.Duty) == view.Self.ID {
+	members := w.members()
+	if rendezvous.First(job.ID, members.Duty) == members.Self.ID {
 		return true
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return !v.read.IsZero() && time.Since(v.read) > standInAfter
+	return !v.lastRefresh.IsZero() && time.Since(v.lastRefresh) > fallbackCloseAfter
 }
 
-func (w *Worker) closeJob(ctx context.Context, v *view) {
+// closeJob ends the job if nothing of it can run any more.
+func (w *Worker) closeJob(ctx context.Context, v *jobView) {
 	if err := v.refresh(ctx, w.platform); err != nil {
 		return
 	}
 	job, version := v.current()
-	ended, completed, failed := v.progress()
+	chunksDone, completed, failed := v.progress()
 	switch {
-	case job.State == record.JobOpen && ended == job.Chunks():
-		w.end(ctx, v, job, version, record.JobCompleted, completed, failed)
-	case job.State == record.JobCancelling && w.allStopped(ctx, v):
+	case job.State == record.JobOpen && chunksDone == job.Chunks():
+		w.endJob(ctx, v, job, version, record.JobCompleted, completed, failed)
+	case job.State == record.JobCancelling && w.stopExpiredLeases(ctx, v):
 		_, completed, failed = v.progress()
-		w.end(ctx, v, job, version, record.JobCancelled, completed, failed)
+		w.endJob(ctx, v, job, version, record.JobCancelled, completed, failed)
 	}
 }
 
-// allStopped ends the leases that ran out and reports whether none is left.
-// Silence by membership is no proof here: a cut-off holder may still dispatch
-// until its lease and its grace have run out.
-func (w *Worker) allStopped(ctx context.Context, v *view) bool {
+// stopExpiredLeases stops the chunks of a cancelled job whose lease has expired,
+// and reports whether no lease remains. A holder that membership considers dead
+// still counts: when partitioned, it may dispatch until its lease and the grace
+// for idempotent items have run out.
+func (w *Worker) stopExpiredLeases(ctx context.Context, v *jobView) bool {
 	stopped := true
 	for _, o := range v.leased() {
 		if !w.expired(o) {
@@ -128,21 +132,22 @@
 		if err != nil {
 			continue
 		}
-		newest, err := w.put(ctx, state, o.version)
+		newest, err := w.putState(ctx, state, o.version)
 		if err != nil {
-			stopped = false // it moved; looked at again in the next round
+			stopped = false // the chunk state changed; checked again in the next scan
 			continue
 		}
-		v.put(state, newest)
+		v.update(state, newest)
 	}
 	return stopped
 }
 
-func (w *Worker) end(ctx context.Context, v *view, job record.Job, version int64, state record.JobState, completed, failed int) {
+// endJob writes the job's final state.
+func (w *Worker) endJob(ctx context.Context, v *jobView, job record.Job, version int64, state record.JobState, completed, failed int) {
 	job.State, job.Completed, job.Failed, job.Ended, job.Token = state, completed, failed, time.Now().Unix(), rand.Text()
 	newest, err := w.platform.Update(ctx, platform.Commit, record.JobName(job.ID), version, record.Encode(job))
 	if err != nil {
-		return // another closer was first, or the watch tells; else tried again
+		return // another node wrote the end, or the next scan tries again
 	}
 	code := timeline.JobCompleted
 	if state == record.JobCancelled {
--- a/internal/request/batch/lease.go
+++ b/internal/request/batch/lease.go
@@ -16,42 +16,44 @@
 
 // lease is a chunk this node holds.
 type lease struct {
-	view  *view
+	view  *jobView
 	job   record.Job
-	n     int     // number of the chunk
+	chunk int     // number of the chunk
 	epoch int64   // of this lease
 	items []*item // not yet queued
-	// state and version are the stored ones; only keep and commit use them.
+	// state and version are those of the stored chunk state. Only the goroutine
+	// that leased the chunk and renewLoop use them.
 	state   record.ChunkState
 	version int64
-	// renewed is taken before the newest confirmed write was sent, so that
-	// this node's idea of the lease ends before anyone else's does. It is a time of
-	// Worker.clock: a lease runs out while its holder's machine is suspended.
-	renewed time.Time
-	pending []finished // results not yet committed
-	left    int        // items without a result
-	worked  time.Time  // when the last item was dispatched, or the lease began
-	running int        // items at targets
-	stopped bool       // fenced, cancelled or given back: nothing more is dispatched
-	kick    chan struct{}
+	// renewed is the time just before the newest confirmed write was sent, so that
+	// the lease expires for this node before it does for any other. It is read from
+	// Worker.clock, because a lease also expires while its holder is suspended.
+	renewed       time.Time
+	pending       []itemResult // results not yet committed, oldest first
+	remaining     int          // items without a result
+	lastDispatch  time.Time    // time of the last dispatch, initially the start of the lease
+	running       int          // items at targets
+	stopped       bool         // fenced, cancelled or being given back: no more items are dispatched
+	commitRequest chan struct{}
 }
 
-// finished is the result of an item.
-type finished struct {
+// itemResult is the encoded result of an item.
+type itemResult struct {
 	index  int
 	line   []byte
 	failed bool
 }
 
-// errStopped says that a lease ended because its job was cancelled.
+// errStopped is returned when the job of a lease is no longer open.
 var errStopped = errors.New("job was cancelled")
 
-// margin is kept free at the end of a lease for clock rates that differ and
-// for the time between a check and its effect.
+// margin is the safety margin at the end of a lease. It allows for different
+// clock rates and for the time between a check of the lease and its effect.
 func (w *Worker) margin() time.Duration { return w.cfg.LeaseTTL / 5 }
 
-// valid reports whether the holder may still dispatch under the lease. While
-// the platform can't be reached, idempotent items go on within the grace.
+// valid reports whether the holder may still dispatch under the lease. Idempotent
+// items may also be dispatched during OutageGrace after its expiry, so that they
+// go on while the platform is unreachable.
 func (w *Worker) valid(l *lease) bool {
 	limit := w.cfg.LeaseTTL - w.margin()
 	if !l.job.NonIdempotent {
@@ -60,14 +62,17 @@
 	return !l.stopped && w.clock.Since(l.renewed) < limit
 }
 
-// expired judges another node's lease by how long its state has not changed.
-func (w *Worker) expired(o observed) bool {
-	return time.Since(o.since) > w.cfg.LeaseTTL+w.cfg.OutageGrace+w.margin()
+// expired reports whether another node's lease has expired: its state has not
+// changed for the TTL, the grace and the margin.
+func (w *Worker) expired(o observedChunk) bool {
+	return time.Since(o.unchangedSince) > w.cfg.LeaseTTL+w.cfg.OutageGrace+w.margin()
 }
 
-// takeable also counts holders that are gone: their commits are fenced, so
-// that a wrong judgement costs work but no result.
-func (w *Worker) takeable(o observed) bool {
+// canTakeOver reports whether this node may lease a chunk that another incarnation
+// holds: the lease has expired, or membership considers the holder departed. If
+// that is wrong, the former holder's commits are fenced: work is wasted, but no
+// result is lost.
+func (w *Worker) canTakeOver(o observedChunk) bool {
 	h := o.state.Holder
 	if h.Node == w.self.Node {
 		return h.Incarnation != w.self.Incarnation
@@ -75,48 +80,50 @@
 	return w.expired(o) || w.members().Gone(h.Node, h.Incarnation)
 }
 
-// acquire leases one chunk of the job; nil when that failed.
-func (w *Worker) acquire(ctx context.Context, v *view, n int) *lease {
+// acquire leases one chunk of the job. It returns nil if that failed.
+func (w *Worker) acquire(ctx context.Context, v *jobView, n int) *lease {
 	job, _ := v.current()
 	before := v.chunk(n)
 	if before.version == 0 {
 		before.state = record.ChunkState{Job: job.ID, N: n}
 	}
 	sent := w.clock.Now()
-	state, err := before.state.Acquire(w.self, rand.Text(), w.takeable(before))
+	state, err := before.state.Acquire(w.self, rand.Text(), w.canTakeOver(before))
 	if err != nil {
 		return nil
 	}
-	version, err := w.put(ctx, state, before.version)
+	version, err := w.putState(ctx, state, before.version)
 	if err != nil {
 		return nil
 	}
-	v.put(state, version)
-	l := &lease{view: v, job: job, n: n, epoch: state.Epoch, state: state, version: version, renewed: sent, worked: time.Now(), kick: make(chan struct{}, 1)}
-	// The job is read after the lease was written: a cancellation either is
-	// seen here, or sees this lease and waits for it.
+	v.update(state, version)
+	l := &lease{view: v, job: job, chunk: n, epoch: state.Epoch, state: state, version: version, renewed: sent, lastDispatch: time.Now(), commitRequest: make(chan struct{}, 1)}
+	// The job is read after the lease is written, so that either this read sees a
+	// cancellation, or the node that completes the cancellation sees this lease.
 	if err := w.checkJob(ctx, l); err != nil {
 		if errors.Is(err, errStopped) {
-			w.stop(ctx, l)
+			w.writeStopped(ctx, l)
 		}
 		return nil
 	}
-	if err := w.load(ctx, l); err != nil {
-		return nil // expires by itself
+	if err := w.loadItems(ctx, l); err != nil {
+		return nil // the lease expires
 	}
 	if before.state.Phase == record.ChunkLeased {
-		w.recorder.Record(timeline.ChunkTakenOver, "", name(l), fmt.Sprintf("from %s epoch %d", before.state.Holder.Node, state.Epoch))
+		w.recorder.Record(timeline.ChunkTakenOver, "", leaseName(l), fmt.Sprintf("from %s epoch %d", before.state.Holder.Node, state.Epoch))
 	} else {
-		w.recorder.Record(timeline.ChunkLeased, "", name(l), fmt.Sprintf("epoch %d", state.Epoch))
+		w.recorder.Record(timeline.ChunkLeased, "", leaseName(l), fmt.Sprintf("epoch %d", state.Epoch))
 	}
 	return l
 }
 
-func name(l *lease) string { return fmt.Sprintf("%s/%d", l.job.ID, l.n) }
+// leaseName returns the name of a lease: job and chunk number.
+func leaseName(l *lease) string { return fmt.Sprintf("%s/%d", l.job.ID, l.chunk) }
 
-// put writes a chunk state conditionally and settles lost answers by the
-// token. version 0 creates.
-func (w *Worker) put(ctx context.Context, state record.ChunkState, version int64) (int64, error) {
+// putState writes a chunk state if the stored version is still the given one; 0
+// creates the object. If the outcome is not known, it reads the state back and
+// recognises its own write by the token.
+func (w *Worker) putState(ctx context.Context, state record.ChunkState, version int64) (int64, error) {
 	object := record.StateName(state.Job, state.N)
 	var newest int64
 	var err error
@@ -141,6 +148,7 @@
 	return newest, err
 }
 
+// checkJob reads the job again. It returns errStopped if the job is not open.
 func (w *Worker) checkJob(ctx context.Context, l *lease) error {
 	o, err := w.platform.Get(ctx, platform.Lease, record.JobName(l.job.ID))
 	if err != nil {
@@ -157,10 +165,11 @@
 	return nil
 }
 
-// load reads the chunk's items and leaves out those with a result. Items of a
-// former holder that may have run and may not be repeated end as unknown.
-func (w *Worker) load(ctx context.Context, l *lease) error {
-	lines, err := w.store.chunk(ctx, &l.job, l.state.N)
+// loadItems reads the items of the chunk that have no result yet. Non-idempotent
+// items that a former holder may have dispatched get an unknown outcome instead
+// of being run again.
+func (w *Worker) loadItems(ctx context.Context, l *lease) error {
+	lines, err := w.store.readChunk(ctx, &l.job, l.state.N)
 	if err != nil {
 		return err
 	}
@@ -177,10 +186,10 @@
 			continue
 		}
 		it := &item{lease: l, index: i, line: line}
-		l.left++
+		l.remaining++
 		switch {
 		case started[i]:
-			w.finish(it, unknownResult(it))
+			w.finish(it, unknownOutcomeResult(it))
 		case workspace == nil:
 			w.finish(it, errorResult(it, "not_found", "the workspace is no longer configured", "true"))
 		default:
@@ -195,14 +204,15 @@
 	return nil
 }
 
-// keep commits and renews the lease until its chunk has ended or it is lost.
-func (w *Worker) keep(ctx context.Context, l *lease) {
+// renewLoop commits results and renews the lease until the chunk has ended or the
+// lease is lost.
+func (w *Worker) renewLoop(ctx context.Context, l *lease) {
 	ticker := time.NewTicker(w.cfg.CommitEvery)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-		case <-l.kick:
+		case <-l.commitRequest:
 		case <-ctx.Done():
 			return
 		}
@@ -212,7 +222,7 @@
 	}
 }
 
-// renew does one commit; it returns true when the lease is over.
+// renew does one commit; it returns true when the lease has ended.
 func (w *Worker) renew(ctx context.Context, l *lease) (over bool) {
 	err := w.checkJob(ctx, l)
 	if err == nil {
@@ -220,45 +230,45 @@
 	}
 	switch {
 	case errors.Is(err, errStopped):
-		w.halt(l)
+		w.stopItems(l)
 		w.waitIdle(ctx, l)
-		w.commit(ctx, l) // gives the chunk back with what was finished
-		w.forget(l)
+		w.commit(ctx, l) // gives the chunk back with the results so far
+		w.dropLease(l)
 		return true
 	case errors.Is(err, platform.ErrConflict), errors.Is(err, record.ErrFenced), errors.Is(err, record.ErrFinal):
-		w.recorder.Record(timeline.ChunkFenced, "", name(l), err.Error())
-		w.halt(l)
-		w.forget(l)
+		w.recorder.Record(timeline.ChunkFenced, "", leaseName(l), err.Error())
+		w.stopItems(l)
+		w.dropLease(l)
 		return true
 	case err != nil:
-		return false // the platform is away; tried again at the next tick
+		return false // the platform is unavailable; retried at the next tick
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return l.state.Phase != record.ChunkLeased
 }
 
-// commit writes the pending results as a segment, then the chunk state that
-// names it. Only the state makes results visible.
+// commit writes pending results as a segment object, then the chunk state that
+// refers to it. Results become visible with the chunk state.
 func (w *Worker) commit(ctx context.Context, l *lease) error {
 	w.mu.Lock()
 	w.releaseIdle(l, time.Now())
-	batch := upTo(l.pending, segmentBytes)
-	more := len(batch) < len(l.pending)
-	ending := l.left == 0 && l.running == 0 && !more
+	results := segmentPrefix(l.pending, maxSegmentBytes)
+	more := len(results) < len(l.pending)
+	ending := l.remaining == 0 && l.running == 0 && !more
 	giveBack := l.stopped && !ending && l.running == 0 && !more
-	claim, returned := w.claims(l, giveBack)
+	claim, returned := w.nextClaims(l, giveBack)
 	w.mu.Unlock()
 
 	sent := w.clock.Now()
 	progress := record.Progress{Items: l.state.Items, Phase: record.ChunkLeased, Started: claim, Returned: returned}
-	if len(batch) > 0 {
-		segment, err := w.writeSegment(ctx, l, batch)
+	if len(results) > 0 {
+		segment, err := w.writeSegment(ctx, l, results)
 		if err != nil {
 			return err
 		}
 		progress.Segment = segment
-		progress.Completed, progress.Failed = countResults(batch)
+		progress.Completed, progress.Failed = countResults(results)
 	}
 	switch {
 	case ending:
@@ -267,64 +277,67 @@
 		progress.Phase = record.ChunkOpen
 	}
 	next, err := l.state.Commit(w.self, l.epoch, rand.Text(), progress)
-	if !w.checker.Assert(err == nil, invariant.CommitFenced, "", name(l), "commit not possible: %v", err) {
+	if !w.checker.Assert(err == nil, invariant.CommitFenced, "", leaseName(l), "commit not possible: %v", err) {
 		return err
 	}
-	version, err := w.put(ctx, next, l.version)
+	version, err := w.putState(ctx, next, l.version)
 	if err != nil {
 		return err
 	}
-	w.committed(l, next, version, sent, len(batch), claim)
+	w.applyCommit(l, next, version, sent, len(results), claim)
 	return nil
 }
 
-// releaseIdle marks a lease to be given back when this node can't work on it:
-// it has no usable target for the chunk, or none had room for a lease's time.
-// The caller holds w.mu.
+// releaseIdle marks a lease to be given back if this node can't run its items:
+// it owns no usable target of the service, or dispatched no item for LeaseTTL
+// because no slot was free. The caller holds w.mu.
 func (w *Worker) releaseIdle(l *lease, now time.Time) {
-	if l.running > 0 || l.left == 0 || l.stopped {
+	if l.running > 0 || l.remaining == 0 || l.stopped {
 		return
 	}
-	if !w.serves(l.job.ChunkService(l.n)) || now.Sub(l.worked) > w.cfg.LeaseTTL {
+	if !w.ownsTargetOf(l.job.ChunkService(l.chunk)) || now.Sub(l.lastDispatch) > w.cfg.LeaseTTL {
 		l.stopped = true
 	}
 }
 
-func (w *Worker) committed(l *lease, state record.ChunkState, version int64, sent time.Time, results int, claim []int) {
+// applyCommit updates the lease after a commit was stored.
+func (w *Worker) applyCommit(l *lease, state record.ChunkState, version int64, sent time.Time, results int, claim []int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	l.state, l.version, l.renewed = state, version, sent
 	l.pending = l.pending[results:]
 	if len(l.pending) > 0 && l.running == 0 {
-		l.wake() // the rest of what one segment could not hold
+		l.requestCommit() // commits the results that did not fit into one segment
 	}
-	l.view.put(state, version)
+	l.view.update(state, version)
 	w.metrics.Counter("batch_items_committed").Inc(int64(results))
-	w.release(l, claim)
+	w.enqueueClaimed(l, claim)
 	if state.Phase != record.ChunkLeased {
-		w.recorder.Record(timeline.ChunkCommitted, "", name(l), fmt.Sprintf("%s, %d completed, %d failed", state.Phase, state.Completed, state.Failed))
+		w.recorder.Record(timeline.ChunkCommitted, "", leaseName(l), fmt.Sprintf("%s, %d completed, %d failed", state.Phase, state.Completed, state.Failed))
 		w.dropQueued(l)
-		delete(w.leases, name(l))
+		delete(w.leases, leaseName(l))
 	}
 	w.signal()
 }
 
-func (w *Worker) writeSegment(ctx context.Context, l *lease, batch []finished) (*record.Segment, error) {
+// writeSegment stores results in a new object.
+func (w *Worker) writeSegment(ctx context.Context, l *lease, results []itemResult) (*record.Segment, error) {
 	var body bytes.Buffer
-	segment := &record.Segment{Object: record.SegmentName(l.job.ID, l.n, l.epoch, rand.Text())}
-	for _, f := range batch {
+	segment := &record.Segment{Object: record.SegmentName(l.job.ID, l.chunk, l.epoch, rand.Text())}
+	for _, f := range results {
 		body.Write(f.line)
 		segment.Items = append(segment.Items, f.index)
 	}
 	_, err := w.platform.Create(ctx, platform.Commit, segment.Object, body.Bytes())
-	return segment, err // after a lost answer the next try writes another object
+	return segment, err // if the outcome is not known, the next commit writes another object
 }
 
-// segmentBytes bounds a segment, below the platform's limit.
-const segmentBytes = 900 << 10
+// maxSegmentBytes bounds a segment; it is below platform.MaxValue.
+const maxSegmentBytes = 900 << 10
 
-// upTo returns the first results that fit into one segment, at least one.
-func upTo(results []finished, limit int) []finished {
+// segmentPrefix returns the first results that fit into a segment of limit bytes,
+// but at least one.
+func segmentPrefix(results []itemResult, limit int) []itemResult {
 	size := 0
 	for i, f := range results {
 		size += len(f.line)
@@ -335,8 +348,8 @@
 	return results
 }
 
-func countResults(batch []finished) (completed, failed int) {
-	for _, f := range batch {
+func countResults(results []itemResult) (completed, failed int) {
+	for _, f := range results {
 		if f.failed {
 			failed++
 		} else {
@@ -346,14 +359,14 @@
 	return completed, failed
 }
 
-// stop writes the chunk's end by cancellation. Failing is harmless: the lease
-// then runs out.
-func (w *Worker) stop(ctx context.Context, l *lease) {
+// writeStopped stores the chunk as stopped because its job was cancelled. If that
+// fails, the lease expires and the node that ends the job stops the chunk.
+func (w *Worker) writeStopped(ctx context.Context, l *lease) {
 	state, err := l.state.Stop(rand.Text())
 	if err != nil {
 		return
 	}
-	if version, err := w.put(ctx, state, l.version); err == nil {
-		l.view.put(state, version)
+	if version, err := w.putState(ctx, state, l.version); err == nil {
+		l.view.update(state, version)
 	}
 }
--- a/internal/request/batch/lease_test.go
+++ b/internal/request/batch/lease_test.go
@@ -11,24 +11,24 @@
 	"github.com/marblepond/marblepond/internal/record"
 )
 
-// TestLeaseRunsOutDuringASuspension: another node takes a chunk over while its holder's
-// machine is suspended. The holder's steady clock stood still, and it would go on to
-// dispatch items under a lease that is over.
+// TestLeaseRunsOutDuringASuspension guards against a holder that was suspended and
+// goes on to dispatch items after its lease expired and another node took the chunk
+// over: the holder's monotonic clock does not advance during the suspension.
 func TestLeaseRunsOutDuringASuspension(t *testing.T) {
 	is := is.New(t)
 	var suspended atomic.Int64
 	w := &Worker{cfg: Config{LeaseTTL: 10 * time.Second, OutageGrace: 30 * time.Second},
 		clock: clock.NewShifted(func() time.Duration { return time.Duration(suspended.Load()) })}
-	once := &lease{job: record.Job{NonIdempotent: true}, renewed: w.clock.Now()}
-	repeatable := &lease{renewed: w.clock.Now()}
-	is.True(w.valid(once) && w.valid(repeatable))
+	nonIdempotent := &lease{job: record.Job{NonIdempotent: true}, renewed: w.clock.Now()}
+	idempotent := &lease{renewed: w.clock.Now()}
+	is.True(w.valid(nonIdempotent) && w.valid(idempotent))
 	for _, c := range []struct {
-		away             time.Duration
-		once, repeatable bool
+		suspendedFor              time.Duration
+		nonIdempotent, idempotent bool
 	}{{7 * time.Second, true, true}, {9 * time.Second, false, true}, {40 * time.Second, false, false}} {
-		suspended.Store(int64(c.away))
-		time.Sleep(20 * time.Millisecond) // longer than the clock relies on a look
-		is.Equal(w.valid(once), c.once)
-		is.Equal(w.valid(repeatable), c.repeatable)
+		suspended.Store(int64(c.suspendedFor))
+		time.Sleep(20 * time.Millisecond) // longer than the clock caches its reading
+		is.Equal(w.valid(nonIdempotent), c.nonIdempotent)
+		is.Equal(w.valid(idempotent), c.idempotent)
 	}
 }
--- a/internal/request/batch/line.go
+++ b/internal/request/batch/line.go
@@ -15,7 +15,7 @@
 	"github.com/marblepond/marblepond/internal/version/workspace"
 )
 
-// Line is one item of a JSONL file, in the OpenAI batch shape.
+// Line is one item of a JSONL file, in the OpenAI batch format.
 type Line struct {
 	CustomID string          `json:"custom_id"`
 	Method   string          `json:"method"`
@@ -45,10 +45,11 @@
 	NotRun  string `json:"not_run"`
 }
 
-// servicesPrefix starts the URLs of plain services.
+// servicesPrefix is the prefix of the URLs of plain services.
 const servicesPrefix = "/services/"
 
-// resolve finds the service of a line and the name its target must have loaded.
+// resolve returns the service of a line and the model name that its target must
+// have loaded, which is empty for plain services.
 func (l *Line) resolve(config *fleet.Config, w *workspace.Workspace) (*fleet.Service, string, error) {
 	if rest, ok := strings.CutPrefix(l.URL, servicesPrefix); ok {
 		name, _, _ := strings.Cut(rest, "/")
@@ -72,10 +73,11 @@
 	return s, loaded, nil
 }
 
-// maxLine bounds one line of a file, in bytes.
-const maxLine = 512 << 10
+// maxLineBytes bounds one line of a file, in bytes.
+const maxLineBytes = 512 << 10
 
-// splitter reads JSONL and cuts it into chunks of one service each.
+// splitter reads a JSONL file and splits it into chunks whose items have the same
+// service. It calls emit with each complete chunk.
 type splitter struct {
 	config    *fleet.Config
 	workspace *workspace.Workspace
@@ -83,28 +85,28 @@
 	maxBytes  int
 	emit      func(n int, chunk []byte) error
 
-	seen     map[uint64]bool // hashes of the item IDs
-	growing  map[string]*growing
-	services []string
-	chunkOf  []byte
+	seen     map[uint64]bool          // hashes of the custom IDs
+	builders map[string]*chunkBuilder // by service
+	services []string                 // in the order of their first item
+	chunkOf  []byte                   // by chunk: index into services
 	items    int
 	bytes    int64
 }
 
-// growing is the chunk being filled for one service.
-type growing struct {
+// chunkBuilder collects the lines of the next chunk of one service.
+type chunkBuilder struct {
 	index byte // into services
 	text  bytes.Buffer
 	items int
 }
 
-// maxServices bounds the services of one file.
+// maxServices bounds the services of one file; chunkOf holds indexes in one byte.
 const maxServices = 200
 
-// split reads the file and emits its chunks. Errors name the line.
+// split reads the file and emits its chunks. Errors state the line number.
 func (s *splitter) split(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	number := 0
 	for scanner.Scan() {
 		number++
@@ -112,7 +114,7 @@
 		if len(text) == 0 {
 			continue
 		}
-		service, err := s.check(number, text)
+		service, err := s.checkLine(number, text)
 		if err != nil {
 			return err
 		}
@@ -121,27 +123,28 @@
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return errkind.Malformed.New("line %d: %v (a line may have %d bytes)", number+1, err, maxLine)
+		return errkind.Malformed.New("line %d: %v (a line may have %d bytes)", number+1, err, maxLineBytes)
 	}
 	if s.items == 0 {
 		return errkind.Malformed.New("the file has no items")
 	}
 	for _, service := range s.services {
-		if err := s.flush(s.growing[service]); err != nil {
+		if err := s.flush(s.builders[service]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// add appends a line to the chunk of its service.
 func (s *splitter) add(service string, text []byte) error {
-	g := s.growing[service]
+	g := s.builders[service]
 	if g == nil {
 		if len(s.services) == maxServices {
 			return errkind.Malformed.New("the file names more than %d services", maxServices)
 		}
-		g = &growing{index: byte(len(s.services))}
-		s.growing[service] = g
+		g = &chunkBuilder{index: byte(len(s.services))}
+		s.builders[service] = g
 		s.services = append(s.services, service)
 	}
 	if g.items >= s.maxItems || (g.items > 0 && g.text.Len()+len(text) >= s.maxBytes) {
@@ -157,7 +160,8 @@
 	return nil
 }
 
-func (s *splitter) flush(g *growing) error {
+// flush emits the chunk that was collected.
+func (s *splitter) flush(g *chunkBuilder) error {
 	if g.items == 0 {
 		return nil
 	}
@@ -169,8 +173,8 @@
 	return s.emit(n, chunk)
 }
 
-// check returns the service of a line.
-func (s *splitter) check(number int, text []byte) (string, error) {
+// checkLine validates a line and returns its service.
+func (s *splitter) checkLine(number int, text []byte) (string, error) {
 	var line Line
 	if err := json.Unmarshal(text, &line); err != nil {
 		return "", errkind.Malformed.New("line %d: not a valid item: %v", number, err)
@@ -180,7 +184,7 @@
 	}
 	hash := xxhash.Sum64String(line.CustomID)
 	if s.seen[hash] {
-		return "", errkind.Malformed.New("line %d: custom_id %q stands twice", number, line.CustomID)
+		return "", errkind.Malformed.New("line %d: custom_id %q is used twice", number, line.CustomID)
 	}
 	s.seen[hash] = true
 	service, _, err := line.resolve(s.config, s.workspace)
--- a/internal/request/batch/line_test.go
+++ b/internal/request/batch/line_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	return &splitter{config: config, workspace: config.Workspaces.ByName("w"), maxItems: maxItems, maxBytes: 10000, emit: emit,
-		seen: map[uint64]bool{}, growing: map[string]*growing{}}
+		seen: map[uint64]bool{}, builders: map[string]*chunkBuilder{}}
 }
 
 func chat(id string) string {
@@ -50,7 +50,7 @@
 	for _, c := range []struct{ name, text, want string }{
 		{"not JSON", chat("1") + "\n{", "line 2: not a valid item"},
 		{"no ID", strings.Replace(chat("1"), `"custom_id":"1"`, `"custom_id":""`, 1), `line 1: "custom_id" is missing`},
-		{"twice", chat("1") + "\n" + chat("2") + "\n" + chat("1"), `line 3: custom_id "1" stands twice`},
+		{"twice", chat("1") + "\n" + chat("2") + "\n" + chat("1"), `line 3: custom_id "1" is used twice`},
 		{"unknown model", strings.Replace(chat("1"), `"m"`, `"n"`, 1), `line 1: no model "n"`},
 		{"unknown URL", strings.Replace(chat("1"), "chat", "chatter", 1), "line 1: \"url\" is"},
 		{"no messages", strings.Replace(chat("1"), "messages", "message", 1), `line 1: "messages" is missing`},
@@ -66,17 +66,17 @@
 	}
 }
 
-// TestSegmentsFitThePlatform: results larger than one object are committed in
-// several, and one that no object can hold does not stop the rest.
+// TestSegmentsFitThePlatform: results that exceed one object are committed in
+// several objects, and a result too large for any object does not block the others.
 func TestSegmentsFitThePlatform(t *testing.T) {
 	is := is.New(t)
-	results := []finished{{line: make([]byte, 60)}, {line: make([]byte, 60)}, {line: make([]byte, 200)}}
-	is.Equal(len(upTo(results, 100)), 1)
-	is.Equal(len(upTo(results, 120)), 2)
-	is.Equal(len(upTo(results[2:], 100)), 1)
-	is.Equal(len(upTo(nil, 100)), 0)
+	results := []itemResult{{line: make([]byte, 60)}, {line: make([]byte, 60)}, {line: make([]byte, 200)}}
+	is.Equal(len(segmentPrefix(results, 100)), 1)
+	is.Equal(len(segmentPrefix(results, 120)), 2)
+	is.Equal(len(segmentPrefix(results[2:], 100)), 1)
+	is.Equal(len(segmentPrefix(nil, 100)), 0)
 	it := &item{lease: &lease{}, line: Line{CustomID: "i"}}
-	f := plainResult(it, engine.PlainAnswer{Status: 200, Body: make([]byte, segmentBytes)})
+	f := plainResult(it, engine.PlainAnswer{Status: 200, Body: make([]byte, maxSegmentBytes)})
 	is.True(f.failed)
 	is.True(len(f.line) < 1000)
 }
@@ -89,13 +89,13 @@
 		s := newSplitter(t, 3, func(_ int, chunk []byte) error {
 			lines, err := parseChunk(chunk)
 			if err != nil {
-				t.Fatalf("a chunk that was taken can't be read: %v", err)
+				t.Fatalf("an emitted chunk can't be parsed: %v", err)
 			}
 			items += len(lines)
 			return nil
 		})
 		if s.split(strings.NewReader(string(data))) == nil && items != s.items {
-			t.Fatalf("%d items taken, %d stored", s.items, items)
+			t.Fatalf("%d items in the chunks, %d counted", s.items, items)
 		}
 	})
 }
--- a/internal/request/batch/store.go
+++ b/internal/request/batch/store.go
@@ -1,7 +1,8 @@
-// Package batch keeps and runs batch jobs. Files are cut into chunks and kept
-// in the platform; a job is accepted when its object is there. Nodes lease
-// chunks, run their items in the room that online requests leave, and commit
-// results in segments; the first commit of an item stands.
+// Package batch stores and runs batch jobs. Files are split into chunks, which are
+// stored as objects in the platform; a job is accepted when its object exists.
+// Nodes lease chunks, run the items in target slots that online requests leave
+// free, and commit results in segments. The first committed result of an item is
+// final.
 package batch
 
 import (
@@ -27,7 +28,8 @@
 	"github.com/marblepond/marblepond/internal/version/workspace"
 )
 
-// Store reads and writes files, jobs and results. Any node may do so.
+// Store reads and writes files, jobs and results in the platform. It needs no
+// lease, so that any node can serve any file or job.
 type Store struct {
 	platform   *platform.Client
 	recorder   *timeline.Recorder
@@ -40,29 +42,29 @@
 }
 
 const (
-	// chunkBytes bounds a chunk, below the platform's limit.
-	chunkBytes = 768 << 10
-	// parallelWrites is how many chunks of one file are written at a time.
+	// maxChunkBytes bounds a chunk; it is below platform.MaxValue.
+	maxChunkBytes = 768 << 10
+	// parallelWrites bounds the concurrent chunk writes of one file.
 	parallelWrites = 8
-	// writeAttempts bounds the tries at one object.
-	writeAttempts = 5
-	writePause    = 100 * time.Millisecond
-	// chunksWanted is how many chunks a file of known size is cut into at
-	// least, if its items allow, so that several nodes work on it.
-	chunksWanted  = 48
+	// maxAttempts bounds the attempts to read or write one object.
+	maxAttempts = 5
+	retryDelay  = 100 * time.Millisecond
+	// minChunks is the least number of chunks that a file of known size is split
+	// into, if its items allow, so that several nodes work on it.
+	minChunks     = 48
 	minChunkBytes = 4 << 10
 )
 
-// PutFile stores a JSONL file. size is its length in bytes if known, else 0.
+// PutFile stores a JSONL file. size is its length in bytes, 0 if unknown.
 func (s *Store) PutFile(ctx context.Context, config *fleet.Config, w *workspace.Workspace, name string, body io.Reader, size int64) (record.File, error) {
 	file := record.File{ID: "file-" + rand.Text(), Workspace: w.Name, Name: name, Created: time.Now().Unix(), Token: rand.Text()}
-	limit := chunkBytes
+	limit := maxChunkBytes
 	if size > 0 {
-		limit = max(minChunkBytes, min(chunkBytes, int(size)/chunksWanted))
+		limit = max(minChunkBytes, min(maxChunkBytes, int(size)/minChunks))
 	}
 	writer := newChunkWriter(ctx, s, file.ID)
 	split := &splitter{config: config, workspace: w, maxItems: s.chunkItems, maxBytes: limit, emit: writer.write,
-		seen: map[uint64]bool{}, growing: map[string]*growing{}}
+		seen: map[uint64]bool{}, builders: map[string]*chunkBuilder{}}
 	err := split.split(body)
 	if writeErr := writer.wait(); err == nil {
 		err = writeErr
@@ -75,7 +77,7 @@
 	return file, s.create(ctx, record.FileName(file.ID), record.Encode(file))
 }
 
-// chunkWriter writes chunks of one file, a few at a time.
+// chunkWriter writes the chunks of one file, parallelWrites at a time.
 type chunkWriter struct {
 	ctx   context.Context
 	store *Store
@@ -90,6 +92,8 @@
 	return &chunkWriter{ctx: ctx, store: s, file: file, slots: make(chan struct{}, parallelWrites)}
 }
 
+// write starts to store a chunk. It blocks while no slot is free, and returns an
+// error of any earlier write.
 func (w *chunkWriter) write(n int, chunk []byte) error {
 	w.slots <- struct{}{}
 	w.wg.Go(func() {
@@ -105,36 +109,37 @@
 	return w.err
 }
 
+// wait returns after all writes have ended.
 func (w *chunkWriter) wait() error {
 	w.wg.Wait()
 	return w.err
 }
 
-// create stores an object whose name only this call uses, so that finding it
-// there already means an earlier try took effect.
+// create stores an object whose name only this call uses. A conflict therefore
+// means that an earlier attempt took effect.
 func (s *Store) create(ctx context.Context, name string, value []byte) error {
-	for range writeAttempts {
+	for range maxAttempts {
 		_, err := s.platform.Create(ctx, platform.Commit, name, value)
 		if err == nil || errors.Is(err, platform.ErrConflict) {
 			return nil
 		}
-		if !wait.For(ctx, writePause) {
+		if !wait.For(ctx, retryDelay) {
 			break
 		}
 	}
-	return errkind.PlatformUnavailable.New("the platform does not take the data; nothing was accepted")
+	return errkind.PlatformUnavailable.New("writing to the platform failed; the file was not accepted")
 }
 
-// File reads a file's record; files of other workspaces are not found.
+// File reads a file's record. Errors: NotFound also for files of other workspaces.
 func (s *Store) File(ctx context.Context, workspace, id string) (record.File, error) {
-	file, err := get[record.File](ctx, s.platform, record.FileName(id))
+	file, err := getRecord[record.File](ctx, s.platform, record.FileName(id))
 	if err == nil && file.Workspace != workspace {
 		err = platform.ErrNotFound
 	}
-	return file, answerError(err, "file", id)
+	return file, callerError(err, "file", id)
 }
 
-// Submission describes a new job.
+// Submission describes a new job. Its digest depends on the field names.
 type Submission struct {
 	Workspace     string
 	Key           string // idempotency key, may be empty
@@ -144,8 +149,9 @@
 	NonIdempotent bool
 }
 
-// Submit creates a job. The same submission with the same key gives the same
-// job; another one with that key is a KeyConflict.
+// Submit creates a job. It is idempotent for submissions with a key: the same one
+// returns the existing job. Errors: KeyConflict if the key was used with another
+// submission.
 func (s *Store) Submit(ctx context.Context, sub Submission) (record.Job, error) {
 	job := record.Job{
 		ID: "batch_" + rand.Text(), Workspace: sub.Workspace, Key: sub.Key, Digest: sub.digest(), Endpoint: sub.Endpoint,
@@ -175,22 +181,24 @@
 	return s.createJob(ctx, job)
 }
 
+// digest returns the hash by which a resend is told from another submission.
 func (sub Submission) digest() []byte {
 	sum := sha256.Sum256(record.Encode(sub))
 	return sum[:]
 }
 
-// checkUnique makes sure that no item ID stands in two files of a job.
+// checkUnique returns an error if two files of a job have an item with the same
+// custom ID. Within a file, the splitter has checked it.
 func (s *Store) checkUnique(ctx context.Context, job *record.Job) error {
 	seen := map[string]bool{}
 	for n := range job.Chunks() {
-		lines, err := s.chunk(ctx, job, n)
+		lines, err := s.readChunk(ctx, job, n)
 		if err != nil {
 			return err
 		}
 		for _, line := range lines {
 			if seen[line.CustomID] {
-				return errkind.Malformed.New("custom_id %q stands in two files", line.CustomID)
+				return errkind.Malformed.New("custom_id %q is used in two files", line.CustomID)
 			}
 			seen[line.CustomID] = true
 		}
@@ -198,54 +206,57 @@
 	return nil
 }
 
-func (s *Store) chunk(ctx context.Context, job *record.Job, n int) ([]Line, error) {
+// readChunk returns the lines of the job's n-th chunk.
+func (s *Store) readChunk(ctx context.Context, job *record.Job, n int) ([]Line, error) {
 	o, err := s.platform.Get(ctx, platform.Commit, job.ChunkObject(n))
 	if err != nil {
-		return nil, answerError(err, "chunk", job.ChunkObject(n))
+		return nil, callerError(err, "chunk", job.ChunkObject(n))
 	}
 	return parseChunk(o.Value)
 }
 
+// createJob stores the job, or returns the one that an earlier submission stored.
 func (s *Store) createJob(ctx context.Context, job record.Job) (record.Job, error) {
-	for range writeAttempts {
+	for range maxAttempts {
 		_, err := s.platform.Create(ctx, platform.Commit, record.JobName(job.ID), record.Encode(job))
 		if err == nil {
-			return s.accepted(job), nil
+			return s.recordAccepted(job), nil
 		}
 		if errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrAmbiguous) {
 			existing, readErr := s.Job(ctx, job.ID)
 			switch {
 			case readErr == nil && existing.Token == job.Token:
-				return s.accepted(job), nil
+				return s.recordAccepted(job), nil
 			case readErr == nil && !bytes.Equal(existing.Digest, job.Digest):
 				return job, errkind.KeyConflict.New("the key was used with another batch")
 			case readErr == nil:
 				return existing, nil // a resend
 			}
 		}
-		if !wait.For(ctx, writePause) {
+		if !wait.For(ctx, retryDelay) {
 			break
 		}
 	}
 	return job, errkind.UnknownOutcome.New("the platform did not confirm the batch; send it again with the same %s", "Idempotency-Key")
 }
 
-func (s *Store) accepted(job record.Job) record.Job {
+func (s *Store) recordAccepted(job record.Job) record.Job {
 	s.recorder.Record(timeline.JobAccepted, "", job.ID, "")
 	return job
 }
 
 // Job reads a job.
 func (s *Store) Job(ctx context.Context, id string) (record.Job, error) {
-	job, err := get[record.Job](ctx, s.platform, record.JobName(id))
-	return job, answerError(err, "batch", id)
+	job, err := getRecord[record.Job](ctx, s.platform, record.JobName(id))
+	return job, callerError(err, "batch", id)
 }
 
-// WorkspaceJob reads a job of a workspace; those of others are not found.
+// WorkspaceJob reads a job of a workspace. Errors: NotFound also for jobs of other
+// workspaces.
 func (s *Store) WorkspaceJob(ctx context.Context, workspace, id string) (record.Job, error) {
 	job, err := s.Job(ctx, id)
 	if err == nil && job.Workspace != workspace {
-		err = answerError(platform.ErrNotFound, "batch", id)
+		err = callerError(platform.ErrNotFound, "batch", id)
 	}
 	return job, err
 }
@@ -254,7 +265,7 @@
 func (s *Store) Jobs(ctx context.Context, workspace string, limit int) ([]record.Job, error) {
 	objects, err := s.platform.List(ctx, platform.Status, record.JobPrefix)
 	if err != nil {
-		return nil, answerError(err, "batches", "")
+		return nil, callerError(err, "batches", "")
 	}
 	var jobs []record.Job
 	for _, o := range objects {
@@ -266,13 +277,13 @@
 	return jobs[:min(limit, len(jobs))], nil
 }
 
-// Cancel asks a job to stop. The job is "cancelled" later, when every holder
-// has stopped.
+// Cancel requests the cancellation of a job. The job becomes "cancelled" later,
+// when no chunk is under lease any more.
 func (s *Store) Cancel(ctx context.Context, id string) (record.Job, error) {
-	for range writeAttempts {
+	for range maxAttempts {
 		o, err := s.platform.Get(ctx, platform.Commit, record.JobName(id))
 		if err != nil {
-			return record.Job{}, answerError(err, "batch", id)
+			return record.Job{}, callerError(err, "batch", id)
 		}
 		job, err := record.Decode[record.Job](o.Value)
 		if err != nil || job.State != record.JobOpen {
@@ -280,22 +291,22 @@
 		}
 		job.State = record.JobCancelling
 		if _, err = s.platform.Update(ctx, platform.Lease, o.Name, o.Version, record.Encode(job)); err == nil {
-			s.recorder.Record(timeline.JobCancelling, "", id, "asked for")
+			s.recorder.Record(timeline.JobCancelling, "", id, "requested")
 			return job, nil
 		}
-		wait.For(ctx, writePause)
+		wait.For(ctx, retryDelay)
 	}
-	return record.Job{}, errkind.PlatformUnavailable.New("the cancellation was not confirmed; ask again")
+	return record.Job{}, errkind.PlatformUnavailable.New("the cancellation was not confirmed; try again")
 }
 
-// Counts are a job's items.
+// Counts are numbers of items of a job.
 type Counts struct {
 	Total     int `json:"total"`
 	Completed int `json:"completed"`
 	Failed    int `json:"failed"`
 }
 
-// Count sums up the finished items of a job.
+// Count returns the number of items of a job and how many are finished.
 func (s *Store) Count(ctx context.Context, job record.Job) (Counts, error) {
 	counts := Counts{Total: job.Total, Completed: job.Completed, Failed: job.Failed}
 	if job.State.Final() {
@@ -303,7 +314,7 @@
 	}
 	objects, err := s.platform.List(ctx, platform.Status, record.StatesOf(job.ID))
 	if err != nil {
-		return counts, answerError(err, "batch", job.ID)
+		return counts, callerError(err, "batch", job.ID)
 	}
 	for _, o := range objects {
 		state, err := record.Decode[record.ChunkState](o.Value)
@@ -318,17 +329,17 @@
 
 // WriteChunkResults writes the committed results of a job's n-th chunk.
 func (s *Store) WriteChunkResults(ctx context.Context, job record.Job, n int, w io.Writer) error {
-	state, err := get[record.ChunkState](ctx, s.platform, record.StateName(job.ID, n))
+	state, err := getRecord[record.ChunkState](ctx, s.platform, record.StateName(job.ID, n))
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil // nothing has run yet
 	}
 	if err != nil {
-		return answerError(err, "results", job.ID)
+		return callerError(err, "results", job.ID)
 	}
 	for _, segment := range state.Segments {
-		o, err := s.getRetried(ctx, segment.Object)
+		o, err := s.getWithRetry(ctx, segment.Object)
 		if err != nil {
-			return answerError(err, "results", job.ID)
+			return callerError(err, "results", job.ID)
 		}
 		if _, err := w.Write(o.Value); err != nil {
 			return err
@@ -337,17 +348,19 @@
 	return nil
 }
 
-func (s *Store) getRetried(ctx context.Context, name string) (o platform.Object, err error) {
-	for range writeAttempts {
+// getWithRetry reads an object and retries unless it does not exist.
+func (s *Store) getWithRetry(ctx context.Context, name string) (o platform.Object, err error) {
+	for range maxAttempts {
 		if o, err = s.platform.Get(ctx, platform.Commit, name); err == nil || errors.Is(err, platform.ErrNotFound) {
 			return o, err
 		}
-		wait.For(ctx, writePause)
+		wait.For(ctx, retryDelay)
 	}
 	return o, err
 }
 
-func get[T any](ctx context.Context, p *platform.Client, name string) (T, error) {
+// getRecord reads and decodes an object.
+func getRecord[T any](ctx context.Context, p *platform.Client, name string) (T, error) {
 	o, err := p.Get(ctx, platform.Commit, name)
 	if err != nil {
 		var zero T
@@ -356,14 +369,15 @@
 	return record.Decode[T](o.Value)
 }
 
-func answerError(err error, what, id string) error {
+// callerError converts an error of the platform to one for the caller.
+func callerError(err error, what, id string) error {
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, platform.ErrNotFound):
 		return errkind.NotFound.New("no %s %q", what, id)
 	case errors.Is(err, platform.ErrUnavailable), errors.Is(err, platform.ErrBudget):
-		return errkind.PlatformUnavailable.New("the platform can't be read; ask again")
+		return errkind.PlatformUnavailable.New("the platform can't be read; try again")
 	}
 	return err
 }
@@ -372,12 +386,12 @@
 func encodeResult(r Result) []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // plain fields; bodies were checked when they came in
+		panic(err) // only plain fields; bodies are valid JSON when a Response is made
 	}
 	return append(data, '\n')
 }
 
-// outputPrefix starts the ID of a job's results file.
+// outputPrefix is the prefix of the IDs of results files.
 const outputPrefix = "out-"
 
 // OutputFileID returns the ID of a job's results file.
--- a/internal/request/batch/suspect.go
+++ b/internal/request/batch/suspect.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// suspects decides which item a lost target is held against. An item can crash
-// the engine that runs it, and takes every other item there with it. Nothing
-// tells which one it was, so all that were lost become suspects, and suspects
-// run one to a target: the next loss there is that suspect's fault and nobody
-// else's.
+// suspectTracker decides against which item the loss of a target counts. An item
+// can crash the engine that runs it, which ends all concurrent items there too.
+// The cause is not reported, so every item lost in a crash becomes a suspect. At
+// most one suspect runs at a target at a time, so that the next loss there is
+// attributed to that suspect alone.
 //
-// The order in which the losses of one crash are noticed does not matter: an
-// attempt is judged by what its item was when the attempt started.
-type suspects struct {
-	running map[string]int       // by target: attempts that started as a suspect's
+// The order in which the losses of one crash are noticed does not matter, because
+// an attempt counts by whether its item was a suspect when the attempt started.
+type suspectTracker struct {
+	running map[string]int       // by target: running attempts that started as a suspect's
 	lost    map[string]time.Time // by target: when such an attempt was last lost
 }
 
-// blameTime is how long after the loss of a suspect the losses of others at
-// the same target are put down to it: the time in which the broken connections
-// of one crash are noticed.
-const blameTime = time.Second
+// sameCrashWindow is the time after the loss of a suspect during which losses of
+// other items at the same target are attributed to the same crash. It covers the
+// time until all broken connections of one crash are noticed.
+const sameCrashWindow = time.Second
 
-func newSuspects() *suspects {
-	return &suspects{running: map[string]int{}, lost: map[string]time.Time{}}
+func newSuspectTracker() *suspectTracker {
+	return &suspectTracker{running: map[string]int{}, lost: map[string]time.Time{}}
 }
 
-// at reports whether a suspect runs at a target.
-func (s *suspects) at(target string) bool { return s.running[target] > 0 }
+// runningAt reports whether a suspect runs at a target.
+func (s *suspectTracker) runningAt(target string) bool { return s.running[target] > 0 }
 
-// start counts an attempt that begins at it.target.
-func (s *suspects) start(it *item) {
-	it.watched = it.suspect
-	if it.watched {
+// start registers an attempt that begins at it.target.
+func (s *suspectTracker) start(it *item) {
+	it.startedAsSuspect = it.suspect
+	if it.startedAsSuspect {
 		s.running[it.target]++
 	}
 }
 
-// end counts an attempt off again.
-func (s *suspects) end(it *item) {
-	if !it.watched {
+// end removes an attempt that start registered.
+func (s *suspectTracker) end(it *item) {
+	if !it.startedAsSuspect {
 		return
 	}
 	s.running[it.target]--
@@ -46,15 +46,15 @@
 	}
 }
 
-// lose judges an attempt whose target was lost, and reports whether the loss
-// counts against the item. One that was lost beside a suspect is excused, but
-// is a suspect from then on: it may be the cause, and would otherwise be
-// excused again beside the next suspect, which would take the blame.
-func (s *suspects) lose(it *item, now time.Time) bool {
-	if it.watched {
+// recordLoss records an attempt whose target was lost, and reports whether the loss
+// counts against the item. It does not count for an item that ran concurrently
+// with a suspect, but the item becomes a suspect: it may be the cause, and would
+// otherwise never count while losses are attributed to one suspect after another.
+func (s *suspectTracker) recordLoss(it *item, now time.Time) bool {
+	if it.startedAsSuspect {
 		s.lost[it.target] = now
 		return true
 	}
 	it.suspect = true
-	return !s.at(it.target) && now.Sub(s.lost[it.target]) >= blameTime
+	return !s.runningAt(it.target) && now.Sub(s.lost[it.target]) >= sameCrashWindow
 }
--- a/internal/request/batch/suspect_test.go
+++ b/internal/request/batch/suspect_test.go
@@ -14,23 +14,24 @@
 	"github.com/marblepond/marblepond/internal/version/fleet"
 )
 
-// attempts that an item has before it ends with an error, as in the default
-// settings.
+// testAttempts is the number of failed attempts after which an item ends with an
+// error; it is the default setting.
 const testAttempts = 3
 
-// crashRun plays one item that crashes every target and many that do not.
-type crashRun struct {
-	suspects *suspects
+// crashSimulation simulates one item that crashes every target that runs it, and
+// many items that do not.
+type crashSimulation struct {
+	suspects *suspectTracker
 	targets  []string
 	at       map[string][]*item
 	items    []*item
 	queue    []*item
-	killer   *item
+	crasher  *item
 	now      time.Time
 }
 
-func newCrashRun(targets, items int) *crashRun {
-	r := &crashRun{suspects: newSuspects(), at: map[string][]*item{}, now: time.Unix(1, 0)}
+func newCrashSimulation(targets, items int) *crashSimulation {
+	r := &crashSimulation{suspects: newSuspectTracker(), at: map[string][]*item{}, now: time.Unix(1, 0)}
 	for n := range targets {
 		r.targets = append(r.targets, fmt.Sprint("t", n))
 	}
@@ -41,9 +42,9 @@
 	return r
 }
 
-// start sends an item to a target unless that would bring two suspects together.
-func (r *crashRun) start(it *item, target string) bool {
-	if it.suspect && r.suspects.at(target) {
+// start sends an item to a target unless it is a suspect and one runs there already.
+func (r *crashSimulation) start(it *item, target string) bool {
+	if it.suspect && r.suspects.runningAt(target) {
 		return false
 	}
 	it.target = target
@@ -52,11 +53,12 @@
 	return true
 }
 
-// crash loses what runs at a target, noticed in the order given.
-func (r *crashRun) crash(target string, order []*item) {
+// crash loses the items that run at a target; the losses are noticed in the given
+// order.
+func (r *crashSimulation) crash(target string, lost []*item) {
 	delete(r.at, target)
-	for _, it := range order {
-		if r.suspects.lose(it, r.now) {
+	for _, it := range lost {
+		if r.suspects.recordLoss(it, r.now) {
 			it.attempts++
 		}
 		r.suspects.end(it)
@@ -67,73 +69,76 @@
 }
 
 func TestOrderOfLossesDoesNotMatter(t *testing.T) {
-	for _, killerFirst := range []bool{true, false} {
+	for _, crasherFirst := range []bool{true, false} {
 		is := is.New(t)
-		s := newSuspects()
+		s := newSuspectTracker()
 		now := time.Unix(1, 0)
-		killer, other := &item{target: "t"}, &item{target: "t"}
-		s.start(killer)
+		crasher, other := &item{target: "t"}, &item{target: "t"}
+		s.start(crasher)
 		s.start(other)
-		order := []*item{other, killer}
-		if killerFirst {
-			order = []*item{killer, other}
+		order := []*item{other, crasher}
+		if crasherFirst {
+			order = []*item{crasher, other}
 		}
 		for _, it := range order {
-			is.True(s.lose(it, now))
+			is.True(s.recordLoss(it, now))
 		}
-		is.True(killer.suspect) // also when the other one became a suspect first
+		is.True(crasher.suspect) // also if the other item became a suspect first
 		is.True(other.suspect)
 	}
 }
 
-// What is excused beside a suspect may be the cause: beside the next suspect it
-// must not be excused again.
+// TestExcusedItemIsASuspect: an item whose loss did not count, because it ran
+// concurrently with a suspect, may be the cause and becomes a suspect itself.
+// Otherwise its losses would never count.
 func TestExcusedItemIsASuspect(t *testing.T) {
 	is := is.New(t)
-	s := newSuspects()
-	killer, suspect := &item{target: "t"}, &item{target: "t", suspect: true}
-	s.start(killer)
+	s := newSuspectTracker()
+	crasher, suspect := &item{target: "t"}, &item{target: "t", suspect: true}
+	s.start(crasher)
 	s.start(suspect)
-	is.True(!s.lose(killer, time.Unix(1, 0)))
-	is.True(s.lose(suspect, time.Unix(1, 0)))
-	is.True(killer.suspect)
+	is.True(!s.recordLoss(crasher, time.Unix(1, 0)))
+	is.True(s.recordLoss(suspect, time.Unix(1, 0)))
+	is.True(crasher.suspect)
 }
 
-// Whatever the order in which losses are noticed, and whoever shares a target
-// with whom, the item that crashes targets ends and no other one does.
+// TestOnlyTheItemThatCrashesTargetsEnds: the item that crashes targets ends with an
+// error and no other item does, regardless of the order in which losses are noticed
+// and of which items run concurrently at a target.
 func TestOnlyTheItemThatCrashesTargetsEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newCrashRun(rapid.IntRange(2, 4).Draw(t, "targets"), rapid.IntRange(2, 30).Draw(t, "items"))
-		r.killer = r.queue[rapid.IntRange(0, len(r.queue)-1).Draw(t, "killer")]
+		r := newCrashSimulation(rapid.IntRange(2, 4).Draw(t, "targets"), rapid.IntRange(2, 30).Draw(t, "items"))
+		r.crasher = r.queue[rapid.IntRange(0, len(r.queue)-1).Draw(t, "crasher")]
 		for _, it := range r.queue {
-			// some were lost before, when a target went away for its own reasons
+			// some were lost before, when a target ended for another reason
 			it.suspect = rapid.IntRange(0, 3).Draw(t, "lost before") == 0
 			if it.suspect {
 				it.attempts = 1
 			}
 		}
-		for round := 0; r.killer.attempts < testAttempts; round++ {
+		for round := 0; r.crasher.attempts < testAttempts; round++ {
 			if round > 1000 {
-				t.Fatal("the item that crashes targets never ends")
+				t.Fatal("the item that crashes targets is retried without end")
 			}
 			r.now = r.now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
-			r.fill(rapid.Permutation(r.queue).Draw(t, "queue"), t)
-			target := r.killer.target
-			if !slices.Contains(r.at[target], r.killer) {
+			r.startQueued(rapid.Permutation(r.queue).Draw(t, "queue"), t)
+			target := r.crasher.target
+			if !slices.Contains(r.at[target], r.crasher) {
 				r.finishOne()
 				continue
 			}
 			r.crash(target, rapid.Permutation(r.at[target]).Draw(t, "noticed"))
 		}
 		for _, it := range r.items {
-			if it != r.killer && it.attempts >= testAttempts {
-				t.Fatalf("item %d is blamed for the crashes", it.index)
+			if it != r.crasher && it.attempts >= testAttempts {
+				t.Fatalf("item %d ended, but did not cause the crashes", it.index)
 			}
 		}
 	})
 }
 
-func (r *crashRun) fill(order []*item, t *rapid.T) {
+// startQueued starts the queued items in the given order at targets drawn at random.
+func (r *crashSimulation) startQueued(order []*item, t *rapid.T) {
 	r.queue = nil
 	for _, it := range order {
 		if !r.start(it, rapid.SampledFrom(r.targets).Draw(t, "target")) {
@@ -142,11 +147,12 @@
 	}
 }
 
-// finishOne ends one item that is no killer, which makes room for a suspect.
-func (r *crashRun) finishOne() {
+// finishOne ends one item other than the crasher, so that a suspect may start at
+// its target.
+func (r *crashSimulation) finishOne() {
 	for _, target := range r.targets {
 		for n, it := range r.at[target] {
-			if it != r.killer {
+			if it != r.crasher {
 				r.suspects.end(it)
 				r.at[target] = append(r.at[target][:n:n], r.at[target][n+1:]...)
 				return
@@ -155,11 +161,11 @@
 	}
 }
 
-// An attempt that no target took is none: the item is queued again, however often
-// that happens.
+// TestWhatWasNotSentIsNoAttempt: an attempt that was not sent to a target does not
+// count; the item is requeued each time.
 func TestWhatWasNotSentIsNoAttempt(t *testing.T) {
 	is := is.New(t)
-	w := &Worker{cfg: Config{ItemAttempts: 1}, queues: map[string][]*item{}, suspects: newSuspects()}
+	w := &Worker{cfg: Config{ItemAttempts: 1}, queues: map[string][]*item{}, suspects: newSuspectTracker()}
 	it := &item{lease: &lease{job: record.Job{}}, service: &fleet.Service{Name: "m", Kind: fleet.KindModel}}
 	for range 3 {
 		w.afterFailure(it, fmt.Errorf("%w: refused", engine.ErrNotSent), nil)
--- a/internal/request/batch/view.go
+++ b/internal/request/batch/view.go
@@ -9,72 +9,73 @@
 	"github.com/marblepond/marblepond/internal/record"
 )
 
-// view is one node's picture of a job's chunks, read in increments. Chunks
-// without an entry have no stored state.
-type view struct {
-	mu      sync.Mutex
-	job     record.Job
-	version int64 // of the job object
-	since   int64 // platform version the chunks were read at
-	read    time.Time
-	chunks  map[int]observed
+// jobView is this node's cached copy of a job and its chunk states, which refresh
+// updates incrementally. Chunks without an entry have no stored state.
+type jobView struct {
+	mu            sync.Mutex
+	job           record.Job
+	version       int64 // of the job object
+	chunksVersion int64 // platform version at which the chunks were last read
+	lastRefresh   time.Time
+	chunks        map[int]observedChunk
 }
 
-// observed is a chunk's state and since when it has not changed, by this
-// node's monotonic clock.
-type observed struct {
-	state   record.ChunkState
-	version int64
-	since   time.Time
+// observedChunk is a chunk's state and the time, by this node's monotonic clock,
+// since which this node has seen no change of it.
+type observedChunk struct {
+	state          record.ChunkState
+	version        int64
+	unchangedSince time.Time
 }
 
-// refreshPause is the least time between two readings of a job's chunks.
-const refreshPause = 300 * time.Millisecond
+// minRefreshInterval is the shortest interval between two reads of a job's chunks.
+const minRefreshInterval = 300 * time.Millisecond
 
-func newView(job record.Job, version int64) *view {
-	return &view{job: job, version: version, chunks: map[int]observed{}}
+func newJobView(job record.Job, version int64) *jobView {
+	return &jobView{job: job, version: version, chunks: map[int]observedChunk{}}
 }
 
-// refresh reads the chunk states that changed since the last time.
-func (v *view) refresh(ctx context.Context, p *platform.Client) error {
+// refresh reads the chunk states that changed since the last refresh.
+func (v *jobView) refresh(ctx context.Context, p *platform.Client) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if time.Since(v.read) < refreshPause {
+	if time.Since(v.lastRefresh) < minRefreshInterval {
 		return nil
 	}
-	change, err := p.Watch(ctx, record.StatesOf(v.job.ID), v.since, time.Millisecond)
+	change, err := p.Watch(ctx, record.StatesOf(v.job.ID), v.chunksVersion, time.Millisecond)
 	if err != nil {
 		return err
 	}
-	v.read, v.since = time.Now(), change.Newest
+	v.lastRefresh, v.chunksVersion = time.Now(), change.Newest
 	for _, o := range change.Objects {
 		if state, err := record.Decode[record.ChunkState](o.Value); err == nil {
-			v.note(state, o.Version)
+			v.updateLocked(state, o.Version)
 		}
 	}
 	return nil
 }
 
-// note takes a newer state of a chunk. Segments of ended chunks are dropped to
-// bound memory.
-func (v *view) note(state record.ChunkState, version int64) {
+// updateLocked caches a state of a chunk if it is newer. The segments of ended
+// chunks are dropped to bound memory. The caller holds v.mu.
+func (v *jobView) updateLocked(state record.ChunkState, version int64) {
 	if v.chunks[state.N].version >= version {
 		return
 	}
 	if state.Phase == record.ChunkDone || state.Phase == record.ChunkStopped {
 		state.Segments, state.Started = nil, nil
 	}
-	v.chunks[state.N] = observed{state, version, time.Now()}
+	v.chunks[state.N] = observedChunk{state, version, time.Now()}
 }
 
-// put is note for callers that do not hold the lock.
-func (v *view) put(state record.ChunkState, version int64) {
+// update is updateLocked for callers that do not hold v.mu.
+func (v *jobView) update(state record.ChunkState, version int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.note(state, version)
+	v.updateLocked(state, version)
 }
 
-func (v *view) setJob(job record.Job, version int64) {
+// setJob caches a version of the job if it is newer.
+func (v *jobView) setJob(job record.Job, version int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if version > v.version {
@@ -83,14 +84,15 @@
 }
 
 // current returns the job and its object version.
-func (v *view) current() (record.Job, int64) {
+func (v *jobView) current() (record.Job, int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.job, v.version
 }
 
-// free returns the chunks that may be leased, given how to judge a lease.
-func (v *view) free(expired func(observed) bool) []int {
+// leasable returns the chunks that may be leased: open ones, and leased ones for
+// which expired returns true.
+func (v *jobView) leasable(expired func(observedChunk) bool) []int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var out []int
@@ -104,10 +106,10 @@
 }
 
 // leased returns the chunks under lease.
-func (v *view) leased() []observed {
+func (v *jobView) leased() []observedChunk {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	var out []observed
+	var out []observedChunk
 	for _, o := range v.chunks {
 		if o.state.Phase == record.ChunkLeased {
 			out = append(out, o)
@@ -116,22 +118,23 @@
 	return out
 }
 
-func (v *view) chunk(n int) observed {
+func (v *jobView) chunk(n int) observedChunk {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.chunks[n]
 }
 
-// progress counts the ended chunks and the items finished in all.
-func (v *view) progress() (ended, completed, failed int) {
+// progress returns the number of chunks done and of items completed and failed in
+// all chunks.
+func (v *jobView) progress() (chunksDone, completed, failed int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, o := range v.chunks {
 		if o.state.Phase == record.ChunkDone {
-			ended++
+			chunksDone++
 		}
 		completed += o.state.Completed
 		failed += o.state.Failed
 	}
-	return ended, completed, failed
+	return chunksDone, completed, failed
 }
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -79,8 +79,8 @@
 mutant 9 internal/version/follow/cache.go 's/k\.complete < m\.Latest/k.latest < m.Latest/' internal/version/follow TestGapInAListIsNoFreshness
 mutant 7 internal/version/follow/cache.go 's/if k\.complete < m\.Floor/if m.Floor < 0/' internal/version/follow TestListHidesNoDeletion
 mutant 7 internal/version/follow/cache.go 's/if !known && o\.Revision <= k\.floor/if !known \&\& o.Revision < 0/' internal/version/follow TestListKeepsOutWhatIsGone
-mutant 1 internal/request/batch/suspect.go 's/it\.watched = it\.suspect/it.watched = it.suspect \&\& it.attempts > 9/' internal/request/batch TestOnlyTheItemThatCrashesTargetsEnds
-mutant 1 internal/request/batch/suspect.go 's/it\.suspect = true/it.suspect = !s.at(it.target)/' internal/request/batch TestExcusedItemIsASuspect
+mutant 1 internal/request/batch/suspect.go 's/it\.startedAsSuspect = it\.suspect/it.startedAsSuspect = it.suspect \&\& it.attempts > 9/' internal/request/batch TestOnlyTheItemThatCrashesTargetsEnds
+mutant 1 internal/request/batch/suspect.go 's/it\.suspect = true/it.suspect = !s.runningAt(it.target)/' internal/request/batch TestExcusedItemIsASuspect
 mutant 1 internal/request/checkpoint/checkpoint.go 's/saved\.Epoch < state\.epoch/saved.Epoch+9 < state.epoch/' internal/request/checkpoint TestFormerHolderIsIgnored
 mutant 1 internal/request/job/progress.go 's/s\.phase != waiting \|\| held <= s\.held/held <= s.held/' internal/request/job TestRestoreOnlyAdds
 mutant 1 internal/request/job/commit.go 's/head\.Parts, head\.Inline = parts, nil/head.Parts, head.Inline = 0*parts, nil/' internal/request/job TestItemsOfASmallJobAreAlwaysThere
--- a/scripts/first-steps.sh
+++ b/scripts/first-steps.sh
@@ -45,7 +45,7 @@
 
 say "a batch from a file, submitted at one node and read at another"
 items=$(for n in $(seq 40); do printf '{"custom_id":"i%s","method":"POST","url":"/v1/chat/completions","body":{"model":"%s","max_tokens":4,"messages":[{"role":"user","content":"item %s"}]}}\n' "$n" "$MODEL" "$n"; done)
-expect 'stands twice' "$(printf '%s\n%s\n' "$items" "$(head -1 <<<"$items")" | curl "${auth[@]}" "http://$A/v1/files" -F purpose=batch -F file=@-)"
+expect 'is used twice' "$(printf '%s\n%s\n' "$items" "$(head -1 <<<"$items")" | curl "${auth[@]}" "http://$A/v1/files" -F purpose=batch -F file=@-)"
 file=$(printf '%s\n' "$items" | curl "${auth[@]}" "http://$A/v1/files" -F purpose=batch -F file=@- | field id)
 batch=$(curl "${auth[@]}" -H 'Idempotency-Key: b1' "http://$A/v1/batches" -d "{\"input_file_id\":\"$file\",\"endpoint\":\"/v1/chat/completions\",\"completion_window\":\"24h\"}" | field id)
 same=$(curl "${auth[@]}" -H 'Idempotency-Key: b1' "http://$B/v1/batches" -d "{\"input_file_id\":\"$file\",\"endpoint\":\"/v1/chat/completions\",\"completion_window\":\"24h\"}" | field id)
