--- a/internal/request/serve/answer.go
+++ b/internal/request/serve/answer.go
@@ -10,20 +10,22 @@
 	"github.com/marblepond/marblepond/internal/request/assemble"
 )
 
-func (e *execution) shape() openai.Answer {
+// encoder returns the encoder of the response in the OpenAI format.
+func (e *execution) encoder() openai.Answer {
 	return openai.Answer{ID: e.request.ID, Path: e.request.Path, Model: e.model, Created: e.created}
 }
 
-// answer sends the answer as it grows, or whole.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, e *execution) error {
+// respond sends the response: as a stream while the answer is generated, or in one
+// body when it is complete.
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, e *execution) error {
 	if !e.stream {
-		return s.answerWhole(w, r, e)
+		return s.respondComplete(w, r, e)
 	}
 	sent := 0
 	for {
 		state := e.answer.From(sent)
 		if len(state.Pieces) > 0 {
-			if err := s.writePieces(w, r, e, state.Pieces); err != nil {
+			if err := s.writeChunks(w, r, e, state.Pieces); err != nil {
 				return err
 			}
 			sent += len(state.Pieces)
@@ -35,45 +37,47 @@
 		select {
 		case <-state.Changed:
 		case <-r.Context().Done():
-			s.callerGone(e)
+			s.callerDisconnected(e)
 			return nil
 		}
 	}
 }
 
-// callerGone gives a request up that nobody was told of and nobody can ask for.
-func (s *Server) callerGone(e *execution) {
+// callerDisconnected cancels the execution if its caller got no response header and
+// no later request can fetch the answer. A non-idempotent request is never cancelled.
+func (s *Server) callerDisconnected(e *execution) {
 	if !e.accepted.Load() && e.key == "" && !e.request.NonIdempotent {
 		e.cancel()
 	}
 }
 
-func (s *Server) writePieces(w http.ResponseWriter, r *http.Request, e *execution, pieces []assemble.Piece) error {
+// writeChunks writes new pieces of the answer as chunks of the stream.
+func (s *Server) writeChunks(w http.ResponseWriter, r *http.Request, e *execution, pieces []assemble.Piece) error {
 	if !e.accepted.Load() {
 		if err := s.accept(w, e); err != nil {
 			return err
 		}
 	}
-	shape := e.shape()
+	encoder := e.encoder()
 	for _, p := range pieces {
 		if p.Finish != "" {
-			<-e.finished // the whole answer is kept before its end is told
+			<-e.finished // the replicas store the complete answer before its end is sent
 		}
-		if _, err := w.Write(shape.Chunk(p.Text, p.Finish, p.Offset, p.Tokens)); err != nil {
-			return nil // the caller is gone; the execution goes on
+		if _, err := w.Write(encoder.Chunk(p.Text, p.Finish, p.Offset, p.Tokens)); err != nil {
+			return nil // the caller disconnected; the execution goes on
 		}
 	}
 	return http.NewResponseController(w).Flush()
 }
 
-// accept tells the caller, with the header of a 200, that the request is owed
-// an answer; the homes must hold it by then.
+// accept sends the header of a 200, which commits the system to answer the request.
+// The replicas must hold the request by then.
 func (s *Server) accept(w http.ResponseWriter, e *execution) error {
 	if e.request.Hops == 0 {
 		<-e.registered
-		if e.refusal != nil {
+		if e.registerErr != nil {
 			e.cancel()
-			return errNotKept()
+			return errNotReplicated()
 		}
 	}
 	e.accepted.Store(true)
@@ -84,15 +88,16 @@
 	return nil
 }
 
-// errNotKept refuses a request that has begun to run and that no home could
-// keep: it is not owed, and it can't be said that nothing ran.
-func errNotKept() error {
-	return errkind.TargetFailed.New("no node could keep the request; send it again")
+// errNotReplicated returns the error for a request that no replica could store. It
+// was not accepted, but it may have run, so the error does not say "not run".
+func errNotReplicated() error {
+	return errkind.TargetFailed.New("no node could store the request; send it again")
 }
 
+// endStream ends a stream, or returns the error if no header was sent yet.
 func (s *Server) endStream(w http.ResponseWriter, e *execution, err error) error {
 	if !e.accepted.Load() {
-		s.checkNotRun(e, err)
+		s.assertNotRun(e, err)
 		return err
 	}
 	<-e.finished
@@ -105,30 +110,31 @@
 	return nil
 }
 
-// checkNotRun asserts that a refusal that says "not run" is true: no piece of
-// an answer has come.
-func (s *Server) checkNotRun(e *execution, err error) {
+// assertNotRun asserts for a refusal that says "not run" that no part of an answer
+// was received.
+func (s *Server) assertNotRun(e *execution, err error) {
 	if err != nil && errkind.Of(err).NotRun == errkind.NotRunTrue {
 		s.Checker.Assert(e.answer.Held() == 0, invariant.NotRunTrue, e.request.ID, e.request.Service, "tokens arrived for a request refused as not run")
 	}
 }
 
-func (s *Server) answerWhole(w http.ResponseWriter, r *http.Request, e *execution) error {
+// respondComplete sends the response in one body.
+func (s *Server) respondComplete(w http.ResponseWriter, r *http.Request, e *execution) error {
 	select {
 	case <-e.finished:
 	case <-r.Context().Done():
-		s.callerGone(e)
+		s.callerDisconnected(e)
 		return nil
 	}
 	if err := e.answer.From(0).Err; err != nil {
-		s.checkNotRun(e, err)
+		s.assertNotRun(e, err)
 		return err
 	}
-	if e.request.Hops == 0 && e.refusal != nil {
-		return errNotKept()
+	if e.request.Hops == 0 && e.registerErr != nil {
+		return errNotReplicated()
 	}
 	e.accepted.Store(true)
-	s.Recorder.Record(timeline.RequestAnswered, e.request.ID, e.request.Service, "whole")
+	s.Recorder.Record(timeline.RequestAnswered, e.request.ID, e.request.Service, "complete")
 	result := s.result(e, nil)
 	w.Header().Set("Content-Type", result.ContentType)
 	w.Write(result.Body)
--- a/internal/request/serve/batches.go
+++ b/internal/request/serve/batches.go
@@ -15,7 +15,7 @@
 	"github.com/marblepond/marblepond/internal/request/batch"
 )
 
-// fileBody is a file in the OpenAI shape.
+// fileBody is a file in the OpenAI format.
 type fileBody struct {
 	ID        string `json:"id"`
 	Object    string `json:"object"`
@@ -29,7 +29,7 @@
 // putFile stores a JSONL file, sent as multipart form field "file" or as the
 // body itself.
 func (s *Server) putFile(w http.ResponseWriter, r *http.Request, c *session) error {
-	name, content, size, err := uploaded(r)
+	name, content, size, err := uploadedFile(r)
 	if err != nil {
 		return err
 	}
@@ -37,16 +37,16 @@
 	if err != nil {
 		return err
 	}
-	writeJSON(w, http.StatusOK, fileShape(file))
+	writeJSON(w, http.StatusOK, newFileBody(file))
 	return nil
 }
 
-func fileShape(f record.File) fileBody {
+func newFileBody(f record.File) fileBody {
 	return fileBody{f.ID, "file", f.Bytes, f.Created, f.Name, "batch", f.Items}
 }
 
-// uploaded finds the file in the request. size is 0 when not known.
-func uploaded(r *http.Request) (name string, content io.Reader, size int64, err error) {
+// uploadedFile returns the file in the request. size is 0 if it is unknown.
+func uploadedFile(r *http.Request) (name string, content io.Reader, size int64, err error) {
 	media, params, _ := mime.ParseMediaType(r.Header.Get("Content-Type"))
 	if !strings.HasPrefix(media, "multipart/") {
 		return "", r.Body, max(0, r.ContentLength), nil
@@ -68,11 +68,11 @@
 	if err != nil {
 		return err
 	}
-	writeJSON(w, http.StatusOK, fileShape(file))
+	writeJSON(w, http.StatusOK, newFileBody(file))
 	return nil
 }
 
-// fileContent sends a job's results as JSONL, those committed so far.
+// fileContent sends the results of a job that are committed so far, as JSONL.
 func (s *Server) fileContent(w http.ResponseWriter, r *http.Request, c *session) error {
 	jobID, ok := batch.JobIDFromOutputFile(r.PathValue("id"))
 	if !ok {
@@ -88,14 +88,14 @@
 			if n == 0 {
 				return err
 			}
-			panic(http.ErrAbortHandler) // the caller sees a broken transfer, not a short file
+			panic(http.ErrAbortHandler) // the caller sees an aborted transfer instead of a truncated file
 		}
 	}
 	return nil
 }
 
-// submission is the body of a new batch in the OpenAI shape; input_file_ids
-// and non_idempotent are this system's own.
+// submission is the body of a new batch in the OpenAI format, extended by
+// input_file_ids and non_idempotent.
 type submission struct {
 	InputFileID      string            `json:"input_file_id"`
 	InputFileIDs     []string          `json:"input_file_ids"`
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	writeJSON(w, http.StatusAccepted, batchShape(job, 0, 0))
+	writeJSON(w, http.StatusAccepted, newBatchBody(job, 0, 0))
 	return nil
 }
 
@@ -147,7 +147,7 @@
 	return d, nil
 }
 
-// batchBody is a batch in the OpenAI shape.
+// batchBody is a batch in the OpenAI format.
 type batchBody struct {
 	ID           string       `json:"id"`
 	Object       string       `json:"object"`
@@ -160,7 +160,7 @@
 	Counts       batch.Counts `json:"request_counts"`
 }
 
-func batchShape(job record.Job, completed, failed int) batchBody {
+func newBatchBody(job record.Job, completed, failed int) batchBody {
 	return batchBody{job.ID, "batch", job.Endpoint, string(job.State), batch.OutputFileID(job.ID), job.Created, job.Due, job.Ended,
 		batch.Counts{Total: job.Total, Completed: completed, Failed: failed}}
 }
@@ -174,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	writeJSON(w, http.StatusOK, batchShape(job, counts.Completed, counts.Failed))
+	writeJSON(w, http.StatusOK, newBatchBody(job, counts.Completed, counts.Failed))
 	return nil
 }
 
@@ -186,11 +186,11 @@
 	if err != nil {
 		return err
 	}
-	writeJSON(w, http.StatusOK, batchShape(job, job.Completed, job.Failed))
+	writeJSON(w, http.StatusOK, newBatchBody(job, job.Completed, job.Failed))
 	return nil
 }
 
-// listLimit bounds a list of batches.
+// listLimit bounds the number of batches in a list.
 const listLimit = 100
 
 type listBody struct {
@@ -205,7 +205,7 @@
 	}
 	list := listBody{Object: "list", Data: []batchBody{}}
 	for _, job := range jobs {
-		list.Data = append(list.Data, batchShape(job, job.Completed, job.Failed))
+		list.Data = append(list.Data, newBatchBody(job, job.Completed, job.Failed))
 	}
 	writeJSON(w, http.StatusOK, list)
 	return nil
--- a/internal/request/serve/complete.go
+++ b/internal/request/serve/complete.go
@@ -20,29 +20,30 @@
 // execution is one online request that this node runs.
 type execution struct {
 	request run.Request
-	key     string
+	key     string // idempotency key, may be empty
 	digest  []byte
 	created int64 // Unix seconds
 	stream  bool
-	model   string // as the caller named it
+	model   string // as given by the caller
 	answer  *run.Answer
-	// registered is closed when the homes hold the request or refused to.
-	registered chan struct{}
-	refusal    error // set before registered is closed
-	// finished is closed when the homes have the result.
+	// registered is closed when the replicas hold the request, or when that failed.
+	registered  chan struct{}
+	registerErr error // set before registered is closed
+	// finished is closed when the execution has ended, after its result was sent to
+	// the replicas.
 	finished chan struct{}
-	accepted atomic.Bool // the caller has the first byte of a 200
+	accepted atomic.Bool // the caller got a 200, or gets it now
 	claim    *record.Claim
 	cancel   context.CancelFunc
 }
 
-// complete serves a completion, streamed or whole.
+// complete serves a completion, as a stream or in one body.
 func (s *Server) complete(w http.ResponseWriter, r *http.Request, c *session) error {
 	body, err := s.body(r)
 	if err != nil {
 		return err
 	}
-	return s.rejoining(func() error {
+	return s.retryJoin(func() error {
 		e, service, err := s.prepare(r, c, body)
 		if err != nil {
 			return err
@@ -51,18 +52,19 @@
 	})
 }
 
+// completeOnce runs the request or, if its key is in use, joins the other one.
 func (s *Server) completeOnce(w http.ResponseWriter, r *http.Request, c *session, e *execution, service *fleet.Service) error {
 	w.Header().Set(openai.HeaderRequestID, e.request.ID)
-	release, away, err := s.admit(r.Context(), c, service, e.request.Loaded, e.request.Deadline)
+	release, preferRemote, err := s.admit(r.Context(), c, service, e.request.Loaded, e.request.Deadline)
 	if err != nil {
 		return err
 	}
-	e.request.PreferRemote = away
+	e.request.PreferRemote = preferRemote
 	if !c.forwarded {
 		joined, err := s.reserve(r.Context(), e)
 		if err != nil || joined != nil {
 			release()
-			s.Allowances.Return(c.workspace) // the request that it joins has its own
+			s.Allowances.Return(c.workspace) // the joined request has taken a token itself
 		}
 		if err != nil {
 			return err
@@ -72,12 +74,12 @@
 		}
 	}
 	s.start(e, release)
-	return s.answer(w, r, e)
+	return s.respond(w, r, e)
 }
 
-// reserve holds the request at its homes and, when it is non-idempotent,
-// claims it. joined is another request with the same key, whose answer is the
-// caller's too.
+// reserve registers the request at its replicas and claims it if it is
+// non-idempotent. joined is set if another request has the same key; the caller
+// gets the answer of that one.
 func (s *Server) reserve(ctx context.Context, e *execution) (joined *hold.Answer, err error) {
 	joined, err = s.register(ctx, e)
 	if err != nil || joined != nil || !e.request.NonIdempotent {
@@ -90,13 +92,14 @@
 	return joined, err
 }
 
+// prepare validates a completion request and creates its execution.
 func (s *Server) prepare(r *http.Request, c *session, body []byte) (*execution, *fleet.Service, error) {
 	parsed, err := openai.Parse(r.URL.Path, body)
 	if err != nil {
 		return nil, nil, err
 	}
 	if parsed.Continuation.Tokens != 0 && !c.forwarded {
-		return nil, nil, errkind.Malformed.New(`"continuation" is not for callers`)
+		return nil, nil, errkind.Malformed.New(`"continuation" is only allowed between nodes`)
 	}
 	service, loaded := c.config.ServiceFor(c.workspace, parsed.Model)
 	if service == nil {
@@ -131,6 +134,7 @@
 	}
 }
 
+// digest returns the hash that distinguishes a resend from another request.
 func digest(method, uri string, body []byte) []byte {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(uri), body} {
@@ -140,19 +144,19 @@
 	return h.Sum(nil)
 }
 
-// register holds the request at its homes. With a key it waits for them, for a
-// resend is to join; without one the homes are told while the request runs,
-// and only the first byte of the answer waits for them.
+// register stores the request at its replicas. A request with a key waits for
+// them, so that a resend joins it. Without a key the request runs meanwhile, and
+// only the first byte of the response waits for the replicas.
 func (s *Server) register(ctx context.Context, e *execution) (joined *hold.Answer, err error) {
 	if e.key == "" && !e.request.NonIdempotent {
 		go func() {
-			_, e.refusal = s.Replicas.Register(context.WithoutCancel(ctx), s.held(e))
+			_, e.registerErr = s.Replicas.Register(context.WithoutCancel(ctx), s.replicatedRequest(e))
 			close(e.registered)
 		}()
 		return nil, nil
 	}
 	defer close(e.registered)
-	answer, err := s.Replicas.Register(ctx, s.held(e))
+	answer, err := s.Replicas.Register(ctx, s.replicatedRequest(e))
 	switch {
 	case err != nil:
 		return nil, err
@@ -164,7 +168,8 @@
 	return &answer, nil
 }
 
-func (s *Server) held(e *execution) hold.Request {
+// replicatedRequest returns the form of the request that the replicas store.
+func (s *Server) replicatedRequest(e *execution) hold.Request {
 	self := s.Members().Self
 	return hold.Request{
 		ID: e.request.ID, Workspace: e.request.Workspace, Key: e.key, Digest: e.digest, Owner: self.ID, OwnerIncarnation: self.Incarnation,
@@ -173,17 +178,18 @@
 	}
 }
 
-// claimTime bounds how long a request waits for its claim.
-const claimTime = 5 * time.Second
+// claimTimeout bounds how long a request waits for its claim.
+const claimTimeout = 5 * time.Second
 
-// claim gets the right to send a non-idempotent request.
+// claim acquires the right to dispatch a non-idempotent request, once. joined is
+// set if another request has claimed the key.
 func (s *Server) claim(ctx context.Context, e *execution) (joined *hold.Answer, err error) {
 	self := s.Members().Self
 	key := e.key
 	if key == "" {
 		key = e.request.ID
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(claimTime, time.Until(e.request.Deadline)/2))
+	ctx, cancel := context.WithTimeout(ctx, min(claimTimeout, time.Until(e.request.Deadline)/2))
 	defer cancel()
 	claim, won, err := s.Claims.Acquire(ctx, record.Claim{
 		Workspace: e.request.Workspace, Key: key, Digest: e.digest, RequestID: e.request.ID,
@@ -202,8 +208,8 @@
 	return nil, nil
 }
 
-// start runs the execution apart from the caller's connection: what was
-// accepted is finished and kept even when the caller goes away.
+// start runs the execution independently of the caller's connection: an accepted
+// request is finished and its result stored even if the caller disconnects.
 func (s *Server) start(e *execution, release func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
@@ -214,18 +220,19 @@
 		defer release()
 		err := s.Runner.Online(ctx, e.request, e.answer)
 		if e.request.Hops == 0 {
-			s.settle(ctx, e, err)
+			s.storeOutcome(ctx, e, err)
 		}
 		close(e.finished)
 	}()
 }
 
-// settle gives the outcome to the homes.
-func (s *Server) settle(ctx context.Context, e *execution, err error) {
+// storeOutcome sends the result to the replicas, or drops a request there that was
+// not accepted and failed.
+func (s *Server) storeOutcome(ctx context.Context, e *execution, err error) {
 	ctx = context.WithoutCancel(ctx)
 	<-e.registered
 	if err != nil && !e.accepted.Load() && !errkind.Is(err, errkind.UnknownOutcome) {
-		s.Replicas.Drop(ctx, e.request.ID) // a resend may run it anew
+		s.Replicas.Drop(ctx, e.request.ID) // a resend may run it again
 		if e.claim != nil && errkind.Of(err).NotRun == errkind.NotRunTrue {
 			s.Claims.Abandon(*e.claim)
 		}
@@ -235,6 +242,7 @@
 	s.Replicas.Finish(ctx, result)
 }
 
+// result returns the form of the outcome that the replicas store.
 func (s *Server) result(e *execution, err error) hold.Result {
 	result := hold.Result{RequestID: e.request.ID, Workspace: e.request.Workspace, Key: e.key, Digest: e.digest,
 		Created: e.created, ContentType: "application/json"}
@@ -246,34 +254,34 @@
 	}
 	text, tokens, finish := e.answer.Text()
 	result.Status = http.StatusOK
-	result.Body = e.shape().Whole(text, finish, tokens)
+	result.Body = e.encoder().Whole(text, finish, tokens)
 	return result
 }
 
-// rerunTime is the least time a request taken over from a dead node gets.
-const rerunTime = 30 * time.Second
+// rerunTimeout bounds the run of a request that was taken over from a dead node.
+const rerunTimeout = 30 * time.Second
 
-// Rerun runs a request whose owner died. A non-idempotent one may have run:
-// its outcome is recorded as unknown, and nobody repeats it.
-func (s *Server) Rerun(held hold.Request) {
+// Rerun runs a request whose owner died. A non-idempotent one may have run, so it
+// is not repeated and its outcome is recorded as unknown.
+func (s *Server) Rerun(original hold.Request) {
 	config := s.Config()
 	e := &execution{
-		request: run.Request{ID: held.ID, Workspace: held.Workspace, Service: held.Service, Path: held.Path, Method: http.MethodPost,
-			Body: held.Body, Deadline: time.Now().Add(rerunTime), NonIdempotent: held.NonIdempotent},
-		key: held.Key, digest: held.Digest, created: held.Created, answer: run.NewAnswer(held.ID),
+		request: run.Request{ID: original.ID, Workspace: original.Workspace, Service: original.Service, Path: original.Path, Method: http.MethodPost,
+			Body: original.Body, Deadline: time.Now().Add(rerunTimeout), NonIdempotent: original.NonIdempotent},
+		key: original.Key, digest: original.Digest, created: original.Created, answer: run.NewAnswer(original.ID),
 		registered: make(chan struct{}), finished: make(chan struct{}),
 	}
 	close(e.registered)
-	e.accepted.Store(true) // perhaps: its answer is kept either way
-	parsed, err := openai.Parse(held.Path, held.Body)
-	service, workspace := config.Services[held.Service], config.Workspaces.ByName(held.Workspace)
-	if held.NonIdempotent || err != nil || service == nil || workspace == nil {
+	e.accepted.Store(true) // not known, but its result must be stored if it was
+	parsed, err := openai.Parse(original.Path, original.Body)
+	service, workspace := config.Services[original.Service], config.Workspaces.ByName(original.Workspace)
+	if original.NonIdempotent || err != nil || service == nil || workspace == nil {
 		s.Replicas.Finish(context.Background(), s.result(e, errkind.UnknownOutcome.New("the node that ran the request was lost")))
 		return
 	}
 	_, e.request.Loaded = config.ServiceFor(workspace, parsed.Model)
 	e.request.Prefix, e.model = parsed.Prefix(), parsed.Model
 	e.request.Work = run.WorkOf(&e.request)
-	s.Replicas.Register(context.Background(), s.held(e)) // the other home learns the new owner
+	s.Replicas.Register(context.Background(), s.replicatedRequest(e)) // informs the other replica of the new owner
 	s.start(e, func() {})
 }
--- a/internal/request/serve/join.go
+++ b/internal/request/serve/join.go
@@ -14,66 +14,67 @@
 )
 
 const (
-	// joinRounds is how often a caller joins a request that then comes to
-	// nothing, before it is told so.
-	joinRounds = 4
-	joinPause  = 50 * time.Millisecond
+	// maxJoinAttempts bounds how often a caller joins a request that ends without a
+	// result, before it gets an error.
+	maxJoinAttempts = 4
+	joinRetryDelay  = 50 * time.Millisecond
 )
 
-// rejoining tries a keyed request again when the one it had joined ended
-// without a result: that one was refused before anything was sent, or gave way
-// to the holder of the key's claim.
-func (s *Server) rejoining(try func() error) error {
+// retryJoin retries a request with a key if the request that it joined ended
+// without a result: that one was refused before anything was sent, or it was
+// dropped because another request holds the key's claim.
+func (s *Server) retryJoin(attempt func() error) error {
 	var err error
-	for range joinRounds {
-		var dropped droppedError
-		if err = try(); !errors.As(err, &dropped) {
+	for range maxJoinAttempts {
+		var noResult noResultError
+		if err = attempt(); !errors.As(err, &noResult) {
 			return err
 		}
-		err = dropped.final
-		time.Sleep(joinPause)
+		err = noResult.reported
+		time.Sleep(joinRetryDelay)
 	}
 	return err
 }
 
-// droppedError says that a joined request ended without a result.
-type droppedError struct {
-	final error // what the caller is told when no further try follows
+// noResultError says that a joined request ended without a result.
+type noResultError struct {
+	reported error // the error for the caller after the last attempt
 }
 
 // Error implements error.
-func (d droppedError) Error() string { return "the joined request ended without a result" }
+func (d noResultError) Error() string { return "the joined request ended without a result" }
 
-// joinWait is the longest single wait for a joined request's answer.
-const joinWait = 5 * time.Second
+// maxJoinWait bounds one wait for a joined request's answer; join repeats it until
+// the deadline.
+const maxJoinWait = 5 * time.Second
 
-// join answers a resend with the running request's answer.
+// join answers a resend with the answer of the request that has its key.
 func (s *Server) join(w http.ResponseWriter, r *http.Request, c *session, e *execution, first hold.Answer) error {
 	s.Recorder.Record(timeline.RequestJoined, first.RequestID, e.request.Service, "resend "+e.request.ID)
 	w.Header().Set(openai.HeaderRequestID, first.RequestID)
 	answer := first
-	var silent error // a place that may know the answer is not heard
+	var findErr error // a node or store that may have the answer did not respond
 	for answer.State == hold.Running {
-		wait := min(joinWait, time.Until(e.request.Deadline))
+		wait := min(maxJoinWait, time.Until(e.request.Deadline))
 		if wait <= 0 || r.Context().Err() != nil {
-			return errkind.DeadlineExceeded.New("request %s is still running; ask again", first.RequestID)
+			return errkind.DeadlineExceeded.New("request %s is still running; try again", first.RequestID)
 		}
-		answer, silent = s.Replicas.Find(r.Context(), first.RequestID, c.workspace.Name, wait)
+		answer, findErr = s.Replicas.Find(r.Context(), first.RequestID, c.workspace.Name, wait)
 	}
 	if answer.State != hold.Done && e.request.NonIdempotent {
-		return droppedError{errkind.UnknownOutcome.New("request %s has this key; its outcome is not known here", first.RequestID)}
+		return noResultError{errkind.UnknownOutcome.New("request %s has this key; its outcome is unknown", first.RequestID)}
 	}
-	if silent != nil {
-		return droppedError{errkind.TargetFailed.New("the answer to request %s was not found, send it again: %v", first.RequestID, silent)}
+	if findErr != nil {
+		return noResultError{errkind.TargetFailed.New("the answer to request %s was not found, send it again: %v", first.RequestID, findErr)}
 	}
 	if answer.State != hold.Done {
-		return droppedError{errkind.TargetFailed.New("request %s ended without an answer; send it again", first.RequestID)}
+		return noResultError{errkind.TargetFailed.New("request %s ended without an answer; send it again", first.RequestID)}
 	}
 	return writeResult(w, e.stream, *answer.Result)
 }
 
-// writeResult sends a kept result, as a stream of one piece when the caller
-// asked for a stream.
+// writeResult sends a stored result, as a stream of one chunk if the caller
+// requested a stream.
 func writeResult(w http.ResponseWriter, stream bool, result hold.Result) error {
 	if result.ErrorKind != "" {
 		return errkind.ByName(result.ErrorKind).New("the request ended with this error")
@@ -85,31 +86,31 @@
 		return nil
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
-	shape, text, finish, tokens := unshape(result)
-	w.Write(shape.Chunk(text, finish, 0, tokens))
+	encoder, text, finish, tokens := parseAnswer(result)
+	w.Write(encoder.Chunk(text, finish, 0, tokens))
 	w.Write(openai.DoneEvent())
 	return nil
 }
 
-// unshape reads the parts of a whole answer.
-func unshape(result hold.Result) (shape openai.Answer, text, finish string, tokens int) {
-	var whole openai.Chunk
-	json.NewDecoder(bytes.NewReader(result.Body)).Decode(&whole)
-	shape = openai.Answer{ID: whole.ID, Path: openai.CompletionPath, Model: whole.Model, Created: whole.Created}
-	if len(whole.Choices) > 0 {
-		text = whole.Choices[0].Text
-		if m := whole.Choices[0].Message; m != nil {
-			shape.Path, text = openai.ChatPath, m.Content
+// parseAnswer decodes a stored complete answer.
+func parseAnswer(result hold.Result) (encoder openai.Answer, text, finish string, tokens int) {
+	var answer openai.Chunk
+	json.NewDecoder(bytes.NewReader(result.Body)).Decode(&answer)
+	encoder = openai.Answer{ID: answer.ID, Path: openai.CompletionPath, Model: answer.Model, Created: answer.Created}
+	if len(answer.Choices) > 0 {
+		text = answer.Choices[0].Text
+		if m := answer.Choices[0].Message; m != nil {
+			encoder.Path, text = openai.ChatPath, m.Content
 		}
 	}
-	if whole.Usage != nil {
-		tokens = whole.Usage.CompletionTokens
+	if answer.Usage != nil {
+		tokens = answer.Usage.CompletionTokens
 	}
-	return shape, text, whole.Finish(), tokens
+	return encoder, text, answer.Finish(), tokens
 }
 
-// response returns a kept result.
-func (s *Server) response(w http.ResponseWriter, r *http.Request, c *session) error {
+// showResponse sends a stored result.
+func (s *Server) showResponse(w http.ResponseWriter, r *http.Request, c *session) error {
 	id := r.PathValue("id")
 	answer, err := s.Replicas.Find(r.Context(), id, c.workspace.Name, 0)
 	if err != nil {
--- a/internal/request/serve/plain.go
+++ b/internal/request/serve/plain.go
@@ -15,11 +15,11 @@
 	"github.com/marblepond/marblepond/internal/version/fleet"
 )
 
-// passedHeaders are the callers' headers that a plain service gets to see.
-var passedHeaders = []string{"Content-Type", "Accept", "Accept-Language", openai.HeaderIdempotencyKey}
+// forwardedHeaders are the caller's headers that are forwarded to a plain service.
+var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", openai.HeaderIdempotencyKey}
 
-// plain serves a call to a plain service.
-func (s *Server) plain(w http.ResponseWriter, r *http.Request, c *session) error {
+// servePlain serves a call to a plain service.
+func (s *Server) servePlain(w http.ResponseWriter, r *http.Request, c *session) error {
 	name := r.PathValue("name")
 	service := c.config.Services[name]
 	if service == nil || service.Kind != fleet.KindPlain || !c.workspace.May(name) {
@@ -29,10 +29,11 @@
 	if err != nil {
 		return err
 	}
-	return s.rejoining(func() error { return s.plainTry(w, r, c, service, body) })
+	return s.retryJoin(func() error { return s.plainAttempt(w, r, c, service, body) })
 }
 
-func (s *Server) plainTry(w http.ResponseWriter, r *http.Request, c *session, service *fleet.Service, body []byte) error {
+// plainAttempt runs the call or, if its key is in use, joins the other one.
+func (s *Server) plainAttempt(w http.ResponseWriter, r *http.Request, c *session, service *fleet.Service, body []byte) error {
 	now := time.Now()
 	deadline, err := s.deadline(r, service, now)
 	if err != nil {
@@ -41,7 +42,7 @@
 	e := s.newExecution(r, c, service, body, now)
 	e.request.Deadline = deadline
 	e.request.Path = strings.TrimPrefix(r.URL.RequestURI(), "/services/"+service.Name)
-	e.request.Header = passed(r.Header)
+	e.request.Header = forwardHeaders(r.Header)
 	e.request.Work = run.WorkOf(&e.request)
 	w.Header().Set(openai.HeaderRequestID, e.request.ID)
 	release, _, err := s.admit(r.Context(), c, service, "", deadline)
@@ -50,7 +51,7 @@
 	}
 	defer release()
 	if e.key == "" && !e.request.NonIdempotent {
-		return s.plainOnce(w, r, e)
+		return s.plainDirect(w, r, e)
 	}
 	joined, err := s.reserve(r.Context(), e)
 	if err != nil || joined != nil {
@@ -62,12 +63,13 @@
 	if joined != nil {
 		return s.join(w, r, c, e, *joined)
 	}
-	return s.plainKept(w, r, e)
+	return s.plainDurable(w, r, e)
 }
 
-func passed(all http.Header) http.Header {
+// forwardHeaders returns the headers that are forwarded.
+func forwardHeaders(all http.Header) http.Header {
 	out := http.Header{}
-	for _, name := range passedHeaders {
+	for _, name := range forwardedHeaders {
 		if values := all.Values(name); len(values) > 0 {
 			out[http.CanonicalHeaderKey(name)] = values
 		}
@@ -75,8 +77,9 @@
 	return out
 }
 
-// plainOnce runs a call that nobody can ask for again; it ends with its caller.
-func (s *Server) plainOnce(w http.ResponseWriter, r *http.Request, e *execution) error {
+// plainDirect runs an idempotent call without a key. It is cancelled if the caller
+// disconnects, because no later request could fetch the answer.
+func (s *Server) plainDirect(w http.ResponseWriter, r *http.Request, e *execution) error {
 	answer, err := s.Runner.Plain(r.Context(), e.request)
 	if err != nil {
 		return err
@@ -85,9 +88,9 @@
 	return nil
 }
 
-// plainKept runs a call with a key or a claim to its end, whatever becomes of
-// the caller's connection, and keeps the answer.
-func (s *Server) plainKept(w http.ResponseWriter, r *http.Request, e *execution) error {
+// plainDurable runs a call with a key or a claim to its end, even if the caller
+// disconnects, and stores the answer at the replicas.
+func (s *Server) plainDurable(w http.ResponseWriter, r *http.Request, e *execution) error {
 	var answer engine.PlainAnswer
 	var err error
 	done := make(chan struct{})
@@ -98,7 +101,7 @@
 		defer close(done)
 		answer, err = s.Runner.Plain(ctx, e.request)
 		if err != nil {
-			s.settle(ctx, e, err)
+			s.storeOutcome(ctx, e, err)
 			return
 		}
 		s.Replicas.Finish(ctx, hold.Result{RequestID: e.request.ID, Workspace: e.request.Workspace, Key: e.key, Digest: e.digest,
--- a/internal/request/serve/serve.go
+++ b/internal/request/serve/serve.go
@@ -1,6 +1,7 @@
-// Package serve answers callers over HTTP. A request passes through short
-// steps: key, body, admission, homes, claim, run, answer. Each step either
-// hands on or ends the request with an error of errkind.
+// Package serve implements the HTTP API for callers. A request passes through
+// these steps: authentication, body, admission, registration at its replicas
+// (package homes), claim, run, response. Each step continues with the next one or
+// ends the request with an error of errkind.
 package serve
 
 import (
@@ -34,21 +35,21 @@
 	"github.com/marblepond/marblepond/internal/version/workspace"
 )
 
-// Limits of the server.
+// Limits bounds the requests that a server takes.
 type Limits struct {
-	MaxBody        int
+	MaxBody        int // bytes
 	MaxInFlight    int
 	RequestTimeout time.Duration
 }
 
-// Dependencies are what a server works with.
+// Dependencies are the components that a server uses.
 type Dependencies struct {
 	Config  func() *fleet.Config
 	Ready   func() error // nil when the node can serve
 	Members func() *member.View
 	Targets *targets.Manager
 	Runner  *run.Runner
-	// Allowances keeps workspaces to what they may ask for over all nodes.
+	// Allowances enforces the rate limits of workspaces.
 	Allowances Allowances
 	Replicas   *homes.Keeper
 	Claims     *claim.Claims
@@ -59,34 +60,34 @@
 	PeerKey    string
 }
 
-// Allowances keeps workspaces to what they may ask for over all nodes together.
+// Allowances enforces the rate limit of each workspace over all nodes together.
 type Allowances interface {
-	// Take takes a token for a request; the error is of errkind. Return gives it back when
-	// the request did not run.
+	// Take takes a token for a request; its errors are of errkind. Return gives the
+	// token back if the request did not run.
 	Take(ctx context.Context, w *workspace.Workspace) error
 	Return(w *workspace.Workspace)
 }
 
-// Server is the callers' API of a node.
+// Server serves the callers' API of a node.
 type Server struct {
 	Dependencies
 	limits  Limits
 	mux     *http.ServeMux
-	leaving atomic.Bool    // the health answer fails
+	leaving atomic.Bool    // health checks fail
 	closed  atomic.Bool    // new requests are refused
 	active  sync.WaitGroup // executions and calls in progress
 
-	mu      sync.Mutex
-	gate    *admit.Controller
-	meanSec float64 // moving mean of a request's time
+	mu        sync.Mutex
+	admission *admit.Controller
+	meanSec   float64 // moving average of the duration of a request
 }
 
 // New returns a server.
-func New(limits Limits, parts Dependencies) *Server {
-	s := &Server{Dependencies: parts, limits: limits, mux: http.NewServeMux(), gate: admit.New(limits.MaxInFlight)}
+func New(limits Limits, deps Dependencies) *Server {
+	s := &Server{Dependencies: deps, limits: limits, mux: http.NewServeMux(), admission: admit.New(limits.MaxInFlight)}
 	s.route("POST "+openai.ChatPath, s.complete)
 	s.route("POST "+openai.CompletionPath, s.complete)
-	s.route("GET /v1/responses/{id}", s.response)
+	s.route("GET /v1/responses/{id}", s.showResponse)
 	s.route("POST /v1/files", s.putFile)
 	s.route("GET /v1/files/{id}", s.showFile)
 	s.route("GET /v1/files/{id}/content", s.fileContent)
@@ -94,7 +95,7 @@
 	s.route("GET /v1/batches", s.listBatches)
 	s.route("GET /v1/batches/{id}", s.showBatch)
 	s.route("POST /v1/batches/{id}/cancel", s.cancelBatch)
-	s.route("/services/{name}/{path...}", s.plain)
+	s.route("/services/{name}/{path...}", s.servePlain)
 	s.mux.HandleFunc("GET /healthz", s.healthz)
 	s.mux.HandleFunc("GET /readyz", s.readyz)
 	s.mux.HandleFunc("/", s.noRoute)
@@ -104,32 +105,33 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Handle adds a handler for nodes' own pages, such as metrics.
+// Handle adds a handler for the node's own pages, such as metrics, without
+// authentication.
 func (s *Server) Handle(pattern string, h http.Handler) { s.mux.Handle(pattern, h) }
 
-// session is a caller's authenticated call.
+// session is an authenticated call.
 type session struct {
-	config    *fleet.Config // the version the request keeps to its end
+	config    *fleet.Config // the version that the request uses until it ends
 	workspace *workspace.Workspace
-	forwarded bool // by a node of another data centre
+	forwarded bool // sent by a node of another data centre
 }
 
 type handler func(w http.ResponseWriter, r *http.Request, c *session) error
 
-// route adds a handler behind the steps that all calls share.
+// route adds a handler, preceded by the steps that all calls share.
 func (s *Server) route(pattern string, h handler) {
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		s.active.Add(1)
 		defer s.active.Done()
 		if s.leaving.Load() {
-			w.Header().Set("Connection", "close") // the next call goes elsewhere
+			w.Header().Set("Connection", "close") // the next call connects to another node
 		}
 		c, err := s.authenticate(r)
 		if err == nil {
 			err = h(w, r, c)
 		}
 		if err != nil {
-			s.refuse(w, r, err)
+			s.writeError(w, r, err)
 		}
 	})
 }
@@ -139,12 +141,12 @@
 		return nil, err
 	}
 	if s.closed.Load() && r.Method != http.MethodGet {
-		return nil, errkind.Leaving.New("this node is leaving; other nodes serve on")
+		return nil, errkind.Leaving.New("this node is leaving; use another node")
 	}
 	c := &session{config: s.Config()}
 	if key := r.Header.Get(openai.HeaderForwarded); key != "" {
 		if subtle.ConstantTimeCompare([]byte(key), []byte(s.PeerKey)) != 1 {
-			return nil, errkind.Unauthenticated.New("not a node of this fleet")
+			return nil, errkind.Unauthenticated.New("the key is not that of this fleet's nodes")
 		}
 		c.forwarded = true
 		c.workspace = c.config.Workspaces.ByName(r.Header.Get(openai.HeaderWorkspace))
@@ -169,7 +171,7 @@
 	return data, nil
 }
 
-// deadline returns when the caller's answer is due.
+// deadline returns the time by which the caller needs the response.
 func (s *Server) deadline(r *http.Request, service *fleet.Service, now time.Time) (time.Time, error) {
 	if text := r.Header.Get(openai.HeaderTimeoutMS); text != "" {
 		ms, err := strconv.Atoi(text)
@@ -184,50 +186,52 @@
 	return now.Add(s.limits.RequestTimeout), nil
 }
 
-// admit takes a request on; release ends it. away says that another data
-// centre is to be asked. A request that a node of another data centre sends counted there.
-func (s *Server) admit(ctx context.Context, c *session, service *fleet.Service, loaded string, deadline time.Time) (release func(), away bool, err error) {
+// admit admits a request; release is called when it ends. preferRemote says that
+// another data centre is to run it. A request forwarded from another data centre
+// has taken its token there.
+func (s *Server) admit(ctx context.Context, c *session, service *fleet.Service, loaded string, deadline time.Time) (release func(), preferRemote bool, err error) {
 	if !c.forwarded {
 		if err := s.Allowances.Take(ctx, c.workspace); err != nil {
 			return nil, false, err
 		}
 	}
-	release, away, err = s.pass(c, service, loaded, deadline)
+	release, preferRemote, err = s.admitLocally(c, service, loaded, deadline)
 	if err != nil && !c.forwarded {
 		s.Allowances.Return(c.workspace)
 	}
-	return release, away, err
+	return release, preferRemote, err
 }
 
-// pass has the gate take a request on.
-func (s *Server) pass(c *session, service *fleet.Service, loaded string, deadline time.Time) (release func(), away bool, err error) {
+// admitLocally checks a request against this node's admission controller.
+func (s *Server) admitLocally(c *session, service *fleet.Service, loaded string, deadline time.Time) (release func(), preferRemote bool, err error) {
 	now := time.Now()
 	usable, capacity, inFlight, waiting := s.Targets.Supply(service.Name, loaded)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	demand := admit.Request{Workspace: c.workspace, Service: service, Remaining: deadline.Sub(now)}
-	supply := admit.ServiceState{Usable: usable, Capacity: capacity, InFlight: inFlight, Waiting: waiting, ServiceSec: s.meanSec,
+	request := admit.Request{Workspace: c.workspace, Service: service, Remaining: deadline.Sub(now)}
+	state := admit.ServiceState{Usable: usable, Capacity: capacity, InFlight: inFlight, Waiting: waiting, ServiceSec: s.meanSec,
 		Remote: service.Kind == fleet.KindModel && !c.forwarded && s.Runner.RemoteReachable(), Evacuated: s.Targets.AllEvacuated(service.Name)}
-	if err := s.gate.Admit(demand, supply); err != nil {
+	if err := s.admission.Admit(request, state); err != nil {
 		return nil, false, err
 	}
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.gate.Done(demand)
-		s.observe(time.Since(now))
-	}, supply.UseRemote(), nil
+		s.admission.Done(request)
+		s.recordDuration(time.Since(now))
+	}, state.UseRemote(), nil
 }
 
-// meanWeight is the weight of one request in the moving mean of their times.
+// meanWeight is the weight of one request in meanSec.
 const meanWeight = 0.02
 
-func (s *Server) observe(d time.Duration) {
+// recordDuration updates meanSec. The caller holds s.mu.
+func (s *Server) recordDuration(d time.Duration) {
 	s.meanSec += meanWeight * (d.Seconds() - s.meanSec)
 }
 
-// refuse sends the answer of an error's kind.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, err error) {
+// writeError sends the response for an error and records the refusal.
+func (s *Server) writeError(w http.ResponseWriter, r *http.Request, err error) {
 	answer := errkind.Of(err)
 	requestID := w.Header().Get(openai.HeaderRequestID)
 	s.Recorder.Record(timeline.RequestRefused, requestID, r.URL.Path, answer.Name+": "+errkind.Message(err))
@@ -246,19 +250,19 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// noRoute answers what no route matches: a known path with another method, or
-// an unknown path.
+// noRoute handles requests that no route matches: a known path with another method,
+// or an unknown path.
 func (s *Server) noRoute(w http.ResponseWriter, r *http.Request) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		probe := r.Clone(r.Context())
 		probe.Method = method
 		if _, pattern := s.mux.Handler(probe); pattern != "/" && pattern != "" {
 			w.Header().Set("Allow", method)
-			s.refuse(w, r, errkind.MethodNotAllowed.New("%s is not allowed here; %s is", r.Method, method))
+			s.writeError(w, r, errkind.MethodNotAllowed.New("%s is not allowed here; %s is", r.Method, method))
 			return
 		}
 	}
-	s.refuse(w, r, errkind.NotFound.New("no such path: %s", r.URL.Path))
+	s.writeError(w, r, errkind.NotFound.New("no such path: %s", r.URL.Path))
 }
 
 func (s *Server) healthz(w http.ResponseWriter, _ *http.Request) {
@@ -277,14 +281,14 @@
 	io.WriteString(w, "ready\n")
 }
 
-// AnnounceLeaving makes the health answer fail, so that the balancer sends
-// no more; calls that still come are served.
+// AnnounceLeaving makes health checks fail, so that the load balancer sends no more
+// requests. Requests that still arrive are served.
 func (s *Server) AnnounceLeaving() { s.leaving.Store(true) }
 
-// Close refuses new requests from now on.
+// Close refuses new requests other than GET from now on.
 func (s *Server) Close() { s.closed.Store(true) }
 
-// Drain waits for calls and executions in progress.
+// Drain waits until calls and executions in progress have ended.
 func (s *Server) Drain(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
