--- a/internal/request/batch/closer.go
+++ b/internal/request/batch/closer.go
@@ -24,7 +24,7 @@
 	fallbackCloseAfter = 15 * time.Second
 )
 
-// watchJobs keeps w.jobs up to date by watching the job objects in the platform.
+// watchJobs updates w.jobs by watching the job objects in the platform.
 func (w *Worker) watchJobs(ctx context.Context) {
 	var since int64
 	for ctx.Err() == nil {
--- a/internal/request/batch/store.go
+++ b/internal/request/batch/store.go
@@ -181,7 +181,7 @@
 	return s.createJob(ctx, job)
 }
 
-// digest returns the hash by which a resend is told from another submission.
+// digest returns the hash that distinguishes a resend from another submission.
 func (sub Submission) digest() []byte {
 	sum := sha256.Sum256(record.Encode(sub))
 	return sum[:]
