--- a/internal/request/batch/lease.go
+++ b/internal/request/batch/lease.go
@@ -99,7 +99,7 @@
 	v.update(state, version)
 	l := &lease{view: v, job: job, chunk: n, epoch: state.Epoch, state: state, version: version, renewed: sent, lastDispatch: time.Now(), commitRequest: make(chan struct{}, 1)}
 	// The job is read after the lease is written, so that either this read sees a
-	// cancellation, or the node that completes the cancellation sees this lease.
+	// cancellation, or the node that completes it sees this lease and waits for it.
 	if err := w.checkJob(ctx, l); err != nil {
 		if errors.Is(err, errStopped) {
 			w.writeStopped(ctx, l)
--- a/internal/request/batch/suspect.go
+++ b/internal/request/batch/suspect.go
@@ -48,8 +48,8 @@
 
 // recordLoss records an attempt whose target was lost, and reports whether the loss
 // counts against the item. It does not count for an item that ran concurrently
-// with a suspect, but the item becomes a suspect: it may be the cause, and would
-// otherwise never count while losses are attributed to one suspect after another.
+// with a suspect, but the item becomes a suspect: it may be the cause, and its
+// losses would otherwise all be attributed to one suspect after another.
 func (s *suspectTracker) recordLoss(it *item, now time.Time) bool {
 	if it.startedAsSuspect {
 		s.lost[it.target] = now
--- a/internal/request/batch/suspect_test.go
+++ b/internal/request/batch/suspect_test.go
@@ -90,7 +90,7 @@
 
 // TestExcusedItemIsASuspect: an item whose loss did not count, because it ran
 // concurrently with a suspect, may be the cause and becomes a suspect itself.
-// Otherwise its losses would never count.
+// Otherwise its next loss beside a suspect would not count either.
 func TestExcusedItemIsASuspect(t *testing.T) {
 	is := is.New(t)
 	s := newSuspectTracker()
