--- a/internal/request/choose/apart_test.go
+++ b/internal/request/choose/apart_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// TestSuspectsDontMeet: requests that were in flight at a crash run at targets where no
-// other such request does, at whatever node; where there is none they are not placed.
-// Others take every target as before.
+// TestSuspectsDontMeet: requests that were in flight at a crash only get targets where
+// no other such request of any node runs; without such a target they are not placed.
+// All other requests may still get every target.
 func TestSuspectsDontMeet(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
@@ -30,7 +30,7 @@
 		table.Begin(target.ID)
 		table.BeginApart(target.ID)
 	}
-	is.Equal(table.OwnInFlight()["t0"], InFlight{Online: 1, Apart: 1}) // told to others
+	is.Equal(table.OwnInFlight()["t0"], InFlight{Online: 1, Apart: 1}) // reported to other nodes
 	_, ok := table.Choose(now, suspect)
 	is.True(!ok)
 	target, ok := table.Choose(now, Need{Service: "s"})
--- a/internal/request/choose/better.go
+++ b/internal/request/choose/better.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// RecordEvent notes an event of a target.
+// RecordEvent records that an event of a target's answer arrived now.
 func (t *Table) RecordEvent(now time.Time, id string) {
 	if e := t.entries[id]; e != nil {
-		e.heardAt = now
+		e.lastEventAt = now
 	}
 }
 
-// BetterElsewhere reports whether an online request that waits for an event of a target
-// would come sooner to it at another. A target that was heard within the time
-// given lives: what waits there has its turn coming, and only a free slot
-// elsewhere is better. One that was not heard may be dead, and any that takes the
-// request is better.
-func (t *Table) BetterElsewhere(now time.Time, id string, need Need, heard time.Duration) bool {
+// BetterElsewhere reports whether an online request that waits for an event of a
+// target would probably get it sooner at another one. A target that sent an event
+// within aliveWithin is alive and serves its queue, so only a free slot elsewhere
+// is better. Otherwise it may be dead, and any target that accepts the request is
+// better.
+func (t *Table) BetterElsewhere(now time.Time, id string, need Need, aliveWithin time.Duration) bool {
 	need.Exclude = maps.Clone(need.Exclude)
 	if need.Exclude == nil {
 		need.Exclude = map[string]bool{}
@@ -25,8 +25,8 @@
 	need.Exclude[id] = true
 	others := t.usable(now, need)
 	e := t.entries[id]
-	if e == nil || now.Sub(e.heardAt) > heard {
+	if e == nil || now.Sub(e.lastEventAt) > aliveWithin {
 		return len(others) > 0
 	}
-	return len(keep(others, func(other *entry) bool { return other.freeOnline(now) > 0 })) > 0
+	return len(filter(others, func(other *entry) bool { return other.freeOnline(now) > 0 })) > 0
 }
--- a/internal/request/choose/choose.go
+++ b/internal/request/choose/choose.go
@@ -1,9 +1,9 @@
-// Package choose holds a node's table of targets and decides which of them
-// gets a request. It is pure: time and the seed of its draws come from outside.
+// Package choose holds a node's table of targets and selects the target of each
+// request. It is pure: the caller passes the time and the seed of random choices.
 //
-// Load reports lag, so the table counts what this node has sent since the
-// report. A target that keeps failing is taken out for a growing time and let
-// back in by one request at a time.
+// Load reports lag, so the table adds what this node has sent since the report.
+// A target that keeps failing is ejected for a growing time and readmitted by one
+// probe request at a time (outlier detection).
 package choose
 
 import (
@@ -16,141 +16,145 @@
 	"github.com/marblepond/marblepond/internal/request/warmup"
 )
 
-// Load is the newest report of a target.
+// Load is a load report of a target.
 type Load struct {
 	Running    int
 	Waiting    int
 	MaxRunning int
-	Batch      int // batch sequences of its owner among Running and Waiting
+	Batch      int // batch sequences of the target's owner node, included in Running and Waiting
 	Healthy    bool
-	Loaded     []string
+	Loaded     []string  // what the target has loaded, such as a model with its version
 	Started    uint64    // start of the target's process in Unix milliseconds; 0: not known
 	At         time.Time // when this node received the report
 }
 
-// Target is one back end.
+// Target is a server that runs requests of a service.
 type Target struct {
 	ID          string
 	Incarnation uint64
 	Service     string
 	Addr        string
 	DataCentre  string
-	Remote      bool // a node of another data centre that stands for its targets
-	Slots       int  // requests served at once, where discovery tells it; 0: load reports do
-	// Apart says, of the target of an attempt, that it was chosen with Need.Apart.
+	Remote      bool // a node of another data centre that represents the targets there
+	Slots       int  // requests served at once, from discovery; 0: taken from load reports
+	// Apart is set on the target of an attempt that was chosen with Need.Apart.
 	Apart bool
-	// Sent is, of the target of an attempt, when that was sent; zero: not known.
+	// Sent is set on the target of an attempt: when the attempt was sent; zero: not known.
 	Sent time.Time
 }
 
-// Outcome says how an attempt ended for the target.
+// Outcome is the result of an attempt as it counts for the target.
 type Outcome int
 
 // The outcomes.
 const (
 	Success Outcome = iota
 	Failure         // the target's fault
-	Neutral         // given up or cancelled; says nothing of the target
+	Neutral         // abandoned or cancelled; no evidence about the target
 )
 
 type entry struct {
 	Target
-	load         Load
-	known        bool          // a load report has arrived
-	online       int           // own online requests in flight
-	apart        int           // those of them that were placed apart
-	saturated    time.Time     // until then its own refusal of a request stands for a full table entry
-	full         time.Time     // the same, of its refusal of an item
-	firstEvent   time.Duration // moving average of the time to the first event
-	firstAt      time.Time     // newest measurement of firstEvent
-	batch        int           // own batch items in flight, where this table places them
-	yielding     int           // those of them that were told to make room
-	heardAt      time.Time     // when an event of it last came
-	overSince    time.Time     // since when requests here wait for a slot; zero: none does
-	elsewhere    InFlight      // what other nodes last said they have there
-	atReport     int           // own online in flight when load.At
-	leaving      bool
-	failures     int // in a row
-	ejectedUntil time.Time
-	ejections    int
-	trial        bool      // one request is out to see whether it is back
-	warmAt       time.Time // until then it is cold
-	coldSince    time.Time // when this table learned that
-	lastTurn     int       // newest turn used at it while it is cold
+	load              Load
+	hasLoad           bool          // a load report has arrived
+	online            int           // own online requests in flight
+	apart             int           // those of them that were chosen with Need.Apart
+	saturatedUntil    time.Time     // until then it counts as full, because it refused an online request
+	itemsRefusedUntil time.Time     // until then it counts as full for batch items, because it refused one
+	firstEvent        time.Duration // moving average of the time to the first event
+	firstEventAt      time.Time     // time of the newest measurement of firstEvent
+	batch             int           // own batch items in flight
+	yielding          int           // those of them that were told to yield their slot
+	lastEventAt       time.Time     // when the newest event of an answer arrived
+	waitingSince      time.Time     // since when requests wait for a slot there; zero: none waits
+	elsewhere         InFlight      // in flight from other nodes, by their newest reports
+	onlineAtReport    int           // own online requests in flight at load.At
+	leaving           bool
+	failures          int // in a row
+	ejectedUntil      time.Time
+	ejections         int       // in a row, without a success between
+	probing           bool      // a probe request is in flight that decides on its readmission
+	warmAt            time.Time // until then it is cold: in slow start
+	coldSince         time.Time // when this table learned that it is cold
+	lastTurn          int       // newest turn used while it is cold, see package warmup
 }
 
-// Policy names how a target is chosen; baselines are kept for measurements.
+// Policy names how a target is chosen. Some policies are only baselines for
+// measurements.
 type Policy string
 
 // The policies.
 const (
 	Affinity   Policy = "affinity"       // prefix affinity with bounded load
 	LeastLoad  Policy = "least_load"     // least corrected load
-	LeastOfFew Policy = "least_of_few"   // least corrected load of a few drawn at random
-	LeastOwn   Policy = "least_inflight" // least in-flight of this node only
+	LeastOfFew Policy = "least_of_few"   // least corrected load of a few random targets (power of d choices)
+	LeastOwn   Policy = "least_inflight" // fewest online requests in flight from this node
 	RoundRobin Policy = "round_robin"
 )
 
-// Config of a table.
+// Config configures a table.
 type Config struct {
-	EjectAfter int
-	EjectTime  time.Duration
+	EjectAfter int           // failures in a row that eject a target
+	EjectTime  time.Duration // time of the first ejection; it doubles with each further one
 	Policy     Policy
-	// MinReserve is how many slots of a target items leave free however few online
-	// requests arrive: the baseline that reserves by arrivals are measured against.
+	// MinReserve is how many slots of a target batch items leave free even when no
+	// online requests arrive. Measurements use it as the baseline to compare
+	// Table.Reserve with.
 	MinReserve int
-	// Seed of the draws of LeastOfFew; it differs from node to node.
+	// Seed is the random seed of LeastOfFew; it differs from node to node.
 	Seed uint64
-	// Node is the name of the node whose table it is, as other nodes tell theirs.
+	// Node is the name of the node that owns the table, as used in the reports
+	// between nodes.
 	Node string
 	// Group is the group of nodes of its data centre that the node belongs to;
 	// Table.JoinGroup changes it.
 	Group string
-	// WarmUp returns how targets of a service warm up; nil: they need not.
+	// WarmUp returns how targets of a service warm up; nil: no target has to.
 	WarmUp func(service string) warmup.Rate
-	// LocalDataCentre is the data centre whose targets are preferred while they have room;
-	// empty: none is.
+	// LocalDataCentre is the data centre whose targets are preferred while they have
+	// free slots; empty: no preference.
 	LocalDataCentre string
 }
 
-// loadBound is how far above the mean a target's load may be for a request to
-// follow its prefix there (consistent hashing with bounded loads, Mirrokni et
+// loadBound is the largest load of a target, relative to the mean, at which prefix
+// affinity still selects it (consistent hashing with bounded loads, Mirrokni et
 // al., 2016).
 const loadBound = 1.25
 
 // Table holds the targets. It is not safe for concurrent use.
 type Table struct {
-	cfg      Config
-	entries  map[string]*entry
-	order    []string                 // sorted IDs
-	left     map[string]uint64        // newest leaving incarnation by VM, kept after the VM is gone
-	turn     int                      // for RoundRobin
-	draw     *rand.Rand               // for LeastOfFew
-	occupied map[string]time.Duration // per service: how long online requests hold a slot
-	rank     map[string][]string      // per service: IDs
-	// What others last said that they have in flight, by target: the other nodes of
-	// this node's group, the other groups of its data centre, other data centres.
+	cfg                 Config
+	entries             map[string]*entry
+	order               []string                 // sorted IDs
+	leavingIncarnations map[string]uint64        // newest leaving incarnation by target, kept when the target is no longer listed
+	rotation            int                      // counts choices, for RoundRobin and among equal targets
+	random              *rand.Rand               // for LeastOfFew
+	slotTime            map[string]time.Duration // by service: average time that an online request holds a slot
+	byService           map[string][]string      // sorted IDs
+	// In-flight counts that others last reported, by reporter and target. The reporters
+	// are the other nodes of this node's group, the other groups of its data centre, and
+	// other data centres.
 	nodes   map[string]map[string]InFlight
 	groups  map[string]map[string]InFlight
 	centres map[string]map[string]InFlight
 	members map[string]int // nodes of each other group
 
 	evacuated map[string]bool // data centres
-	turns     warmup.Position // which of the nodes this one is
+	position  warmup.Position // of this node in the rotation at cold targets
 }
 
-// New returns an empty table.
+// New creates an empty table.
 func New(cfg Config) *Table {
-	return &Table{cfg: cfg, draw: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)), entries: map[string]*entry{}, left: map[string]uint64{}, rank: map[string][]string{}, occupied: map[string]time.Duration{},
+	return &Table{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)), entries: map[string]*entry{}, leavingIncarnations: map[string]uint64{}, byService: map[string][]string{}, slotTime: map[string]time.Duration{},
 		nodes: map[string]map[string]InFlight{}, groups: map[string]map[string]InFlight{}, centres: map[string]map[string]InFlight{}, members: map[string]int{}}
 }
 
-// SetTargets replaces the list of targets. Counters of targets that stay are kept; a
-// target marked as leaving stays so for that incarnation.
+// SetTargets replaces the list of targets. Targets that stay keep their counters; a
+// target marked as leaving stays marked for that incarnation.
 func (t *Table) SetTargets(targets []Target) {
-	keep := map[string]bool{}
+	listed := map[string]bool{}
 	for _, target := range targets {
-		keep[target.ID] = true
+		listed[target.ID] = true
 		old := t.entries[target.ID]
 		if old != nil && target.Incarnation < old.Incarnation {
 			continue // a stale list
@@ -160,103 +164,106 @@
 			t.entries[target.ID] = old
 		}
 		old.Target = target
-		old.leaving = old.leaving || t.left[target.ID] >= target.Incarnation
+		old.leaving = old.leaving || t.leavingIncarnations[target.ID] >= target.Incarnation
 	}
 	for id, e := range t.entries {
-		if !keep[id] && e.online+e.batch == 0 {
+		if !listed[id] && e.online+e.batch == 0 {
 			delete(t.entries, id)
-		} else if !keep[id] {
+		} else if !listed[id] {
 			e.leaving = true
 		}
 	}
 	t.reindex()
-	t.sumOthers()
+	t.recomputeElsewhere()
 }
 
 func (t *Table) reindex() {
 	t.order = t.order[:0]
-	clear(t.rank)
+	clear(t.byService)
 	for id := range t.entries {
 		t.order = append(t.order, id)
 	}
 	sort.Strings(t.order)
 	for _, id := range t.order {
 		service := t.entries[id].Service
-		t.rank[service] = append(t.rank[service], id)
+		t.byService[service] = append(t.byService[service], id)
 	}
 }
 
-// MarkLeaving marks one incarnation of a target as leaving, for good. It reports
-// whether that was news.
+// MarkLeaving marks one incarnation of a target as leaving; the mark is never
+// removed. It reports whether the mark is new.
 func (t *Table) MarkLeaving(id string, incarnation uint64) bool {
-	if t.left[id] >= incarnation {
+	if t.leavingIncarnations[id] >= incarnation {
 		return false
 	}
-	t.left[id] = incarnation
+	t.leavingIncarnations[id] = incarnation
 	if e := t.entries[id]; e != nil && e.Incarnation <= incarnation {
 		e.leaving = true
 	}
 	return true
 }
 
-// LeavingIncarnations returns the leaving incarnations known, to be passed on.
-func (t *Table) LeavingIncarnations() map[string]uint64 { return t.left }
+// LeavingIncarnations returns the newest incarnation known to leave, by target, for
+// reports to other nodes.
+func (t *Table) LeavingIncarnations() map[string]uint64 { return t.leavingIncarnations }
 
-// IsCurrent reports whether a target is the incarnation that the table holds. What
-// is said of another one, which has ended, says nothing of this one.
+// IsCurrent reports whether a target is the incarnation that the table lists. A
+// report about another incarnation, which has ended, does not apply to this one.
 func (t *Table) IsCurrent(target Target) bool {
 	e := t.entries[target.ID]
 	return e != nil && e.Incarnation == target.Incarnation
 }
 
-// Leaving reports whether a target is known to leave, or is not listed.
+// Leaving reports whether a target was marked as leaving or is no longer listed.
 func (t *Table) Leaving(target Target) bool {
 	e := t.entries[target.ID]
-	return t.left[target.ID] >= target.Incarnation || (e != nil && e.Incarnation == target.Incarnation && e.leaving)
+	return t.leavingIncarnations[target.ID] >= target.Incarnation || (e != nil && e.Incarnation == target.Incarnation && e.leaving)
 }
 
 // TargetCount returns how many targets of a service are listed.
-func (t *Table) TargetCount(service string) int { return len(t.rank[service]) }
+func (t *Table) TargetCount(service string) int { return len(t.byService[service]) }
 
-// RecordLoad takes a load report of the given incarnation.
+// RecordLoad records a load report of the given incarnation. Reports of other
+// incarnations and older reports are ignored.
 func (t *Table) RecordLoad(id string, incarnation uint64, load Load) {
 	e := t.entries[id]
-	if e == nil || e.Incarnation != incarnation || (e.known && load.At.Before(e.load.At)) {
+	if e == nil || e.Incarnation != incarnation || (e.hasLoad && load.At.Before(e.load.At)) {
 		return
 	}
-	e.load, e.known, e.atReport = load, true, e.online
+	e.load, e.hasLoad, e.onlineAtReport = load, true, e.online
 }
 
-// Need is what a request asks of a target.
+// Need is what a request requires of its target.
 type Need struct {
 	Service string
 	Loaded  string          // name that must be loaded; empty: none
 	Prefix  string          // affinity key; empty: none
 	Exclude map[string]bool // targets already tried
-	// Batch asks for room that online requests leave: the target must have more
-	// slots free than Table.Reserve returns.
+	// Batch marks a batch item: the target must have more free slots than
+	// Table.Reserve keeps for online requests.
 	Batch bool
 	// Limit returns how many batch items this table may have at a target at
 	// once; nil: no limit.
 	Limit func(Target) int
-	// Apart asks for a target at which no other online request runs that asked for it;
-	// where there is none, no target can take the request. Items don't ask for it: they
-	// run for long, and online requests would have to wait for them.
+	// Apart marks a request that was in flight at a crash of a target. It is placed
+	// where no other online request with this mark runs (anti-affinity), and nowhere
+	// if there is no such target. Batch items do not set it: they run for long, and
+	// online requests would have to wait for them.
 	Apart bool
-	// ScatterKey draws the target by the work asked for and not by load, among those with
-	// room; 0: it does not. Nodes that know the same loads choose alike at the same
-	// moment.
+	// ScatterKey, if not 0, selects the target by a hash of the requested work
+	// instead of by load, among those with free slots. Otherwise nodes that know the
+	// same loads select the same target at the same moment.
 	ScatterKey uint64
-	// Overflow is how many requests beyond its slots a target may be given
-	// when all are full; 0: no limit.
+	// Overflow is how many requests may be queued at a target beyond its slots
+	// when all targets are full; 0: no limit.
 	Overflow int
 }
 
-// Choose returns the target for a request; ok is false when none can take it.
+// Choose returns the target for a request; ok is false when no target can take it.
 func (t *Table) Choose(now time.Time, need Need) (Target, bool) {
 	usable := t.usable(now, need)
 	if need.Apart {
-		usable = keep(usable, func(e *entry) bool { return e.apart+e.elsewhere.Apart == 0 })
+		usable = filter(usable, func(e *entry) bool { return e.apart+e.elsewhere.Apart == 0 })
 	}
 	if len(usable) == 0 {
 		return Target{}, false
@@ -264,7 +271,7 @@
 	best := t.pick(now, usable, need)
 	t.useTurn(now, best)
 	if !best.ejectedUntil.IsZero() {
-		best.trial = true
+		best.probing = true
 	}
 	chosen := best.Target
 	chosen.Apart = need.Apart
@@ -277,7 +284,7 @@
 	if need.Batch {
 		reserve = t.Reserve()
 	}
-	for _, id := range t.rank[need.Service] {
+	for _, id := range t.byService[need.Service] {
 		e := t.entries[id]
 		if need.Exclude[id] || t.reason(now, e, need) != "" {
 			continue
@@ -296,41 +303,41 @@
 		}
 	}
 	switch {
-	case len(cold) > 0 && !hasRoom(now, out) && !hasRoom(now, full):
+	case len(cold) > 0 && !anyFree(now, out) && !anyFree(now, full):
 		out = cold
 	case need.Batch:
 	case t.cfg.Policy == LeastOfFew:
-		out = append(out, full...) // a full target may be the best of a few
+		out = append(out, full...) // a full target may be the best of the sample
 	case len(out) == 0:
 		return leastOnline(full)
 	}
 	return t.preferred(now, need, out)
 }
 
-// hasRoom reports whether any of some targets has a slot that is free, or becomes so
-// when an item makes room.
-func hasRoom(now time.Time, entries []*entry) bool {
+// anyFree reports whether any of the targets has a slot that is free or that a batch
+// item can yield.
+func anyFree(now time.Time, entries []*entry) bool {
 	return slices.ContainsFunc(entries, func(e *entry) bool { return e.freeOnline(now) > 0 })
 }
 
 func (t *Table) pick(now time.Time, usable []*entry, need Need) *entry {
 	switch t.cfg.Policy {
 	case RoundRobin:
-		t.turn++
-		return usable[t.turn%len(usable)]
+		t.rotation++
+		return usable[t.rotation%len(usable)]
 	case LeastOwn:
 		return least(usable, func(e *entry) int { return e.online })
 	case LeastOfFew:
 		if !need.Batch {
-			return t.leastOfFew(now, scattered(now, usable, need.ScatterKey))
+			return t.leastOfFew(now, byScatterKey(now, usable, need.ScatterKey))
 		}
 	case Affinity:
 		if need.Prefix != "" {
-			return affine(usable, need.Prefix)
+			return byAffinity(usable, need.Prefix)
 		}
 	}
-	t.turn++ // equal targets take turns, so that nodes do not all pick the first
-	return least(rotate(usable, t.turn), (*entry).inFlight)
+	t.rotation++ // spreads requests over equally loaded targets; otherwise all nodes pick the first
+	return least(rotate(usable, t.rotation), (*entry).inFlight)
 }
 
 func rotate(entries []*entry, n int) []*entry {
@@ -348,21 +355,21 @@
 	return best
 }
 
-func affine(usable []*entry, prefix string) *entry {
+func byAffinity(usable []*entry, prefix string) *entry {
 	total := 0
 	for _, e := range usable {
-		total += e.estimate()
+		total += e.estimatedOnline()
 	}
 	bound := int(loadBound*float64(total)/float64(len(usable))) + 1
 	var best *entry
 	var top uint64
 	for _, e := range usable {
-		if w := rendezvous.Weight(prefix, e.ID); e.estimate() <= bound && (best == nil || w > top) {
+		if w := rendezvous.Weight(prefix, e.ID); e.estimatedOnline() <= bound && (best == nil || w > top) {
 			best, top = e, w
 		}
 	}
 	if best == nil {
-		return least(usable, (*entry).estimate)
+		return least(usable, (*entry).estimatedOnline)
 	}
 	return best
 }
--- a/internal/request/choose/choose_test.go
+++ b/internal/request/choose/choose_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-func table(n int, policy Policy) *Table {
+func newTable(n int, policy Policy) *Table {
 	t := New(Config{EjectAfter: 3, EjectTime: time.Second, Policy: policy})
 	var list []Target
 	for i := range n {
@@ -25,11 +25,11 @@
 	return t
 }
 
-// TestLeavingIsForGood: once marked, an incarnation gets nothing, whatever
-// stale lists say; a new incarnation does.
+// TestLeavingIsForGood: an incarnation marked as leaving gets no requests even if
+// stale lists still contain it; a new incarnation does.
 func TestLeavingIsForGood(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tab := table(2, Affinity)
+		tab := newTable(2, Affinity)
 		left := map[string]uint64{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			id := rapid.SampledFrom([]string{"t0", "t1"}).Draw(t, "target")
@@ -48,9 +48,9 @@
 	})
 }
 
-func TestFailingTargetIsTakenOutAndTriedAgain(t *testing.T) {
+func TestFailingTargetIsEjectedAndReadmitted(t *testing.T) {
 	is := is.New(t)
-	tab := table(1, LeastLoad)
+	tab := newTable(1, LeastLoad)
 	need := Need{Service: "s", Loaded: "m@1"}
 	for i := range 3 {
 		_, ok := tab.Choose(start, need)
@@ -60,12 +60,12 @@
 		is.Equal(ejected, i == 2)
 	}
 	_, ok := tab.Choose(start, need)
-	is.True(!ok) // out
+	is.True(!ok) // ejected
 	later := start.Add(time.Second)
 	_, ok = tab.Choose(later, need)
-	is.True(ok) // one trial
+	is.True(ok) // one probe request
 	_, ok = tab.Choose(later, need)
-	is.True(!ok) // and no second one beside it
+	is.True(!ok) // no second one at the same time
 	tab.Begin("t0")
 	_, readmitted := tab.End(later, "t0", Success)
 	is.True(readmitted)
@@ -73,23 +73,23 @@
 	is.True(ok)
 }
 
-// TestOneTroubleCountsOnce: many requests lost together take a target out for
-// the first time, not for the longest.
-func TestOneTroubleCountsOnce(t *testing.T) {
+// TestOneIncidentEjectsOnce: many requests that fail together eject a target for the
+// first ejection time, not for the longest.
+func TestOneIncidentEjectsOnce(t *testing.T) {
 	is := is.New(t)
-	tab := table(1, LeastLoad)
+	tab := newTable(1, LeastLoad)
 	for range 30 {
 		tab.Begin("t0")
 		tab.End(start, "t0", Failure)
 	}
 	_, ok := tab.Choose(start.Add(time.Second), Need{Service: "s", Loaded: "m@1"})
-	is.True(ok) // a trial after the first eject time
+	is.True(ok) // a probe request after the first ejection time
 }
 
-// TestLoadIsCorrectedForLag: what was sent since the report counts at once.
+// TestLoadIsCorrectedForLag: requests sent since the last load report count at once.
 func TestLoadIsCorrectedForLag(t *testing.T) {
 	is := is.New(t)
-	tab := table(4, LeastLoad)
+	tab := newTable(4, LeastLoad)
 	chosen := map[string]int{}
 	for range 16 {
 		target, _ := tab.Choose(start, Need{Service: "s", Loaded: "m@1"})
@@ -97,16 +97,16 @@
 		chosen[target.ID]++
 	}
 	for id, n := range chosen {
-		is.Equal(n, 4) // spread evenly though no report came meanwhile
+		is.Equal(n, 4) // spread evenly without a new load report
 		_ = id
 	}
 }
 
-// TestAffinityIsBounded: requests of one prefix share a target until it has
-// more than its bounded share.
+// TestAffinityIsBounded: requests with one prefix go to one target until its load
+// exceeds loadBound times the mean.
 func TestAffinityIsBounded(t *testing.T) {
 	is := is.New(t)
-	tab := table(4, Affinity)
+	tab := newTable(4, Affinity)
 	counts := map[string]int{}
 	for range 24 {
 		target, _ := tab.Choose(start, Need{Service: "s", Loaded: "m@1", Prefix: "p"})
@@ -120,25 +120,25 @@
 
 func TestWhatIsNotLoadedIsNotChosen(t *testing.T) {
 	is := is.New(t)
-	_, ok := table(2, Affinity).Choose(start, Need{Service: "s", Loaded: "m@2"})
+	_, ok := newTable(2, Affinity).Choose(start, Need{Service: "s", Loaded: "m@2"})
 	is.True(!ok)
 }
 
-func slotTable(now time.Time) *Table {
+func twoCentreTable(now time.Time) *Table {
 	t := New(Config{EjectAfter: 2, EjectTime: time.Second, Policy: LeastLoad, LocalDataCentre: "here"})
 	t.SetTargets([]Target{{ID: "a", Incarnation: 1, Service: "s", DataCentre: "here", Slots: 4}, {ID: "b", Incarnation: 1, Service: "s", DataCentre: "there", Slots: 4}})
 	return t
 }
 
-// TestHomeFirstThenElsewhere: requests go to the own data centre while it has
-// room, leave its last slot while another has plenty, take whatever is free, then
-// go over the slots up to the overflow, then nowhere.
-func TestHomeFirstThenElsewhere(t *testing.T) {
+// TestLocalDataCentreFirst: requests go to the own data centre while it has at least
+// localMinFree free slots, then to another one with at least remoteMinFree, then to any
+// free slot, then beyond the slots up to the overflow, and then nowhere.
+func TestLocalDataCentreFirst(t *testing.T) {
 	for _, policy := range []Policy{LeastLoad, LeastOfFew} {
 		t.Run(string(policy), func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(0, 0)
-			table := slotTable(now)
+			table := twoCentreTable(now)
 			table.cfg.Policy = policy
 			var got string
 			for range 12 {
@@ -150,19 +150,19 @@
 				got += target.ID
 			}
 			is.Equal(got[:8], "aaabbabb")
-			is.Equal(len(got), 12) // two more each
+			is.Equal(len(got), 12) // two beyond the slots at each target
 			_, ok := table.Choose(now, Need{Service: "s", Overflow: 2})
 			is.True(!ok)
 		})
 	}
 }
 
-// TestOtherDataCentresCount: what other data centres have in flight counts like
-// what other nodes have, and is told apart from it in what this one tells.
+// TestOtherDataCentresCount: requests in flight from other data centres use slots like
+// those from other nodes, but are not part of this data centre's own counts.
 func TestOtherDataCentresCount(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	table := slotTable(now)
+	table := twoCentreTable(now)
 	table.Begin("a")
 	table.SetNode("near", map[string]InFlight{"a": {Online: 1}, "b": {Batch: 1}})
 	table.SetDataCentre("there", map[string]InFlight{"b": {Online: 2}, "a": {Batch: 1}})
@@ -175,7 +175,7 @@
 }
 
 // TestSlowTargetIsAvoided: a target whose first events come late gets requests
-// only when others are full, and is tried again after a while.
+// only when the others are full, and no longer counts as slow after slowFor.
 func TestSlowTargetIsAvoided(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
@@ -197,27 +197,28 @@
 	is.True(!table.entries["c"].slow(later, 50*time.Millisecond))
 }
 
-// play is a simulation of nodes that send at random to targets and hear of each
-// other only now and then. A target serves as many requests as it has slots, and
-// the others in order of arrival.
-type play struct {
+// simulation simulates nodes that send requests to targets and receive each other's
+// reports at an interval. Requests arrive at random nodes. A target serves as many
+// requests at once as it has slots, in order of arrival.
+type simulation struct {
 	policy         Policy
 	nodes, targets int
-	news           int // ms between news of other nodes
-	perSec         int // requests
+	reportMs       int // interval of the nodes' reports to each other
+	perSec         int // requests per second, at all nodes
 }
 
 const (
-	playSlots                 = 8
-	playRounds                = 12000    // ms
-	playShortest, playLongest = 280, 840 // ms a request is served
+	simSlots                    = 8
+	simMs                       = 12000
+	simShortestMs, simLongestMs = 280, 840 // time in which a request is served
 )
 
-// playTarget is when each slot of a target becomes free.
-type playTarget [playSlots]int
+// simTarget holds, for each slot of a target, when it becomes free, in ms.
+type simTarget [simSlots]int
 
-// take returns how long a request waits that comes at a time, in ms.
-func (t *playTarget) take(at, service int) int {
+// take adds a request that arrives at the given time and returns how long it waits for
+// a slot, in ms.
+func (t *simTarget) take(at, service int) int {
 	first := 0
 	for i := range t {
 		if t[i] < t[first] {
@@ -229,15 +230,15 @@
 	return wait
 }
 
-// run returns how many requests there were, how many met a full target, and how
-// many waited there for longer than usual objectives allow.
-func (p play) run() (requests, met, late int) {
+// run returns the number of requests, how many of them met a full target, and how many
+// waited there for more than simLateMs.
+func (p simulation) run() (requests, metFull, late int) {
 	draw := rand.New(rand.NewPCG(1, 1))
 	list := make([]Target, p.targets)
-	states := map[string]*playTarget{}
+	states := map[string]*simTarget{}
 	for i := range list {
-		list[i] = Target{ID: fmt.Sprint("t", i), Incarnation: 1, Service: "s", DataCentre: "here", Slots: playSlots}
-		states[list[i].ID] = &playTarget{}
+		list[i] = Target{ID: fmt.Sprint("t", i), Incarnation: 1, Service: "s", DataCentre: "here", Slots: simSlots}
+		states[list[i].ID] = &simTarget{}
 	}
 	tables := make([]*Table, p.nodes)
 	for n := range tables {
@@ -246,39 +247,39 @@
 	}
 	now := time.Unix(0, 0)
 	ends := map[int][]func(){}
-	owed := 0
-	for ms := range playRounds {
+	due := 0
+	for ms := range simMs {
 		for _, end := range ends[ms] {
 			end()
 		}
-		for owed += p.perSec; owed >= 1000; owed -= 1000 {
+		for due += p.perSec; due >= 1000; due -= 1000 {
 			table := tables[draw.IntN(p.nodes)]
 			target, _ := table.Choose(now, Need{Service: "s"})
 			table.Begin(target.ID)
-			service := playShortest + draw.IntN(playLongest-playShortest)
+			service := simShortestMs + draw.IntN(simLongestMs-simShortestMs)
 			wait := states[target.ID].take(ms, service)
 			requests++
 			if wait > 0 {
-				met++
+				metFull++
 			}
-			if wait > playLate {
+			if wait > simLateMs {
 				late++
 			}
 			at := ms + wait + service
 			ends[at] = append(ends[at], func() { table.End(now, target.ID, Success) })
 		}
-		if ms%p.news == 0 {
-			tellAll(tables)
+		if ms%p.reportMs == 0 {
+			exchangeReports(tables)
 		}
 	}
-	return requests, met, late
+	return requests, metFull, late
 }
 
-// playLate is the wait in ms after which a first event misses an objective of
+// simLateMs is the wait after which a first event misses a latency objective of
 // 300 ms.
-const playLate = 250
+const simLateMs = 250
 
-func tellAll(tables []*Table) {
+func exchangeReports(tables []*Table) {
 	for a := range tables {
 		for b := range tables {
 			if a != b {
@@ -288,35 +289,35 @@
 	}
 }
 
-// TestFewChoicesSpreadOldNews: with news that is some 10 ms old, comparing a few
-// targets meets full ones less often than sending to the one that looks emptiest,
-// and keeps queues even when all are full; between few nodes, whose news is
-// fresh, more are compared.
-func TestFewChoicesSpreadOldNews(t *testing.T) {
+// TestFewChoicesSpreadLoadOnStaleReports: with reports that are some 10 ms old, requests
+// meet full targets less often if each node compares a few random targets than if it
+// takes the least loaded of all, and queues stay even when all targets are full. Few
+// nodes, whose reports are fresh, compare more targets each.
+func TestFewChoicesSpreadLoadOnStaleReports(t *testing.T) {
 	is := is.New(t)
-	large := play{LeastOfFew, 12, 24, 90, 0}
-	small := play{LeastOfFew, 3, 5, 20, 0}
+	large := simulation{LeastOfFew, 12, 24, 90, 0}
+	small := simulation{LeastOfFew, 3, 5, 20, 0}
 	for _, c := range []struct {
 		name   string
-		play   play
+		sim    simulation
 		perSec int
-		late   float64 // most of the requests, as a share
+		late   float64 // largest allowed share of late requests
 	}{
 		{"large, three quarters", large, 250, 0.003}, {"large, nine tenths", large, 310, 0.03}, {"large, full", large, 340, 0.15},
 		{"small, three quarters", small, 52, 0.003}, {"small, nine tenths", small, 64, 0.04}, {"small, full", small, 71, 0.3},
 	} {
-		c.play.perSec = c.perSec
-		requests, met, late := c.play.run()
-		c.play.policy = LeastLoad
-		_, metLeast, lateLeast := c.play.run()
-		t.Logf("%s: of %d requests %d met a full target and %d were late; with the least of all %d and %d", c.name, requests, met, late, metLeast, lateLeast)
+		c.sim.perSec = c.perSec
+		requests, metFull, late := c.sim.run()
+		c.sim.policy = LeastLoad
+		_, metLeast, lateLeast := c.sim.run()
+		t.Logf("%s: of %d requests %d met a full target and %d were late; with the least of all %d and %d", c.name, requests, metFull, late, metLeast, lateLeast)
 		if float64(late) > c.late*float64(requests) {
 			t.Errorf("%s: %d of %d requests are late", c.name, late, requests)
 		}
 	}
 	large.perSec = 250
-	_, met, _ := large.run()
+	_, metFull, _ := large.run()
 	large.policy = LeastLoad
 	_, metLeast, _ := large.run()
-	is.True(met < metLeast)
+	is.True(metFull < metLeast)
 }
--- a/internal/request/choose/deal.go
+++ b/internal/request/choose/deal.go
@@ -6,26 +6,26 @@
 	"github.com/marblepond/marblepond/internal/process/rendezvous"
 )
 
-// Allot returns the share of name, a data centre or a node, when room at a target
-// is dealt out by claims: to each in proportion to its claim, never more than
-// that, and what is left over in an order of the target's own. Everyone who
-// knows the same claims computes the same deal.
-func Allot(target string, room int, name string, claims map[string]int) int {
+// Allot returns how many of a target's free slots name, a data centre, group or
+// node, gets when the slots are divided by claims: in proportion to the claim and
+// never more than it, with the remainder in the target's rendezvous order. All nodes
+// that know the same claims compute the same allotment.
+func Allot(target string, slots int, name string, claims map[string]int) int {
 	total := 0
 	for _, claim := range claims {
 		total += claim
 	}
-	if room <= 0 || claims[name] == 0 {
+	if slots <= 0 || claims[name] == 0 {
 		return 0
 	}
-	if total <= room {
+	if total <= slots {
 		return claims[name]
 	}
-	share, dealt := 0, 0
+	share, allotted := 0, 0
 	var names []string
 	for other, claim := range claims {
-		part := room * claim / total
-		dealt += part
+		part := slots * claim / total
+		allotted += part
 		if other == name {
 			share = part
 		}
@@ -34,19 +34,19 @@
 		}
 	}
 	slices.Sort(names)
-	if slices.Contains(rendezvous.Rank(target, names, room-dealt), name) {
+	if slices.Contains(rendezvous.Rank(target, names, slots-allotted), name) {
 		share++
 	}
 	return share
 }
 
-// Claim is the batch work of a node or a data centre, in items that wait or run.
+// Claim is the batch work of a data centre, in items that wait or run.
 type Claim struct {
 	Demand   int
-	Overflow int // those that find no room in their data centre
+	Overflow int // items for which the data centre's own targets have no free slots
 }
 
-// Claims is what a node knows of the batch work on the targets.
+// Claims is what a node knows of the batch work of all nodes.
 type Claims struct {
 	Node       string
 	Group      string
@@ -56,11 +56,11 @@
 	Centres    map[string]Claim // by data centre
 }
 
-// Share returns how many items the node may have at a target that has room for
-// so many. Data centres come first: that of the target with all of its items,
-// others with those that find no room at home; then the groups of each, then the
-// nodes of each group.
-func (c Claims) Share(t Target, room int) int {
+// Share returns how many items this node may have at a target with the given number
+// of slots for batch items. The slots are allotted to data centres first: that of the
+// target claims them for all of its items, others for their overflow; then to the
+// groups of the data centre, then to the nodes of the group.
+func (c Claims) Share(t Target, slots int) int {
 	centres := make(map[string]int, len(c.Centres))
 	for name, claim := range c.Centres {
 		centres[name] = claim.Overflow
@@ -68,7 +68,7 @@
 			centres[name] = claim.Demand
 		}
 	}
-	here := Allot(t.ID, room, c.DataCentre, centres)
-	group := Allot(t.ID, here, c.Group, c.Groups)
+	dataCentre := Allot(t.ID, slots, c.DataCentre, centres)
+	group := Allot(t.ID, dataCentre, c.Group, c.Groups)
 	return Allot(t.ID, group, c.Node, c.Nodes)
 }
--- a/internal/request/choose/eject.go
+++ b/internal/request/choose/eject.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// maxEjectDoublings bounds the growth of the time a target is left out.
+// maxEjectDoublings bounds the growth of the ejection time.
 const maxEjectDoublings = 5
 
-// End takes the result of an online request. ejected is true when the target
-// was taken out by it, readmitted when it was let back in.
+// End records the result of an online request that Begin counted. ejected and
+// readmitted report whether that result ejected or readmitted the target.
 func (t *Table) End(now time.Time, id string, outcome Outcome) (ejected, readmitted bool) {
 	e := t.entries[id]
 	if e == nil {
@@ -16,24 +16,24 @@
 	return t.RecordOutcome(now, id, outcome)
 }
 
-// RecordOutcome counts an outcome for or against a target.
+// RecordOutcome counts an outcome for the ejection of a target.
 func (t *Table) RecordOutcome(now time.Time, id string, outcome Outcome) (ejected, readmitted bool) {
 	e := t.entries[id]
 	if e == nil {
 		return false, false
 	}
-	wasTrial := e.trial
-	e.trial = false
+	wasProbe := e.probing
+	e.probing = false
 	switch outcome {
 	case Success:
 		readmitted = !e.ejectedUntil.IsZero()
 		e.failures, e.ejections, e.ejectedUntil = 0, 0, time.Time{}
 	case Failure:
-		if now.Before(e.ejectedUntil) && !wasTrial {
-			return false, false // sent before it was taken out; the same trouble
+		if now.Before(e.ejectedUntil) && !wasProbe {
+			return false, false // sent before the ejection: the same incident
 		}
 		e.failures++
-		if e.failures >= t.cfg.EjectAfter || wasTrial {
+		if e.failures >= t.cfg.EjectAfter || wasProbe {
 			ejected = true
 			e.ejectedUntil = now.Add(t.cfg.EjectTime << min(e.ejections, maxEjectDoublings))
 			e.ejections++
--- a/internal/request/choose/eligible.go
+++ b/internal/request/choose/eligible.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Reason tells why a target gets no new work; empty: it gets it.
+// Reason is why a target gets no new work; empty: it gets work.
 type Reason string
 
-// The reasons, in the order in which they are given: where several apply, an
-// operator is told the one that lasts longest.
+// The reasons, in order of precedence: where several apply, operators are shown the
+// one that lasts longest.
 const (
 	Leaving   Reason = "leaving"
 	Evacuated Reason = "its data centre is evacuated"
@@ -17,30 +17,30 @@
 	WarmingUp Reason = "warming up"
 )
 
-// reason returns why a target gets no work of a kind now; empty: it gets it while it has
-// room.
+// reason returns why a target cannot get the given kind of work now, apart from
+// missing free slots; empty: it can.
 func (t *Table) reason(now time.Time, e *entry, need Need) Reason {
 	switch {
 	case e.leaving:
 		return Leaving
 	case t.evacuated[e.DataCentre]:
 		return Evacuated
-	case e.known && !e.load.Healthy:
+	case e.hasLoad && !e.load.Healthy:
 		return Unhealthy
 	case !e.ejectedUntil.IsZero() && now.Before(e.ejectedUntil):
 		return Failing
-	case e.trial:
+	case e.probing:
 		return Probing
 	case need.Loaded != "" && !e.has(need.Loaded):
 		return NotLoaded
-	case !e.warm(now) && !t.takesCold(now, e, need):
+	case !e.warm(now) && !t.hasColdTurn(now, e, need):
 		return WarmingUp
 	}
 	return ""
 }
 
 func (e *entry) has(name string) bool {
-	if !e.known {
+	if !e.hasLoad {
 		return false
 	}
 	for _, l := range e.load.Loaded {
@@ -51,29 +51,30 @@
 	return false
 }
 
-// SetEvacuated replaces the data centres whose targets get no work. Targets of one that is
-// evacuated no more are taken to warm up: they may have started again meanwhile.
+// SetEvacuated replaces the list of data centres whose targets get no work. Targets of
+// a data centre that is no longer evacuated start to warm up, because they may have
+// restarted meanwhile.
 func (t *Table) SetEvacuated(now time.Time, dataCentres []string) {
-	before := t.evacuated
+	previous := t.evacuated
 	t.evacuated = make(map[string]bool, len(dataCentres))
 	for _, name := range dataCentres {
 		t.evacuated[name] = true
 	}
 	for _, e := range t.entries {
-		if before[e.DataCentre] && !t.evacuated[e.DataCentre] {
-			t.warmUp(now, e, t.warmUpOf(e.Service).Time)
+		if previous[e.DataCentre] && !t.evacuated[e.DataCentre] {
+			t.startWarmUp(now, e, t.warmUpRate(e.Service).Time)
 		}
 	}
 }
 
-// Evacuated reports whether a target stands in a data centre that is evacuated.
+// Evacuated reports whether a target's data centre is evacuated.
 func (t *Table) Evacuated(target Target) bool { return t.evacuated[target.DataCentre] }
 
-// AllEvacuated reports whether a service has targets that are not leaving, and all of
-// these stand in data centres that are evacuated.
+// AllEvacuated reports whether a service has targets that are not leaving and all of
+// these are in evacuated data centres.
 func (t *Table) AllEvacuated(service string) bool {
 	evacuated := false
-	for _, id := range t.rank[service] {
+	for _, id := range t.byService[service] {
 		e := t.entries[id]
 		if e.leaving {
 			continue
--- a/internal/request/choose/evacuate_test.go
+++ b/internal/request/choose/evacuate_test.go
@@ -16,8 +16,8 @@
 	coldRate = 8.0
 )
 
-// centresTable returns a table of three data centres with targets of 8 slots, in the
-// first of which this node is.
+// centresTable returns a table with targets of 8 slots in three data centres; the node
+// is in the first one.
 func centresTable(targets int, share warmup.Position) *Table {
 	t := New(Config{EjectAfter: 3, EjectTime: time.Second, Policy: LeastOfFew, LocalDataCentre: "dc0",
 		WarmUp: func(string) warmup.Rate { return warmup.Rate{Time: coldFor, PerSecond: coldRate} }})
@@ -30,8 +30,8 @@
 	return t
 }
 
-// TestEvacuatedTargetsGetNothing: neither requests nor items go to a data centre from its
-// evacuation to its end, whatever else is said of the targets meanwhile.
+// TestEvacuatedTargetsGetNothing: neither requests nor batch items go to a data centre
+// while it is evacuated, whatever is reported about its targets meanwhile.
 func TestEvacuatedTargetsGetNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tab := centresTable(9, warmup.Position{Index: 0, Nodes: 1})
@@ -66,8 +66,8 @@
 	})
 }
 
-// TestLeavingTargetsAreNotTakenForEvacuated: where all targets leave, others may come, and
-// requests wait for them.
+// TestLeavingTargetsAreNotTakenForEvacuated: if all targets are leaving, the service does
+// not count as evacuated, because new targets may come and requests wait for them.
 func TestLeavingTargetsAreNotTakenForEvacuated(t *testing.T) {
 	is := is.New(t)
 	tab := centresTable(3, warmup.Position{Index: 0, Nodes: 1})
@@ -79,8 +79,8 @@
 	is.True(!tab.AllEvacuated("s"))
 }
 
-// TestReturnedTargetsWarmUp: targets of a data centre that is evacuated no more get
-// requests at the rate of cold ones, and no items, until they had the time to warm up.
+// TestReturnedTargetsWarmUp: after the end of an evacuation, targets get requests at the
+// rate of cold targets, and no batch items, until their warm-up time has passed.
 func TestReturnedTargetsWarmUp(t *testing.T) {
 	is := is.New(t)
 	tab := centresTable(1, warmup.Position{Index: 0, Nodes: 1})
@@ -90,7 +90,7 @@
 	sent := 0
 	for at := start; at.Before(start.Add(coldFor)); at = at.Add(5 * time.Millisecond) {
 		_, ok := tab.Choose(at, Need{Service: "s", Batch: true})
-		is.True(!ok) // an item would run for long, and take a turn from online requests
+		is.True(!ok) // an item would run for long and use a turn that online requests need
 		if _, ok := tab.Choose(at, Need{Service: "s"}); ok {
 			sent++
 		}
@@ -101,8 +101,8 @@
 	is.True(ok)
 }
 
-// TestColdTargetsComeAfterWarmOnes: a cold target gets a request only where no warm one
-// has room for it.
+// TestColdTargetsComeAfterWarmOnes: a cold target gets a request only if no warm one has
+// a free slot.
 func TestColdTargetsComeAfterWarmOnes(t *testing.T) {
 	is := is.New(t)
 	tab := centresTable(2, warmup.Position{Index: 0, Nodes: 1})
@@ -119,11 +119,11 @@
 	tab.Begin(target.ID)
 	target, ok = tab.Choose(start, Need{Service: "s"})
 	is.True(ok)
-	is.Equal(target.ID, "t1") // it waits there rather than at a target that may crash under it
+	is.Equal(target.ID, "t1") // rather queued there than at a cold target, which the load may crash
 }
 
-// TestWarmUpIsNotCutShort: that a target is warm may have been said before it became cold
-// again, and only its time ends it.
+// TestWarmUpIsNotCutShort: a report that a target is warm, or warm soon, may date from
+// before it became cold again, so it does not shorten the warm-up.
 func TestWarmUpIsNotCutShort(t *testing.T) {
 	is := is.New(t)
 	tab := centresTable(1, warmup.Position{Index: 1, Nodes: 100})
--- a/internal/request/choose/others.go
+++ b/internal/request/choose/others.go
@@ -2,47 +2,48 @@
 
 import "maps"
 
-// InFlight counts what is at a target.
+// InFlight counts the requests and batch items in flight at a target.
 type InFlight struct {
 	Online int
 	Batch  int
-	Apart  int // online requests that were placed apart
+	Apart  int // online requests that were chosen with Need.Apart
 }
 
-// plus returns the sum of both, or with sign -1 the difference.
+// plus returns the sum of both, or the difference if sign is -1.
 func (n InFlight) plus(other InFlight, sign int) InFlight {
 	return InFlight{Online: n.Online + sign*other.Online, Batch: n.Batch + sign*other.Batch, Apart: n.Apart + sign*other.Apart}
 }
 
-// JoinGroup says which group of its data centre this node belongs to. What nodes
-// and groups there were heard to have counts no more: they are divided anew.
+// JoinGroup sets the group of its data centre that this node belongs to. It drops the
+// reports of nodes and groups there, because the nodes are divided into new groups.
 func (t *Table) JoinGroup(group string) {
 	t.cfg.Group = group
 	clear(t.nodes)
 	clear(t.groups)
 	clear(t.members)
-	t.sumOthers()
+	t.recomputeElsewhere()
 }
 
-// SetNode replaces what another node of this node's group has in flight; nil:
-// nothing. It reports whether that is news.
-func (t *Table) SetNode(node string, counts map[string]InFlight) (news bool) {
-	return t.setOther(t.nodes, node, counts)
+// SetNode replaces the in-flight counts of another node of this node's group; nil
+// removes them. It reports whether the counts changed.
+func (t *Table) SetNode(node string, counts map[string]InFlight) (changed bool) {
+	return t.setReport(t.nodes, node, counts)
 }
 
-// SetGroup replaces what the nodes of another group of this data centre, so many
-// in number, have in flight together; nil: nothing. It reports whether that is
-// news.
-func (t *Table) SetGroup(name string, members int, counts map[string]InFlight) (news bool) {
+// SetGroup replaces the in-flight counts of another group of this data centre, which
+// has the given number of members; nil removes them. It reports whether the counts
+// changed.
+func (t *Table) SetGroup(name string, members int, counts map[string]InFlight) (changed bool) {
 	if counts == nil {
 		delete(t.members, name)
 	} else {
 		t.members[name] = members
 	}
-	return t.setOther(t.groups, name, counts)
+	return t.setReport(t.groups, name, counts)
 }
 
-// NodesInDataCentre returns how many nodes of this data centre are heard, with this one.
+// NodesInDataCentre returns how many nodes of this data centre have reported in-flight
+// counts, including this one.
 func (t *Table) NodesInDataCentre() int {
 	n := 1 + len(t.nodes)
 	for _, members := range t.members {
@@ -51,21 +52,21 @@
 	return n
 }
 
-// SetDataCentre replaces what the nodes of another data centre have in flight
-// together; nil: nothing. It reports whether that is news.
-func (t *Table) SetDataCentre(name string, counts map[string]InFlight) (news bool) {
-	return t.setOther(t.centres, name, counts)
+// SetDataCentre replaces the in-flight counts of another data centre; nil removes
+// them. It reports whether the counts changed.
+func (t *Table) SetDataCentre(name string, counts map[string]InFlight) (changed bool) {
+	return t.setReport(t.centres, name, counts)
 }
 
-// setOther replaces one word and corrects the sums by the difference: its cost
-// grows with that word and not with the number of nodes that are heard. It
-// reports whether the word says something new.
-func (t *Table) setOther(words map[string]map[string]InFlight, name string, counts map[string]InFlight) (news bool) {
-	old := words[name]
+// setReport replaces one report and adjusts the sums by the difference, so that its
+// cost grows with the size of the report and not with the number of nodes. It
+// reports whether the counts changed.
+func (t *Table) setReport(reports map[string]map[string]InFlight, name string, counts map[string]InFlight) (changed bool) {
+	old := reports[name]
 	if counts == nil {
-		delete(words, name)
+		delete(reports, name)
 	} else {
-		words[name] = counts
+		reports[name] = counts
 	}
 	if maps.Equal(old, counts) {
 		return false
@@ -75,8 +76,8 @@
 	return true
 }
 
-// addElsewhere adds what a word counts to the sums of others, or with sign -1
-// takes it away.
+// addElsewhere adds the counts of a report to the targets' sums, or subtracts them if
+// sign is -1.
 func (t *Table) addElsewhere(counts map[string]InFlight, sign int) {
 	for id, n := range counts {
 		if e := t.entries[id]; e != nil {
@@ -85,32 +86,32 @@
 	}
 }
 
-// sumOthers computes the sums of others anew, because the targets are others.
-func (t *Table) sumOthers() {
+// recomputeElsewhere computes the sums again after the list of targets changed.
+func (t *Table) recomputeElsewhere() {
 	for _, e := range t.entries {
 		e.elsewhere = InFlight{}
 	}
-	for _, words := range []map[string]map[string]InFlight{t.nodes, t.groups, t.centres} {
-		for _, counts := range words {
+	for _, reports := range []map[string]map[string]InFlight{t.nodes, t.groups, t.centres} {
+		for _, counts := range reports {
 			t.addElsewhere(counts, 1)
 		}
 	}
 }
 
 // GroupInFlight returns what all nodes of this node's group have in flight, by target,
-// as far as this one knows.
+// according to their newest reports.
 func (t *Table) GroupInFlight() map[string]InFlight {
-	return addAll(t.OwnInFlight(), t.nodes)
+	return addCounts(t.OwnInFlight(), t.nodes)
 }
 
-// DataCentreInFlight returns the same of all nodes of this data centre.
+// DataCentreInFlight returns the same for all nodes of this data centre.
 func (t *Table) DataCentreInFlight() map[string]InFlight {
-	return addAll(t.GroupInFlight(), t.groups)
+	return addCounts(t.GroupInFlight(), t.groups)
 }
 
-// addAll adds the counts of words to a sum, which it returns.
-func addAll(sum map[string]InFlight, words map[string]map[string]InFlight) map[string]InFlight {
-	for _, counts := range words {
+// addCounts adds the counts of reports to sum, which it changes and returns.
+func addCounts(sum map[string]InFlight, reports map[string]map[string]InFlight) map[string]InFlight {
+	for _, counts := range reports {
 		for id, n := range counts {
 			sum[id] = sum[id].plus(n, 1)
 		}
@@ -118,12 +119,12 @@
 	return sum
 }
 
-// OwnInFlight returns what this table has in flight, by target. Items that are making
-// room count no more.
+// OwnInFlight returns what this node has in flight, by target. Batch items that are
+// yielding their slot are not counted.
 func (t *Table) OwnInFlight() map[string]InFlight {
 	out := map[string]InFlight{}
 	for id, e := range t.entries {
-		if n := (InFlight{Online: e.online, Batch: e.staying(), Apart: e.apart}); n != (InFlight{}) {
+		if n := (InFlight{Online: e.online, Batch: e.notYielding(), Apart: e.apart}); n != (InFlight{}) {
 			out[id] = n
 		}
 	}
--- a/internal/request/choose/prefer.go
+++ b/internal/request/choose/prefer.go
@@ -8,11 +8,11 @@
 	"github.com/marblepond/marblepond/internal/process/rendezvous"
 )
 
-// preferred leaves out slow targets when there are others, and chooses the data centre
-// of a batch item.
+// preferred leaves out slow targets if there are others, and then limits the choice to
+// the preferred data centre. For online requests, leastOfFew does the latter.
 func (t *Table) preferred(now time.Time, need Need, entries []*entry) []*entry {
-	usual := t.usualFirstEvent(need.Service)
-	entries = keepIfAny(entries, func(e *entry) bool { return !e.slow(now, usual) })
+	median := t.medianFirstEvent(need.Service)
+	entries = filterOrAll(entries, func(e *entry) bool { return !e.slow(now, median) })
 	if t.cfg.LocalDataCentre == "" || (t.cfg.Policy == LeastOfFew && !need.Batch) {
 		return entries
 	}
@@ -20,92 +20,97 @@
 }
 
 const (
-	// homeRoom is how many free slots keep a request in its own data centre
-	// whatever the others have: what nodes tell each other is some 10 to 100 ms old,
-	// and the last free slot of a target is often taken by the time it is used.
-	homeRoom = 2
-	// awayRoom is how many free slots a target elsewhere must have to be taken
-	// before the last slots at home: more than batch items leave free, so that it
-	// has room that nobody else there is about to use.
-	awayRoom = 3
+	// localMinFree is how many free slots a target of the own data centre must have
+	// for a request to stay there whatever the others have. The reports between nodes
+	// are some 10 to 100 ms old, so the last free slot is often taken by the time a
+	// request arrives.
+	localMinFree = 2
+	// remoteMinFree is how many free slots a target of another data centre must have
+	// to be preferred to the last free slots of the own one: more than batch items
+	// leave free, so that no node there is about to use them.
+	remoteMinFree = 3
 )
 
-// nearest returns the targets of the own data centre while they have room, then
-// those elsewhere with plenty, then whatever there is, the own first.
+// nearest returns the targets of the own data centre with at least localMinFree free
+// slots; if none, those with at least remoteMinFree; if none, all of the own data
+// centre; if none, all.
 func (t *Table) nearest(now time.Time, entries []*entry) []*entry {
-	home := keep(entries, t.atHome)
-	if roomy := keep(home, func(e *entry) bool { return e.freeAt(now) >= homeRoom }); len(roomy) > 0 {
-		return roomy
+	local := filter(entries, t.isLocal)
+	if withRoom := filter(local, func(e *entry) bool { return e.freeAt(now) >= localMinFree }); len(withRoom) > 0 {
+		return withRoom
 	}
-	if away := keep(entries, func(e *entry) bool { return e.freeAt(now) >= awayRoom }); len(away) > 0 {
-		return away
+	if remote := filter(entries, func(e *entry) bool { return e.freeAt(now) >= remoteMinFree }); len(remote) > 0 {
+		return remote
 	}
-	if len(home) > 0 {
-		return home
+	if len(local) > 0 {
+		return local
 	}
 	return entries
 }
 
-// atHome reports whether a target is in the own data centre; without one, all are.
-func (t *Table) atHome(e *entry) bool {
+// isLocal reports whether a target is in the own data centre; all are if none is
+// configured.
+func (t *Table) isLocal(e *entry) bool {
 	return t.cfg.LocalDataCentre == "" || e.DataCentre == t.cfg.LocalDataCentre
 }
 
-func keep(entries []*entry, wanted func(*entry) bool) []*entry {
-	var kept []*entry
+func filter(entries []*entry, wanted func(*entry) bool) []*entry {
+	var matching []*entry
 	for _, e := range entries {
 		if wanted(e) {
-			kept = append(kept, e)
+			matching = append(matching, e)
 		}
 	}
-	return kept
+	return matching
 }
 
-func keepIfAny(entries []*entry, wanted func(*entry) bool) []*entry {
-	if kept := keep(entries, wanted); len(kept) > 0 {
-		return kept
+func filterOrAll(entries []*entry, wanted func(*entry) bool) []*entry {
+	if matching := filter(entries, wanted); len(matching) > 0 {
+		return matching
 	}
 	return entries
 }
 
 const (
-	// few is how many targets LeastOfFew compares. What nodes know of each other's
-	// requests is up to 100 ms old, and in that time all of them would choose the
-	// one that looks emptiest; of a few drawn at random most nodes find another
-	// one, and seldom a full one (power of d choices, Mitzenmacher, 2000).
-	few = 3
-	// fewByNodes divided by the number of nodes of the data centre is how many are
-	// compared where that is more: three nodes tell each other every 20 ms, and
-	// together draw eight each without meeting at one target.
-	fewByNodes = 24
+	// minChoices is how many random targets LeastOfFew compares at least. The nodes'
+	// reports to each other are up to 100 ms old; meanwhile all nodes would choose the
+	// target that appears least loaded. With a few random ones, most nodes choose
+	// different targets and seldom a full one (power of d choices, Mitzenmacher, 2000).
+	minChoices = 3
+	// choicesOfAllNodes divided by the number of nodes of the data centre is how many
+	// random targets each node compares if that is more than minChoices: three nodes,
+	// which report to each other every 20 ms, compare eight each without choosing the
+	// same target.
+	choicesOfAllNodes = 24
 )
 
-// leastOfFew returns the least loaded of a few targets drawn at random: one of
-// the own data centre while it has room, else one drawn elsewhere that has
-// plenty, or any when the one at home is full. Full targets are drawn like others. Taking those
-// with room first would send all nodes to the last few of them, and queues would
-// grow there while a request that waits behind one other is still in time.
+// leastOfFew returns the least loaded of a few random targets of the own data centre
+// if it has at least localMinFree free slots. Otherwise it prefers the least loaded of
+// a few random targets elsewhere if that has at least remoteMinFree, or any free slot
+// when the local one has none. Full targets are drawn like others: drawing only those
+// with free slots would send all nodes to the last few of them and build queues there,
+// while a request that waits behind one other still meets its deadline.
 func (t *Table) leastOfFew(now time.Time, entries []*entry) *entry {
 	cost := func(e *entry) int { return e.cost(now) }
-	home := keep(entries, t.atHome)
-	away := keep(entries, func(e *entry) bool { return !t.atHome(e) })
-	if len(home) == 0 {
-		return least(t.few(away), cost)
+	local := filter(entries, t.isLocal)
+	remote := filter(entries, func(e *entry) bool { return !t.isLocal(e) })
+	if len(local) == 0 {
+		return least(t.sample(remote), cost)
 	}
-	best := least(t.few(home), cost)
-	if len(away) == 0 || best.freeOnline(now) >= homeRoom {
+	best := least(t.sample(local), cost)
+	if len(remote) == 0 || best.freeOnline(now) >= localMinFree {
 		return best
 	}
-	other := least(t.few(away), cost)
-	if room := other.freeOnline(now); room >= awayRoom || (room > 0 && best.freeOnline(now) <= 0) {
+	other := least(t.sample(remote), cost)
+	if free := other.freeOnline(now); free >= remoteMinFree || (free > 0 && best.freeOnline(now) <= 0) {
 		return other
 	}
 	return best
 }
 
-// cost orders targets for an online request: by what is there while a slot is
-// free, then those at which an item makes room at once, then by how many requests
-// are served before it.
+// cost orders targets for an online request. Targets with free slots come first, by
+// what is in flight; then full ones at which a batch item can yield; then the others,
+// by how many requests are served before this one.
 func (e *entry) cost(now time.Time) int {
 	if e.freeAt(now) > 0 {
 		return e.inFlight()
@@ -114,23 +119,23 @@
 	return slots + max(0, 1-e.freeOnline(now))
 }
 
-// few returns some targets drawn at random.
-func (t *Table) few(entries []*entry) []*entry {
-	draws := max(few, fewByNodes/t.NodesInDataCentre())
+// sample returns a random selection of the targets.
+func (t *Table) sample(entries []*entry) []*entry {
+	draws := max(minChoices, choicesOfAllNodes/t.NodesInDataCentre())
 	if len(entries) <= draws {
 		return entries
 	}
 	drawn := slices.Clone(entries)
 	for i := range draws {
-		j := i + t.draw.IntN(len(drawn)-i)
+		j := i + t.random.IntN(len(drawn)-i)
 		drawn[i], drawn[j] = drawn[j], drawn[i]
 	}
 	return drawn[:draws]
 }
 
-// scattered returns the one of the targets with room that comes first in an order of
-// the key's own; all of them without a key, or when none has room.
-func scattered(now time.Time, entries []*entry, key uint64) []*entry {
+// byScatterKey returns the one target among those with free slots that has the highest
+// rendezvous weight for the key; all targets if key is 0 or none has a free slot.
+func byScatterKey(now time.Time, entries []*entry, key uint64) []*entry {
 	if key == 0 {
 		return entries
 	}
--- a/internal/request/choose/reserve.go
+++ b/internal/request/choose/reserve.go
@@ -7,48 +7,48 @@
 )
 
 const (
-	// homeReaction is the time from sending an online request to a target of the
-	// own data centre whose slots are taken until an item there has made room: up to
-	// 20 ms until its holder has heard of it, and some milliseconds until the target
-	// has ended the item.
-	homeReaction = 30 * time.Millisecond
-	// awayReaction is the same where items of another data centre's node are at a
-	// target: what that node knows of the target is up to 150 ms old.
-	awayReaction = 180 * time.Millisecond
-	// reserveMiss is the share of online requests that may find the slots kept for
-	// them taken, and wait until an item has made room.
-	reserveMiss = 0.03
-	// occupiedWeight is the weight of the newest measurement in the usual time that
-	// a request holds a slot.
-	occupiedWeight = 0.05
+	// localPreemptTime is the time from sending an online request to a full target of
+	// the own data centre until a batch item there has yielded its slot: up to 20 ms
+	// until the node that sent the item learns of the request, and some milliseconds
+	// until the target has ended the item.
+	localPreemptTime = 30 * time.Millisecond
+	// remotePreemptTime is the same for a target of another data centre: reports on the
+	// requests there reach this node up to 150 ms late.
+	remotePreemptTime = 180 * time.Millisecond
+	// reserveMissShare is the share of online requests that may find the reserved slots
+	// taken and wait until a batch item has yielded.
+	reserveMissShare = 0.03
+	// slotTimeWeight is the weight of the newest measurement in the moving average of
+	// the time that a request holds a slot.
+	slotTimeWeight = 0.05
 )
 
-// reserve returns how many slots of a target items leave free: as many as there
-// are online requests within the time that an item takes to make room, in all but
-// reserveMiss of such times. perSlot is the number of online requests that come
-// to a target in the time for which one holds a slot.
-func (c *Config) reserve(target Target, perSlot float64, occupied time.Duration) int {
-	if occupied <= 0 {
+// reserve returns how many slots of a target batch items leave free: enough for the
+// online requests that arrive within the preemption time, in all but reserveMissShare
+// of cases. perSlot is the mean number of online requests that arrive at a target
+// within slotTime, the time for which one of them holds a slot.
+func (c *Config) reserve(target Target, perSlot float64, slotTime time.Duration) int {
+	if slotTime <= 0 {
 		return c.MinReserve
 	}
-	reaction := awayReaction
+	preemptTime := remotePreemptTime
 	if c.LocalDataCentre == "" || target.DataCentre == c.LocalDataCentre {
-		reaction = homeReaction
+		preemptTime = localPreemptTime
 	}
-	return max(c.MinReserve, poissonQuantile(perSlot*reaction.Seconds()/occupied.Seconds(), reserveMiss, target.Slots))
+	return max(c.MinReserve, poissonQuantile(perSlot*preemptTime.Seconds()/slotTime.Seconds(), reserveMissShare, target.Slots))
 }
 
-// onlinePerTarget returns, by service, how many online requests each target has
-// on average. By Little's law that is also how many come to it in the time for
+// onlinePerTarget returns, by service, the mean number of online requests in flight
+// at a target. By Little's law that is also how many arrive at it in the time for
 // which one holds a slot.
 func (t *Table) onlinePerTarget() map[string]float64 {
-	out := make(map[string]float64, len(t.rank))
-	for service, ids := range t.rank {
+	out := make(map[string]float64, len(t.byService))
+	for service, ids := range t.byService {
 		targets, online := 0, 0
 		for _, id := range ids {
 			if e := t.entries[id]; !e.leaving && !t.evacuated[e.DataCentre] {
 				targets++
-				online += e.estimate()
+				online += e.estimatedOnline()
 			}
 		}
 		out[service] = float64(online) / float64(max(1, targets))
@@ -56,18 +56,18 @@
 	return out
 }
 
-// Reserve returns the function that tells, by what is known now, how many slots
-// of a target items leave free for online requests.
+// Reserve returns a function that computes how many slots of a target batch items leave
+// free for online requests, from a snapshot of what is known now.
 func (t *Table) Reserve() func(Target) int {
 	perSlot := t.onlinePerTarget()
-	occupied := maps.Clone(t.occupied)
+	slotTime := maps.Clone(t.slotTime)
 	return func(target Target) int {
-		return t.cfg.reserve(target, perSlot[target.Service], occupied[target.Service])
+		return t.cfg.reserve(target, perSlot[target.Service], slotTime[target.Service])
 	}
 }
 
-// poissonQuantile returns the least k for which a Poisson variable of the given
-// mean is above k with a probability of at most miss, and most if that is less.
+// poissonQuantile returns the least k that a Poisson variable of the given mean
+// exceeds with a probability of at most miss, but no more than most.
 func poissonQuantile(mean, miss float64, most int) int {
 	k := 0
 	term := math.Exp(-mean)
@@ -78,10 +78,10 @@
 	return k
 }
 
-// RecordSlotTime takes how long an online request of a service held a slot.
+// RecordSlotTime records how long an online request of a service held a slot.
 func (t *Table) RecordSlotTime(service string, took time.Duration) {
-	if old := t.occupied[service]; old > 0 {
-		took = old + time.Duration(occupiedWeight*float64(took-old))
+	if old := t.slotTime[service]; old > 0 {
+		took = old + time.Duration(slotTimeWeight*float64(took-old))
 	}
-	t.occupied[service] = took
+	t.slotTime[service] = took
 }
--- a/internal/request/choose/room.go
+++ b/internal/request/choose/room.go
@@ -2,54 +2,55 @@
 
 import "time"
 
-// saturatedFor is how long a target's own refusal counts: long enough for batch
-// items to make room there, and shorter than a request waits for room.
+// saturatedFor is how long a target counts as full after it refused work: long enough
+// for batch items to yield there, and shorter than a request waits for a free slot.
 const saturatedFor = 50 * time.Millisecond
 
-// leastOnline returns the entries with the fewest online requests: where all
-// are full, what batch items hold becomes free.
+// leastOnline returns the entries with the fewest online requests: if all are full,
+// these have the most slots that batch items can yield.
 func leastOnline(entries []*entry) []*entry {
 	if len(entries) == 0 {
 		return nil
 	}
-	lowest := entries[0].estimate()
+	lowest := entries[0].estimatedOnline()
 	for _, e := range entries {
-		lowest = min(lowest, e.estimate())
+		lowest = min(lowest, e.estimatedOnline())
 	}
-	return keepIfAny(entries, func(e *entry) bool { return e.estimate() == lowest })
+	return filterOrAll(entries, func(e *entry) bool { return e.estimatedOnline() == lowest })
 }
 
-// MarkSaturated notes that a target refused an online request because it was full.
+// MarkSaturated records that a target refused an online request because it was full.
 func (t *Table) MarkSaturated(now time.Time, id string) {
 	if e := t.entries[id]; e != nil {
-		e.saturated = now.Add(saturatedFor)
+		e.saturatedUntil = now.Add(saturatedFor)
 	}
 }
 
-// MarkItemRefused notes that a target refused a batch item because it was full. No other is
-// sent there for a while; those that are there stay, since no request waits for that.
+// MarkItemRefused records that a target refused a batch item because it was full. No
+// other item is sent there for saturatedFor; items that run there continue, because no
+// online request waits for their slots.
 func (t *Table) MarkItemRefused(now time.Time, id string) {
 	if e := t.entries[id]; e != nil {
-		e.full = now.Add(saturatedFor)
+		e.itemsRefusedUntil = now.Add(saturatedFor)
 	}
 }
 
-// BatchCapacity returns how many batch items the usable targets of a data centre
-// have room for beside online requests.
+// BatchCapacity returns how many batch items the usable targets of a data centre can
+// run beside online requests.
 func (t *Table) BatchCapacity(now time.Time, dataCentre string) int {
-	room := 0
+	capacity := 0
 	reserve := t.Reserve()
 	for _, e := range t.entries {
 		if e.DataCentre == dataCentre && t.reason(now, e, Need{Batch: true}) == "" {
-			room += max(0, e.Slots-reserve(e.Target)-e.estimate())
+			capacity += max(0, e.Slots-reserve(e.Target)-e.estimatedOnline())
 		}
 	}
-	return room
+	return capacity
 }
 
-// HasItems reports whether batch items of any node are at usable targets of a service.
+// HasItems reports whether batch items of any node run at usable targets of a service.
 func (t *Table) HasItems(now time.Time, service string) bool {
-	for _, id := range t.rank[service] {
+	for _, id := range t.byService[service] {
 		if e := t.entries[id]; e.batch+e.elsewhere.Batch > 0 && t.reason(now, e, Need{}) == "" {
 			return true
 		}
@@ -58,51 +59,52 @@
 }
 
 func (e *entry) freeAt(now time.Time) int {
-	if now.Before(e.saturated) || now.Before(e.full) {
+	if now.Before(e.saturatedUntil) || now.Before(e.itemsRefusedUntil) {
 		return min(0, e.free())
 	}
 	return e.free()
 }
 
-// unbounded stands for the free slots of a target whose size is not known.
-const unbounded = 1 << 20
+// unlimitedSlots is the number of free slots assumed if a target's size is not known.
+const unlimitedSlots = 1 << 20
 
-// free returns how many more requests the target serves at once.
+// free returns how many more requests the target can serve at once; below 0, how many
+// wait there.
 func (e *entry) free() int {
 	slots := e.Slots
-	if e.known && e.load.MaxRunning > 0 {
+	if e.hasLoad && e.load.MaxRunning > 0 {
 		slots = e.load.MaxRunning
 	}
 	if slots == 0 {
-		return unbounded
+		return unlimitedSlots
 	}
 	return slots - e.inFlight()
 }
 
-// inFlight returns what is at the target, online and batch.
-func (e *entry) inFlight() int { return e.estimate() + e.batch + e.elsewhere.Batch }
+// inFlight returns how many requests and batch items are at the target.
+func (e *entry) inFlight() int { return e.estimatedOnline() + e.batch + e.elsewhere.Batch }
 
-// freeOnline returns the free slots once batch items have made room.
+// freeOnline returns the free slots for online requests, to which batch items yield.
 func (e *entry) freeOnline(now time.Time) int {
 	return e.freeAt(now) + e.batch + e.elsewhere.Batch
 }
 
-// estimate is the online load now: own in flight plus what others had there at
-// the last report.
-func (e *entry) estimate() int {
-	others := max(0, e.load.Running+e.load.Waiting-e.load.Batch-e.atReport)
+// estimatedOnline estimates the online requests at the target now: those of this node
+// and of other nodes by their reports, and those of others at the last load report.
+func (e *entry) estimatedOnline() int {
+	others := max(0, e.load.Running+e.load.Waiting-e.load.Batch-e.onlineAtReport)
 	return e.online + others + e.elsewhere.Online
 }
 
-// BeginBatch counts a batch item sent to a target; EndBatch takes its result.
+// BeginBatch counts a batch item sent to a target; EndBatch ends it.
 func (t *Table) BeginBatch(id string) {
 	if e := t.entries[id]; e != nil {
 		e.batch++
 	}
 }
 
-// EndBatch takes the result of a batch item that BeginBatch counted; yielded
-// says whether it was one that Yielding counted.
+// EndBatch records the result of a batch item that BeginBatch counted; yielded says
+// whether MarkYielding counted it.
 func (t *Table) EndBatch(now time.Time, id string, outcome Outcome, yielded bool) (ejected, readmitted bool) {
 	if e := t.entries[id]; e != nil {
 		e.batch = max(0, e.batch-1)
@@ -113,22 +115,22 @@
 	return t.RecordOutcome(now, id, outcome)
 }
 
-// BeginApart counts an online request that was placed apart, besides what Begin counts;
-// EndApart takes its end.
+// BeginApart counts an online request that was chosen with Need.Apart, in addition to
+// Begin; EndApart ends it.
 func (t *Table) BeginApart(id string) {
 	if e := t.entries[id]; e != nil {
 		e.apart++
 	}
 }
 
-// EndApart takes the end of a request that BeginApart counted.
+// EndApart ends a request that BeginApart counted.
 func (t *Table) EndApart(id string) {
 	if e := t.entries[id]; e != nil {
 		e.apart = max(0, e.apart-1)
 	}
 }
 
-// Begin counts an online request sent to a target.
+// Begin counts an online request sent to a target; End ends it.
 func (t *Table) Begin(id string) {
 	if e := t.entries[id]; e != nil {
 		e.online++
@@ -137,21 +139,21 @@
 
 // ServiceTotals sums up a service's usable targets.
 func (t *Table) ServiceTotals(now time.Time, service, loaded string) (usable, capacity, inFlight, waiting int) {
-	for _, id := range t.rank[service] {
+	for _, id := range t.byService[service] {
 		e := t.entries[id]
 		if t.reason(now, e, Need{Loaded: loaded}) != "" {
 			continue
 		}
 		usable++
 		capacity += e.load.MaxRunning
-		inFlight += e.estimate()
+		inFlight += e.estimatedOnline()
 		waiting += e.load.Waiting
 	}
 	return usable, capacity, inFlight, waiting
 }
 
-// Online returns this node's online requests in flight per target; targets
-// with none are left out.
+// Online returns this node's online requests in flight by target, without targets that
+// have none.
 func (t *Table) Online() map[string]int {
 	out := map[string]int{}
 	for id, e := range t.entries {
--- a/internal/request/choose/scatter_test.go
+++ b/internal/request/choose/scatter_test.go
@@ -7,22 +7,22 @@
 	"github.com/matryer/is"
 )
 
-// What was seen: a proper request began at the moment of one that ends the targets
-// that run it, and ended with it at up to five targets, so that neither could be told
-// from the other before six targets were lost (6 of 14 plays). How it came about: both
-// lose a target at the same moment, at two nodes. Cause: these know the same loads and
-// send both to the emptiest target. Proof: with targets drawn by the work asked for
-// 12 of 12 plays lose 7 targets each; 3 of 12 lost 9 to 12 without, in the same minutes.
-
-// TestScatteredWorkParts: two nodes that know the same place two requests that have lost
-// the same targets. By load they meet nearly always, by the work in one of 12 cases and
-// never at all that is left of four in a row.
-func TestScatteredWorkParts(t *testing.T) {
+// TestScatterSeparatesRequests guards against a harmless request that is retried together
+// with one that crashes its targets. Both lose a target at the same moment at two nodes;
+// these know the same loads and send both to the same least loaded target. Up to five
+// targets crashed under both, so that the two could not be told apart before six targets
+// were lost (6 of 14 runs). With targets selected by a hash of the work, 12 of 12 runs
+// lost 7 targets each; without it, 3 of 12 lost 9 to 12.
+//
+// The test places pairs of such requests at two nodes with the same reports, four times
+// in a row. By load they nearly always get the same target, by the hash in about one of
+// 12 cases and almost never four times in a row.
+func TestScatterSeparatesRequests(t *testing.T) {
 	is := is.New(t)
 	const pairs, targets, steps = 400, 12, 4
 	meet := func(key func(request int) uint64) (together, always int) {
 		for pair := range pairs {
-			first, second := table(targets, LeastOfFew), table(targets, LeastOfFew)
+			first, second := newTable(targets, LeastOfFew), newTable(targets, LeastOfFew)
 			lost := map[string]bool{}
 			met := 0
 			for range steps {
@@ -45,14 +45,14 @@
 	is.True(together < pairs*steps/6)
 	is.True(always <= 1)
 	byLoad, _ := meet(func(int) uint64 { return 0 })
-	is.True(byLoad > pairs*steps/2) // what the test compares with
+	is.True(byLoad > pairs*steps/2) // without scattering they do meet
 }
 
-// TestScatteredWorkTakesRoom: the target that is drawn has room; where none has, the
-// choice is that of any other request.
-func TestScatteredWorkTakesRoom(t *testing.T) {
+// TestScatterPrefersFreeTargets: only targets with free slots are selected by the hash; if
+// there are none, the request is placed like any other.
+func TestScatterPrefersFreeTargets(t *testing.T) {
 	is := is.New(t)
-	tab := table(3, LeastOfFew)
+	tab := newTable(3, LeastOfFew)
 	for _, id := range []string{"t0", "t2"} {
 		for range 8 {
 			tab.Begin(id)
@@ -70,7 +70,7 @@
 	is.True(ok)
 	used := map[string]bool{}
 	for i := range 30 {
-		got, _ := table(3, LeastOfFew).Choose(start, Need{Service: "s", ScatterKey: uint64(i+1) * 0x9e3779b97f4a7c15})
+		got, _ := newTable(3, LeastOfFew).Choose(start, Need{Service: "s", ScatterKey: uint64(i+1) * 0x9e3779b97f4a7c15})
 		used[fmt.Sprint(got.ID)] = true
 	}
 	is.Equal(len(used), 3)
--- a/internal/request/choose/slow.go
+++ b/internal/request/choose/slow.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// slowFactor is how many times the usual time to the first event marks a
-	// target as slow: above what queueing behind one full batch adds.
+	// slowFactor is the multiple of the service's median time to the first event above
+	// which a target counts as slow: more than queueing behind one full batch adds.
 	slowFactor = 2.5
-	// slowFor is how long a measurement marks a target as slow; after that one
-	// request finds out whether it still is.
+	// slowFor is how long a measurement marks a target as slow; after that, a request
+	// sent there measures it again.
 	slowFor = 2 * time.Second
-	// firstEventWeight is the weight of the newest measurement.
+	// firstEventWeight is the weight of the newest measurement in the moving average.
 	firstEventWeight = 0.3
 )
 
-// usualFirstEvent returns the lower median over the service's targets that were
-// measured.
-func (t *Table) usualFirstEvent(service string) time.Duration {
+// medianFirstEvent returns the lower median of the time to the first event over the
+// measured targets of a service; 0: none was measured.
+func (t *Table) medianFirstEvent(service string) time.Duration {
 	var times []time.Duration
-	for _, id := range t.rank[service] {
+	for _, id := range t.byService[service] {
 		if e := t.entries[id]; e.firstEvent > 0 {
 			times = append(times, e.firstEvent)
 		}
@@ -32,20 +32,20 @@
 	return times[(len(times)-1)/2]
 }
 
-func (e *entry) slow(now time.Time, usual time.Duration) bool {
-	return usual > 0 && now.Sub(e.firstAt) < slowFor && float64(e.firstEvent) > slowFactor*float64(usual)
+func (e *entry) slow(now time.Time, median time.Duration) bool {
+	return median > 0 && now.Sub(e.firstEventAt) < slowFor && float64(e.firstEvent) > slowFactor*float64(median)
 }
 
-// RecordFirstEvent takes a measurement of the time to the first event.
+// RecordFirstEvent records a measurement of the time to the first event.
 func (t *Table) RecordFirstEvent(now time.Time, id string, took time.Duration) {
 	e := t.entries[id]
 	if e == nil {
 		return
 	}
-	if e.firstEvent == 0 || now.Sub(e.firstAt) > slowFor {
+	if e.firstEvent == 0 || now.Sub(e.firstEventAt) > slowFor {
 		e.firstEvent = took
 	} else {
 		e.firstEvent += time.Duration(firstEventWeight * float64(took-e.firstEvent))
 	}
-	e.firstAt = now
+	e.firstEventAt = now
 }
--- a/internal/request/choose/warm.go
+++ b/internal/request/choose/warm.go
@@ -6,12 +6,12 @@
 	"github.com/marblepond/marblepond/internal/request/warmup"
 )
 
-// warm reports whether a target takes work at any rate.
+// warm reports whether a target is past its slow start and takes work at any rate.
 func (e *entry) warm(now time.Time) bool { return !now.Before(e.warmAt) }
 
-// warmUp notes that a target is cold and warms up for so long. What is said later may
-// only make it longer: a shorter time may have been told before the target became cold.
-func (t *Table) warmUp(now time.Time, e *entry, left time.Duration) {
+// startWarmUp marks a target as cold for the time left. A later call can only prolong
+// that: a report with a shorter time may date from before the target became cold.
+func (t *Table) startWarmUp(now time.Time, e *entry, left time.Duration) {
 	if left <= 0 {
 		return
 	}
@@ -23,42 +23,42 @@
 	}
 }
 
-// MarkWarmingUp notes that one incarnation of a target is cold and warms up for so long.
+// MarkWarmingUp marks one incarnation of a target as cold for the time left.
 func (t *Table) MarkWarmingUp(now time.Time, id string, incarnation uint64, left time.Duration) {
 	if e := t.entries[id]; e != nil && e.Incarnation == incarnation {
-		t.warmUp(now, e, left)
+		t.startWarmUp(now, e, left)
 	}
 }
 
-// SetPosition says which of the nodes that send work this one is.
-func (t *Table) SetPosition(s warmup.Position) { t.turns = s }
+// SetPosition sets this node's position among the nodes that take turns at cold targets.
+func (t *Table) SetPosition(s warmup.Position) { t.position = s }
 
-// warmUpOf returns how targets of a service warm up.
-func (t *Table) warmUpOf(service string) warmup.Rate {
+// warmUpRate returns how targets of a service warm up; zero: they need not.
+func (t *Table) warmUpRate(service string) warmup.Rate {
 	if t.cfg.WarmUp == nil {
 		return warmup.Rate{}
 	}
 	return t.cfg.WarmUp(service)
 }
 
-// takesCold reports whether a cold target takes work of a kind from this node now. Where
-// its rate is bounded, items leave that to online requests, and this node needs a turn
-// that it has not used.
-func (t *Table) takesCold(now time.Time, e *entry, need Need) bool {
-	rate := t.warmUpOf(e.Service)
+// hasColdTurn reports whether this node may send the given kind of work to a cold target
+// now. If the rate of cold targets is limited, batch items get none of it, and an online
+// request needs a turn of this node that is not used yet.
+func (t *Table) hasColdTurn(now time.Time, e *entry, need Need) bool {
+	rate := t.warmUpRate(e.Service)
 	if rate.PerSecond <= 0 {
 		return true
 	}
 	if need.Batch {
 		return false
 	}
-	turn := t.turns.Turn(e.ID, now.Sub(e.coldSince), rate.PerSecond)
+	turn := t.position.Turn(e.ID, now.Sub(e.coldSince), rate.PerSecond)
 	return turn != warmup.NoTurn && turn != e.lastTurn
 }
 
-// useTurn notes that this node uses its turn at a cold target.
+// useTurn records that this node uses its current turn at a cold target.
 func (t *Table) useTurn(now time.Time, e *entry) {
-	if rate := t.warmUpOf(e.Service); !e.warm(now) && rate.PerSecond > 0 {
-		e.lastTurn = t.turns.Turn(e.ID, now.Sub(e.coldSince), rate.PerSecond)
+	if rate := t.warmUpRate(e.Service); !e.warm(now) && rate.PerSecond > 0 {
+		e.lastTurn = t.position.Turn(e.ID, now.Sub(e.coldSince), rate.PerSecond)
 	}
 }
--- a/internal/request/choose/yield_test.go
+++ b/internal/request/choose/yield_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// fillWithItems places items until there is no room, and returns how many.
+// fillWithItems places batch items until no target takes more, and returns how many.
 func fillWithItems(table *Table, now time.Time) int {
 	for placed := 0; ; placed++ {
 		target, ok := table.Choose(now, Need{Service: "s", Batch: true})
@@ -19,12 +19,12 @@
 	}
 }
 
-// TestItemsFillWhatIsFree: while no online requests come, items take every slot;
-// they keep to what other nodes have and to their limit.
+// TestItemsFillWhatIsFree: without online requests, batch items use all slots, except for
+// those that other nodes use, and up to their limit.
 func TestItemsFillWhatIsFree(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	table := slotTable(now)
+	table := twoCentreTable(now)
 	table.SetNode("other", map[string]InFlight{"a": {Online: 1, Batch: 1}})
 	is.Equal(fillWithItems(table, now), 6)
 	is.Equal(len(table.Excess(now)), 0)
@@ -32,13 +32,13 @@
 	is.True(!ok)
 }
 
-// TestReserveFollowsTheArrivals: items leave as many slots free as online requests
-// arrive in the time that an item takes to make room, and more at targets of
-// which the news is older.
+// TestReserveFollowsTheArrivals: batch items leave as many slots free as online requests
+// arrive in the time that an item takes to yield, and more at targets of other data
+// centres, whose reports are older.
 func TestReserveFollowsTheArrivals(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	table := slotTable(now)
+	table := twoCentreTable(now)
 	reserve := func() (home, away int) {
 		f := table.Reserve()
 		return f(table.entries["a"].Target), f(table.entries["b"].Target)
@@ -52,7 +52,7 @@
 		is.Equal([]int{home, away}, []int{c.home, c.away})
 	}
 	for range 200 {
-		table.RecordSlotTime("s", 70*time.Millisecond) // ten times as many arrive
+		table.RecordSlotTime("s", 70*time.Millisecond) // ten times the arrival rate
 	}
 	table.SetDataCentre("there", map[string]InFlight{"a": {Online: 6}, "b": {Online: 6}})
 	home, away = reserve()
@@ -61,15 +61,15 @@
 	home, away = reserve()
 	is.Equal([]int{home, away}, []int{6, 23})
 	for range 400 {
-		table.RecordSlotTime("s", time.Microsecond) // more arrive than can be computed
+		table.RecordSlotTime("s", time.Microsecond) // a mean for which the Poisson terms underflow
 	}
 	home, away = reserve()
 	is.Equal([]int{home, away}, []int{64, 64})
 }
 
-// holders returns the tables of nodes that each have items at the target "t" of
-// 8 slots, and know that of each other.
-func holders(items ...int) []*Table {
+// tablesWithItems returns the tables of nodes that each have the given number of items at
+// the target "t" of 8 slots and know each other's counts.
+func tablesWithItems(items ...int) []*Table {
 	tables := make([]*Table, len(items))
 	for n := range items {
 		tables[n] = New(Config{Policy: LeastOfFew, Node: fmt.Sprint("n", n), LocalDataCentre: "here", Seed: uint64(n)})
@@ -78,13 +78,14 @@
 			tables[n].BeginBatch("t")
 		}
 	}
-	tellAll(tables)
+	exchangeReports(tables)
 	return tables
 }
 
-// TestOneMakesRoomForOne: however many nodes have items at a target, as many make
-// room as there are online requests without a slot, and none twice while it leaves.
-func TestOneMakesRoomForOne(t *testing.T) {
+// TestOneItemYieldsPerWaitingRequest: however many nodes have items at a target, as many
+// items yield as online requests wait for a slot, also if Excess is called again before
+// the items have left.
+func TestOneItemYieldsPerWaitingRequest(t *testing.T) {
 	for _, c := range []struct {
 		items  []int
 		online int // in flight beside them
@@ -93,104 +94,103 @@
 		t.Run(fmt.Sprint(c.items, c.online), func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(0, 0)
-			tables := holders(c.items...)
-			asked := 0
+			tables := tablesWithItems(c.items...)
+			yielding := 0
 			for round := range 3 {
 				for _, table := range tables {
 					table.SetDataCentre("there", map[string]InFlight{"t": {Online: c.online}})
 					for range table.Excess(now)["t"] {
 						table.MarkYielding("t")
-						asked++
+						yielding++
 					}
 				}
-				is.Equal(asked, c.want) // also when asked again before the items have left
+				is.Equal(yielding, c.want) // also in later rounds, before the items have left
 				if round == 1 {
-					tellAll(tables)
+					exchangeReports(tables)
 				}
 			}
 		})
 	}
 }
 
-// TestDifferentNewsStillMakesRoom: when a node does not know of the others and
-// none makes room, each gives its share after a short time.
-func TestDifferentNewsStillMakesRoom(t *testing.T) {
+// TestYieldEscalatesWhenReportsDiffer: if the nodes' reports differ and no item yields,
+// each node yields its share after yieldEscalateAfter.
+func TestYieldEscalatesWhenReportsDiffer(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	table := holders(1, 1, 1, 1, 1, 1, 1, 1)[0]
+	table := tablesWithItems(1, 1, 1, 1, 1, 1, 1, 1)[0]
 	table.SetDataCentre("there", map[string]InFlight{"t": {Online: 1}})
 	first := table.Excess(now)["t"]
-	is.Equal(table.Excess(now.Add(yieldPatience))["t"], 1)
+	is.Equal(table.Excess(now.Add(yieldEscalateAfter))["t"], 1)
 	table.SetDataCentre("there", nil)
 	is.Equal(len(table.Excess(now)), 0)
 	table.SetDataCentre("there", map[string]InFlight{"t": {Online: 1}})
-	is.Equal(table.Excess(now.Add(yieldPatience))["t"], first) // the time counts anew
+	is.Equal(table.Excess(now.Add(yieldEscalateAfter))["t"], first) // the time starts again
 }
 
-// TestRefusalMakesRoom: a target that refused for want of room is full, whatever
-// this table counts there.
-func TestRefusalMakesRoom(t *testing.T) {
+// TestRefusedRequestMakesItemsYield: a target that refused an online request because it
+// was full counts as full, whatever this table counts there.
+func TestRefusedRequestMakesItemsYield(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	table := holders(2)[0]
+	table := tablesWithItems(2)[0]
 	is.Equal(len(table.Excess(now)), 0)
 	table.MarkSaturated(now, "t")
 	is.Equal(table.Excess(now)["t"], 1)
 	table.MarkYielding("t")
 	is.Equal(len(table.Excess(now)), 0)
 	_, _ = table.EndBatch(now, "t", Neutral, true)
-	is.Equal(table.Excess(now)["t"], 1) // still refused: one more
+	is.Equal(table.Excess(now)["t"], 1) // the refusal still counts: one more yields
 	is.Equal(len(table.Excess(now.Add(saturatedFor))), 0)
 }
 
-// TestRefusedItemStopsNoOther: a target that refuses an item is full, so that no other is
-// sent there; but nobody waits for the slots of those that run.
+// TestRefusedItemStopsNoOther: no further item is sent to a target that refused an item,
+// but the items that run there continue, because no request waits for their slots.
 //
-// What happened: beside load all eight items of a node were stopped within a third of a
-// millisecond, none with an event, because one of them was refused for the slot that an
-// online request had taken (TestOnlineGoesFirst, where no item went on then). Why: any
-// refusal stood for a request that waits, for 50 ms, whoever had left meanwhile. What
-// showed it: item_failed with "online requests need the room" seven times after one with
-// "not run", and no request_broken.
+// The test guards against a refused item that stops all others of its node, as seen under
+// load in TestOnlineGoesFirst: one item was refused because an online request had taken
+// its slot, and seven others were then stopped within a third of a millisecond with
+// "online requests need the room". Any refusal counted as a waiting online request for
+// 50 ms, even if requests had left meanwhile.
 func TestRefusedItemStopsNoOther(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	table := holders(5)[0]
+	table := tablesWithItems(5)[0]
 	table.MarkItemRefused(now, "t")
 	is.Equal(len(table.Excess(now)), 0)
 	_, ok := table.Choose(now, Need{Service: "s", Batch: true})
 	is.True(!ok)
 	_, ok = table.Choose(now.Add(saturatedFor), Need{Service: "s", Batch: true})
 	is.True(ok)
-	table.MarkSaturated(now, "t") // and now a request
+	table.MarkSaturated(now, "t") // now an online request is refused
 	is.Equal(table.Excess(now)["t"], 1)
 }
 
-// TestSenderMakesRoomItself: the node that sends an online request to a full
-// target stops an item of its own there; only without one it tells the holders.
-func TestSenderMakesRoomItself(t *testing.T) {
+// TestSenderYieldsItsOwnItemFirst: the node that sends an online request to a full
+// target stops an item of its own there; only if it has none, it notifies the holders.
+func TestSenderYieldsItsOwnItemFirst(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	table := holders(1, 6)[0]
+	table := tablesWithItems(1, 6)[0]
 	table.SetDataCentre("there", map[string]InFlight{"t": {Batch: 1}})
 	table.Begin("t")
 	own, others := table.Preemption(now, "t")
 	is.True(own)
 	is.Equal(others, Holders{})
 	table.MarkYielding("t")
-	is.Equal(table.OwnInFlight()["t"], InFlight{Online: 1}) // others count on the slot already
+	is.Equal(table.OwnInFlight()["t"], InFlight{Online: 1}) // a yielding item is no longer reported
 	table.Begin("t")
 	own, others = table.Preemption(now, "t")
 	is.True(!own)
 	is.Equal(others, Holders{Nodes: []string{"n1"}, DataCentres: []string{"there"}})
-	own, others = holders(1, 2)[0].Preemption(now, "t")
+	own, others = tablesWithItems(1, 2)[0].Preemption(now, "t")
 	is.True(!own)
 	is.Equal(others, Holders{}) // there are free slots
 }
 
-// TestItemsMakeRoomSooner: of full targets an online request goes to one whose
-// items make room, not to one that serves other online requests first.
-func TestItemsMakeRoomSooner(t *testing.T) {
+// TestFullTargetWithItemsIsPreferred: if all targets are full, an online request goes to
+// one whose batch items yield, not to one that serves other online requests first.
+func TestFullTargetWithItemsIsPreferred(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	table := New(Config{EjectAfter: 2, EjectTime: time.Second, Policy: LeastOfFew, LocalDataCentre: "here"})
@@ -199,22 +199,22 @@
 	table.SetNode("other", map[string]InFlight{"a": {Online: 4}, "b": {Online: 2, Batch: 2}})
 	for range 2 {
 		target, _ := table.Choose(now, Need{Service: "s"})
-		is.Equal(target.ID, "b") // also before a free slot in another data centre
+		is.Equal(target.ID, "b") // even if another data centre has a free slot
 		table.Begin(target.ID)
 		table.SetNode("other", map[string]InFlight{"a": {Online: 4}, "b": {Online: 2, Batch: 1}, "c": {Online: 2}})
 	}
 }
 
-// TestBetterThanWaiting: a request leaves a target that lives only for one that
-// has a slot for it, and a target that may be dead for any.
-func TestBetterThanWaiting(t *testing.T) {
+// TestBetterElsewhere: a request moves away from a target that is alive only if another
+// has a free slot, and from one that may be dead to any that accepts it.
+func TestBetterElsewhere(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	const heard = 100 * time.Millisecond
+	const aliveWithin = 100 * time.Millisecond
 	need := Need{Service: "s", Overflow: 2}
-	table := slotTable(now)
+	table := twoCentreTable(now)
 	counts := func(b InFlight) { table.SetNode("other", map[string]InFlight{"a": {Online: 5}, "b": b}) }
-	better := func() bool { return table.BetterElsewhere(now, "a", need, heard) }
+	better := func() bool { return table.BetterElsewhere(now, "a", need, aliveWithin) }
 	table.RecordEvent(now, "a")
 	for _, c := range []struct {
 		b    InFlight
@@ -224,7 +224,7 @@
 		is.Equal(better(), c.want)
 	}
 	counts(InFlight{Online: 4})
-	now = now.Add(heard + 1)
+	now = now.Add(aliveWithin + 1)
 	is.True(better()) // b is full, but a may be dead
 	counts(InFlight{Online: 6})
 	is.True(!better()) // b takes no more
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -38,17 +38,17 @@
 mutant 2 internal/request/job/manager.go 's/return told \|\| m\.Ended/_ = told\n\treturn m.Ended/' lab/hosted TestEndedJobStops
 mutant 1 internal/request/job/progress.go 's/if id <= s\.held/if id < s.held/' internal/request/job TestEveryItemHasOnePosition
 mutant 1 internal/request/job/write.go 's/KindHeads, id, revision, value/KindHeads, id, 0*revision, value/' internal/request/job TestFormerHolderIsFenced
-mutant 3 internal/request/choose/deal.go 's/room \* claim \/ total/room * claim \/ max(1, total-claim)/' internal/request/choose TestDealNeverExceedsTheRoom
-mutant 3 internal/request/choose/yield.go 's/over := -e\.free\(\) - e\.yielding/over := -100/' lab/hosted TestOnlineGoesFirst
-mutant 3 internal/request/choose/yield.go 's/now\.Sub\(e\.overSince\) >= yieldPatience/now.Sub(e.overSince) >= 0/' internal/request/choose TestOneMakesRoomForOne
-mutant 3 internal/request/choose/yield.go 's/now\.Sub\(e\.overSince\) >= yieldPatience/now.Sub(e.overSince) > time.Hour/' internal/request/choose TestDifferentNewsStillMakesRoom
-mutant 3 internal/request/choose/reserve.go 's/reaction := awayReaction/reaction := homeReaction/' internal/request/choose TestReserveFollowsTheArrivals
+mutant 3 internal/request/choose/deal.go 's/slots \* claim \/ total/slots * claim \/ max(1, total-claim)/' internal/request/choose TestAllotNeverExceedsTheSlots
+mutant 3 internal/request/choose/yield.go 's/waiting := -e\.free\(\) - e\.yielding/waiting := -100/' lab/hosted TestOnlineGoesFirst
+mutant 3 internal/request/choose/yield.go 's/now\.Sub\(e\.waitingSince\) >= yieldEscalateAfter/now.Sub(e.waitingSince) >= 0/' internal/request/choose TestOneItemYieldsPerWaitingRequest
+mutant 3 internal/request/choose/yield.go 's/now\.Sub\(e\.waitingSince\) >= yieldEscalateAfter/now.Sub(e.waitingSince) > time.Hour/' internal/request/choose TestYieldEscalatesWhenReportsDiffer
+mutant 3 internal/request/choose/reserve.go 's/preemptTime := remotePreemptTime/preemptTime := localPreemptTime/' internal/request/choose TestReserveFollowsTheArrivals
 mutant 3 internal/connection/beacon/beacon.go 's/x\.tellHolders\(conn, target\)/_ = target/' internal/connection/beacon TestHoldersHearAtOnce
 mutant 3 internal/connection/beacon/send.go 's/if pass == v1\.Pass_PASS_NOT/if pass != v1.Pass_PASS_NOT/' internal/connection/beacon TestHoldersHearAtOnce
 mutant 3 internal/connection/beacon/view.go 's/rendezvous\.First\(p\.Node, speakers\) == v\.self/rendezvous.First(p.Node, speakers) == p.Node/' internal/connection/beacon TestEveryNodeHearsEveryGroup
 mutant 1 internal/connection/beacon/silence.go 's/told\.Sub\(w\.at\) > silentAfter/told.Sub(w.at) > time.Hour/' internal/connection/beacon TestSilenceIsToldOn
 mutant 3 internal/request/forward/forward.go 's/final == nil && Saturated\(err\)/final == nil \&\& Saturated(err) \&\& c.begun/' internal/request/forward TestRefusedRequestCountsWhileItWaits
-mutant 6 internal/request/choose/prefer.go 's/if key == 0 \{/if key < 1<<63 {/' internal/request/choose TestScatteredWorkParts
+mutant 6 internal/request/choose/prefer.go 's/if key == 0 \{/if key < 1<<63 {/' internal/request/choose TestScatterSeparatesRequests
 mutant 6 internal/request/run/run.go 's/promptLosses = 2/promptLosses = 60/' internal/request/run TestLostLinksAwaitLoadReports
 mutant 10 internal/version/workspace/workspace.go 's/x\.byKey\[hash\] = nil/x.byKey[hash] = holder/' internal/version/workspace TestKeysNameOneWorkspace
 mutant 10 platform/workspaces.go 's/h\.Del\(headerAuthorization\)/h.Del(headerWorkspace)/' lab/hosted TestTargetsLearnTheWorkspace
@@ -65,7 +65,7 @@
 mutant 10 internal/request/backlog/backlog.go 's/case now\.Sub\(b\.since\) >= learnTime:/case !now.Before(b.since):/' internal/request/backlog TestNewOwnerLearnsFirst
 mutant 10 internal/request/schedule/fair.go 's/return max\(f\.virtual, f\.tags\[name\]\)/return f.tags[name]/' internal/request/schedule TestFairWithinAWorkspaceIsByDue
 mutant 3 internal/request/forward/watchdog.go 's/if w\.better\(\)/if w.better() || w.gap > 0/' internal/request/forward TestQueuedRequestKeepsItsPlace
-mutant 3 internal/request/choose/better.go 's/now\.Sub\(e\.heardAt\) > heard/now.Sub(e.heardAt) > time.Hour/' internal/request/choose TestBetterThanWaiting
+mutant 3 internal/request/choose/better.go 's/now\.Sub\(e\.lastEventAt\) > aliveWithin/now.Sub(e.lastEventAt) > time.Hour/' internal/request/choose TestBetterElsewhere
 mutant 8 internal/request/job/handover.go 's/m\.handOver\(ctx, jobs\)//' lab/hosted TestLeavingNodeHandsOver
 mutant 9 internal/version/follow/cache.go 's/old\.Revision > o\.Revision \|\|/old.Revision > o.Revision+9 ||/' internal/version/follow TestOrderOfDeliveryDoesNotMatter
 mutant 9 internal/version/follow/refresh.go 's/objects\.ErrHistoryGone\)/objects.ErrNotFound)/' internal/version/follow TestLostHistoryIsListedAgain
@@ -84,7 +84,7 @@
 mutant 1 internal/request/checkpoint/checkpoint.go 's/saved\.Epoch < state\.epoch/saved.Epoch+9 < state.epoch/' internal/request/checkpoint TestFormerHolderIsIgnored
 mutant 1 internal/request/job/progress.go 's/s\.phase != waiting \|\| held <= s\.held/held <= s.held/' internal/request/job TestRestoreOnlyAdds
 mutant 1 internal/request/job/commit.go 's/head\.Parts, head\.Inline = parts, nil/head.Parts, head.Inline = 0*parts, nil/' internal/request/job TestItemsOfASmallJobAreAlwaysThere
-mutant 3 internal/request/choose/prefer.go 's/best\.freeOnline\(now\) >= homeRoom/best.freeOnline(now) > -99/' internal/request/choose TestHomeFirstThenElsewhere
+mutant 3 internal/request/choose/prefer.go 's/best\.freeOnline\(now\) >= localMinFree/best.freeOnline(now) > -99/' internal/request/choose TestLocalDataCentreFirst
 mutant 1 internal/request/job/sweep.go 's/since = at /_ = at /' internal/request/job TestSilenceCountsWhileTheStoreIsAway
 mutant 3 internal/connection/dial/dial.go 's/d\.at\(address\)\.failed\+\+/d.at(address)/' internal/connection/dial TestLimitFollowsTheNetwork
 mutant 8 internal/connection/dial/silent.go 's/Control: limitUnacknowledged,//' internal/connection/dial TestSilentConnectionsAreFound
@@ -112,13 +112,13 @@
 mutant 6 internal/request/forward/attempt.go 's/live\.Replaced\(longestGap\(req\.Route\)/live.Replaced(0*longestGap(req.Route)/' lab/hosted TestAnswerGoesOnAtTheNextStart
 mutant 6 internal/connection/dial/checked.go 's/c\.kept\.Swap\(false\) && c\.closed\(\)/c.kept.Swap(false) \&\& c.closed() \&\& c.raw == nil/' platform TestKeptConnectionsOfAnEndedProcess
 mutant 3 internal/request/job/run.go 's/\tm\.mu\.Lock\(\)\n\tdelete\(h\.stops, i\)\n\tm\.mu\.Unlock\(\)\n//' internal/request/job TestItemsThatHaveLeftAreNotLeaving
-mutant 3 internal/request/choose/room.go 's/e\.full = now/e.saturated = now/' internal/request/choose TestRefusedItemStopsNoOther
+mutant 3 internal/request/choose/room.go 's/e\.itemsRefusedUntil = now/e.saturatedUntil = now/' internal/request/choose TestRefusedItemStopsNoOther
 mutant 3 internal/request/forward/place.go 's/f\.Targets\.RoomExpected\(req\.Service\)/f.Targets == nil/' internal/request/forward TestRoomOfItemsIsWaitedFor
 mutant 3 internal/process/hosted/peers.go 's/\]\.Boot != n\.boot \{/].Boot != n.boot \&\& n.boot < 0 {/' internal/process/hosted TestNodeJoinsOnceItIsKnown
 mutant 1 internal/request/homes/durable.go 's/case k\.membership\(\)\.SilentSeeds:/case k.membership().SilentSeeds \&\& centre == requestID:/' internal/request/homes TestWhatIsNotHeardYetIsNotDenied
 mutant 1 internal/process/membership/membership.go 's/!m\.beat\(ctx, seed, ""\);/!m.beat(ctx, seed, "") \&\& pause < 0;/' internal/process/membership TestEverySeedIsAskedUntilItAnswers
 mutant 11 internal/request/choose/eligible.go 's/case t\.evacuated\[e\.DataCentre\]:/case t.evacuated[e.DataCentre] \&\& need.Batch:/' internal/request/choose TestEvacuatedTargetsGetNothing
-mutant 11 internal/request/choose/eligible.go 's/t\.warmUp\(now, e, t\.warmUpOf\(e\.Service\)\.Time\)/_ = e/' internal/request/choose TestReturnedTargetsWarmUp
+mutant 11 internal/request/choose/eligible.go 's/t\.startWarmUp\(now, e, t\.warmUpRate\(e\.Service\)\.Time\)/_ = e/' internal/request/choose TestReturnedTargetsWarmUp
 mutant 11 internal/process/hosted/evacuation.go 's/n\.pool\.Evacuate\(evacuated\)/n.pool.Evacuate(nil)/' lab/hosted TestEvacuatedDataCentreGetsNothing
 mutant 11 internal/request/job/evacuate.go 's/items := m\.runningWhere\(m\.Pool\.Evacuated\)/items := m.runningWhere(m.Pool.Evacuated)[:0]/' lab/hosted TestItemsLeaveAnEvacuatedDataCentre
 mutant 11 internal/request/forward/place.go 's/if f\.evacuated\(req, c\) \|\| /if /' internal/request/forward TestNoTargetLeftIsSaidAtOnce
@@ -126,5 +126,5 @@
 mutant 12 internal/request/warmup/warmup.go 's/place := \(uint64\(s\.Index\) \+ /place := uint64(0) * (uint64(s.Index) + /' internal/request/warmup TestTurnsKeepTheRate
 mutant 12 internal/request/choose/warm.go 's/turn != warmup\.NoTurn && turn != e\.lastTurn/turn != warmup.NoTurn/' internal/request/choose TestReturnedTargetsWarmUp
 mutant 12 internal/request/choose/warm.go 's/if until := now\.Add\(left\); until\.After\(e\.warmAt\)/if until := now.Add(left); left > 0/' internal/request/choose TestWarmUpIsNotCutShort
-mutant 12 internal/request/choose/choose.go 's/case len\(cold\) > 0 && !hasRoom\(now, out\) && !hasRoom\(now, full\):/case len(cold) > 0:/' internal/request/choose TestColdTargetsComeAfterWarmOnes
+mutant 12 internal/request/choose/choose.go 's/case len\(cold\) > 0 && !anyFree\(now, out\) && !anyFree\(now, full\):/case len(cold) > 0:/' internal/request/choose TestColdTargetsComeAfterWarmOnes
 exit $missed
