--- a/internal/request/forward/attempt.go
+++ b/internal/request/forward/attempt.go
@@ -12,43 +12,43 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// errCallerGone marks an attempt that ended because the caller took nothing more.
-var errCallerGone = errors.New("the caller is gone")
+// errCallerDisconnected ends an attempt whose answer can't be written to the caller.
+var errCallerDisconnected = errors.New("the caller disconnected")
 
-// attempt sends the request to one target and passes the answer on. The error
-// is a *target.Error or errCallerGone.
-func (f *Forwarder) attempt(ctx context.Context, req *Request, t choose.Target, caller Caller, c *course) error {
+// attempt sends the request to one target and forwards the answer to the caller.
+// The error is a *target.Error or errCallerDisconnected.
+func (f *Forwarder) attempt(ctx context.Context, req *Request, t choose.Target, caller Caller, p *progress) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	need := f.need(req, c)
-	need.Exclude = maps.Clone(need.Exclude) // the watchdog looks at it from its timer
-	better := func() bool { return f.Targets.Better(t.ID, need, longestGap(req.Route)) }
-	watch := newWatchdog(req.Route, c.ran, better, cancel)
+	need := f.need(req, p)
+	need.Exclude = maps.Clone(need.Exclude) // the watchdog reads it from a timer's goroutine
+	better := func() bool { return f.Targets.Better(t.ID, need, gapTimeout(req.Route)) }
+	watch := newWatchdog(req.Route, p.ran, better, cancel)
 	defer watch.stop()
-	live := &target.Liveness{}
-	defer live.Stop()
+	liveness := &target.Liveness{}
+	defer liveness.Stop()
 	defer f.Targets.WhenGone(t, func() {
 		if !f.Quarantine.EndedBefore(t) {
-			live.Replaced(longestGap(req.Route), func() { cancel(errReplaced) })
+			liveness.Replaced(gapTimeout(req.Route), func() { cancel(errRestarted) })
 		}
 	})()
-	defer f.Quarantine.OnRefusal(&req.Work, func() { cancel(errRefused) })()
+	defer f.Quarantine.OnRefusal(&req.Work, func() { cancel(errQuarantined) })()
 	sent := f.Now()
 	answer, err := f.Sender.Send(ctx, target.Call{
 		Address: t.Addr, InstanceID: t.ID, Incarnation: t.Incarnation, RequestID: req.ID, Workspace: req.Workspace, Method: req.Method, Host: req.Host, Path: req.Path,
-		Header: req.Header, Body: req.Body, ResumeAfter: c.held, Deadline: req.Deadline,
+		Header: req.Header, Body: req.Body, ResumeAfter: p.lastEventID, Deadline: req.Deadline,
 	})
 	if err != nil {
-		return f.cause(ctx, err)
+		return f.cancelCause(ctx, err)
 	}
 	if answer.Stream == nil {
-		return f.whole(req, t, answer, caller, c)
+		return f.respond(req, t, answer, caller, p)
 	}
 	defer answer.Stream.Close()
-	if !c.begun {
-		c.begun = true
+	if !p.begun {
+		p.begun = true
 		if err := caller.Begin(answer); err != nil {
-			return errCallerGone
+			return errCallerDisconnected
 		}
 	}
 	first := true
@@ -57,80 +57,81 @@
 		if errors.Is(err, io.EOF) {
 			f.Quarantine.Completed(&req.Work)
 			f.Targets.Occupied(req.Service, f.Now().Sub(sent))
-			f.Log.Answered(req, t, AnswerSummary{Status: answer.Status, Events: c.events, FirstEvent: c.first, LongestGap: c.pause})
-			return f.ended(caller)
+			f.Log.Answered(req, t, AnswerSummary{Status: answer.Status, Events: p.events, FirstEvent: p.firstEvent, LongestGap: p.longestGap})
+			return f.endStream(caller)
 		}
 		if err != nil {
-			return f.cause(ctx, err)
+			return f.cancelCause(ctx, err)
 		}
-		live.Brought()
-		watch.event()
+		liveness.Brought()
+		watch.eventReceived()
 		f.Targets.Heard(t)
 		if first {
 			f.Targets.FirstEvent(t, f.Now().Sub(sent))
 			first = false
 		}
-		if err := f.pass(req, event, caller, c); err != nil {
+		if err := f.forwardEvent(req, event, caller, p); err != nil {
 			return err
 		}
 	}
 }
 
-// pass hands one event on, unless the caller has it already.
-func (f *Forwarder) pass(req *Request, event target.Event, caller Caller, c *course) error {
+// forwardEvent sends one event to the caller, unless the caller has it already.
+func (f *Forwarder) forwardEvent(req *Request, event target.Event, caller Caller, p *progress) error {
 	if event.ID > 0 {
-		if event.ID <= c.held {
+		if event.ID <= p.lastEventID {
 			return nil
 		}
-		c.held = event.ID
+		p.lastEventID = event.ID
 	}
-	c.passed(f.Now(), req.Arrived)
+	p.recordEvent(f.Now(), req.Arrived)
 	if err := caller.Event(event); err != nil {
-		return errCallerGone
+		return errCallerDisconnected
 	}
 	return nil
 }
 
-// passed notes that an event is passed on now.
-func (c *course) passed(now, arrived time.Time) {
-	c.events++
-	if c.newest.IsZero() {
-		c.first = now.Sub(arrived)
+// recordEvent records that an event is forwarded now.
+func (p *progress) recordEvent(now, arrived time.Time) {
+	p.events++
+	if p.lastEventAt.IsZero() {
+		p.firstEvent = now.Sub(arrived)
 	} else {
-		c.pause = max(c.pause, now.Sub(c.newest))
+		p.longestGap = max(p.longestGap, now.Sub(p.lastEventAt))
 	}
-	c.newest = now
+	p.lastEventAt = now
 }
 
-func (f *Forwarder) ended(caller Caller) error {
+func (f *Forwarder) endStream(caller Caller) error {
 	if err := caller.End(); err != nil {
-		return errCallerGone
+		return errCallerDisconnected
 	}
 	return nil
 }
 
-// whole passes on an answer that came in one piece. A failure of a request
-// that may be repeated is tried elsewhere while attempts are left.
-func (f *Forwarder) whole(req *Request, t choose.Target, answer *target.Answer, caller Caller, c *course) error {
-	if answer.Status >= http.StatusInternalServerError && (c.begun || (req.Route.Repeatable() && c.ran+1 < req.Route.Attempts)) {
+// respond forwards an answer that is not streamed. A server error is returned as a
+// failed attempt if the request may be repeated and attempts are left.
+func (f *Forwarder) respond(req *Request, t choose.Target, answer *target.Answer, caller Caller, p *progress) error {
+	if answer.Status >= http.StatusInternalServerError && (p.begun || (req.Route.Repeatable() && p.ran+1 < req.Route.Attempts)) {
 		return &target.Error{End: target.Broken, Cause: errors.New("the target answered " + http.StatusText(answer.Status))}
 	}
-	if c.begun {
+	if p.begun {
 		return &target.Error{End: target.Broken, Cause: errors.New("the target answered a resumed stream with " + http.StatusText(answer.Status))}
 	}
 	f.Quarantine.Completed(&req.Work)
 	f.Log.Answered(req, t, AnswerSummary{Status: answer.Status})
 	if err := caller.Respond(answer); err != nil {
-		return errCallerGone
+		return errCallerDisconnected
 	}
 	return nil
 }
 
-// cause puts the reason in place of a bare cancellation.
-func (f *Forwarder) cause(ctx context.Context, err error) error {
-	for _, ended := range []error{errStalled, errReplaced, errRefused} {
-		if errors.Is(context.Cause(ctx), ended) {
-			return &target.Error{End: target.Broken, Cause: ended}
+// cancelCause replaces the error of an attempt that the forwarder cancelled with the
+// reason for the cancellation.
+func (f *Forwarder) cancelCause(ctx context.Context, err error) error {
+	for _, cause := range []error{errStalled, errRestarted, errQuarantined} {
+		if errors.Is(context.Cause(ctx), cause) {
+			return &target.Error{End: target.Broken, Cause: cause}
 		}
 	}
 	return err
--- a/internal/request/forward/judge.go
+++ b/internal/request/forward/judge.go
@@ -10,74 +10,76 @@
 	"github.com/marblepond/marblepond/internal/request/quarantine"
 )
 
-// expired returns the error of a request whose deadline is over.
-func expired(c *course) error {
-	if c.ran > 0 || c.begun {
-		return errkind.DeadlineExceeded.New("the answer was not whole at the deadline")
+// expired returns the error of a request whose deadline has passed.
+func expired(p *progress) error {
+	if p.ran > 0 || p.begun {
+		return errkind.DeadlineExceeded.New("the answer was incomplete at the deadline")
 	}
-	return errkind.DeadlineUnmeetable.New("the deadline was over before the request was sent")
+	return errkind.DeadlineUnmeetable.New("the deadline passed before the request was sent")
 }
 
-func givenUp(ctx context.Context) error {
+func interrupted(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return errkind.Cancelled.New("the caller went away")
+		return errkind.Cancelled.New("the caller disconnected")
 	}
-	return errkind.DeadlineExceeded.New("the answer was not whole at the deadline")
+	return errkind.DeadlineExceeded.New("the answer was incomplete at the deadline")
 }
 
-// judge returns the final error of the request, or nil to try again.
-func (f *Forwarder) judge(ctx context.Context, req *Request, t choose.Target, c *course, err error) error {
-	c.last = err
-	c.exclude[t.ID] = true
+// finalError returns the error with which the request ends after a failed attempt, or nil
+// to try again.
+func (f *Forwarder) finalError(ctx context.Context, req *Request, t choose.Target, p *progress, err error) error {
+	p.lastErr = err
+	p.exclude[t.ID] = true
 	end := target.EndOf(err)
 	if end.Ran() {
-		c.ran++
+		p.ran++
 	}
-	c.lost = c.lost || lostTarget(err)
-	f.note(req, t, err)
+	p.connectionLost = p.connectionLost || lostConnection(err)
+	f.reportFailure(req, t, err)
 	switch {
-	case ctx.Err() != nil && (c.ran > 0 || c.begun):
-		return givenUp(ctx)
+	case ctx.Err() != nil && (p.ran > 0 || p.begun):
+		return interrupted(ctx)
 	case ctx.Err() != nil:
 		return errkind.DeadlineUnmeetable.New("no target took the request before its deadline")
-	case errors.Is(err, errCallerGone):
-		return errkind.Cancelled.New("the caller went away")
-	case errors.Is(err, errRefused):
-		return f.refusal(req)
+	case errors.Is(err, errCallerDisconnected):
+		return errkind.Cancelled.New("the caller disconnected")
+	case errors.Is(err, errQuarantined):
+		return f.quarantineError(req)
 	case !end.Ran():
 		return nil
 	case !req.Route.Repeatable():
 		return errkind.UnknownOutcome.New("the target failed after the request was sent: %v", err)
-	case c.ran >= max(1, req.Route.Attempts):
-		return errkind.TargetFailed.New("the request may run on %d targets; the last failed with: %v", req.Route.Attempts, err)
+	case p.ran >= max(1, req.Route.Attempts):
+		return errkind.TargetFailed.New("the limit of %d attempts is reached; the last failed with: %v", req.Route.Attempts, err)
 	}
 	return nil
 }
 
-// refusal returns the error of a request that was stopped because targets crash under
-// it.
-func (f *Forwarder) refusal(req *Request) error {
+// quarantineError returns the error of a request that was stopped because targets crash
+// while they run it.
+func (f *Forwarder) quarantineError(req *Request) error {
 	if err := f.Quarantine.Refuse(&req.Work); err != nil {
 		return err
 	}
-	return errkind.UnknownOutcome.New("it was stopped while targets seemed to crash under it")
+	return errkind.UnknownOutcome.New("the request was stopped because targets seemed to crash while they ran it")
 }
 
-// lostTarget reports whether a target was lost with the request, for all that is known.
-func lostTarget(err error) bool {
+// lostConnection reports whether an attempt ended because its target restarted or the
+// connection to it broke.
+func lostConnection(err error) bool {
 	var failure *target.Error
-	return errors.Is(err, errReplaced) || (errors.As(err, &failure) && failure.ConnectionLost)
+	return errors.Is(err, errRestarted) || (errors.As(err, &failure) && failure.ConnectionLost)
 }
 
-// note tells the table of targets and the quarantine what a failure says about the
-// target.
-func (f *Forwarder) note(req *Request, t choose.Target, err error) {
+// reportFailure reports to the table of targets and to the quarantine what a failed attempt
+// shows about its target.
+func (f *Forwarder) reportFailure(req *Request, t choose.Target, err error) {
 	var failure *target.Error
 	if !errors.As(err, &failure) {
 		return
 	}
 	switch {
-	case errors.Is(err, errReplaced):
+	case errors.Is(err, errRestarted):
 		f.Quarantine.Lost(&req.Work, t)
 		f.Quarantine.Ended(t, quarantine.Restarted)
 	case failure.End == target.WrongInstance:
@@ -92,7 +94,7 @@
 	}
 }
 
-// outcomeOf tells what an attempt's error says of its target.
+// outcomeOf returns how an attempt's result counts for the health of its target.
 func outcomeOf(err error) choose.Outcome {
 	if err == nil {
 		return choose.Success
@@ -100,7 +102,7 @@
 	if errors.Is(err, errStalled) {
 		return choose.Failure
 	}
-	if errors.Is(err, errRefused) {
+	if errors.Is(err, errQuarantined) {
 		return choose.Neutral
 	}
 	switch target.EndOf(err) {
--- a/internal/request/forward/place.go
+++ b/internal/request/forward/place.go
@@ -17,79 +17,82 @@
 	return errors.As(err, &failure) && failure.Saturated
 }
 
-// place finds a target with room, for as long as mayWait allows.
-func (f *Forwarder) place(ctx context.Context, req *Request, c *course) (choose.Target, bool) {
-	defer f.leaveLine(c)
-	pause := roomPause
-	if c.begun {
-		pause = continuePause
+// awaitTarget chooses a target with free capacity. It waits for one as long as mayWait
+// allows.
+func (f *Forwarder) awaitTarget(ctx context.Context, req *Request, p *progress) (choose.Target, bool) {
+	defer f.stopWaiting(p)
+	pause := capacityPollInterval
+	if p.begun {
+		pause = resumePollInterval
 	}
 	for {
-		if t, ok := f.Targets.Choose(f.need(req, c)); ok {
+		if t, ok := f.Targets.Choose(f.need(req, p)); ok {
 			return t, true
 		}
-		if f.evacuated(req, c) || !f.mayWait(req, c) || !wait.For(ctx, pause) {
+		if f.evacuated(req, p) || !f.mayWait(req, p) || !wait.For(ctx, pause) {
 			return choose.Target{}, false
 		}
-		if c.begun || c.ran == 0 {
-			clear(c.exclude) // those that refused may have room by now
+		if p.begun || p.ran == 0 {
+			clear(p.exclude) // targets that refused the request may have free capacity by now
 		}
 	}
 }
 
-// mayWait reports whether a request may go on waiting for room: one whose caller already
-// has part of the answer until its deadline, any other for a short part of its objective,
-// and where batch items are to make room for it for as long as it can begin in time. To
-// refuse it sooner would have the caller pay for the items.
-func (f *Forwarder) mayWait(req *Request, c *course) bool {
+// mayWait reports whether a request may go on waiting for free capacity. A request whose
+// caller has part of the answer may wait until its deadline, any other for a short part of
+// its objective. Where batch items are expected to yield their slots it may wait as long
+// as it can still begin within its objective, so that batch work costs no online request.
+func (f *Forwarder) mayWait(req *Request, p *progress) bool {
 	now := f.Now()
 	waited := now.Sub(req.Arrived)
 	switch {
-	case c.begun:
+	case p.begun:
 		return now.Before(req.Deadline)
-	case waited < time.Duration(roomShare*float64(req.Route.Objective)):
+	case waited < time.Duration(capacityWaitShare*float64(req.Route.Objective)):
 		return true
 	}
-	return c.ran == 0 && waited < req.Route.Objective && f.Targets.RoomExpected(req.Service)
+	return p.ran == 0 && waited < req.Route.Objective && f.Targets.RoomExpected(req.Service)
 }
 
-// evacuated reports whether a request is refused at once because no target is left that it
-// may be sent to. One whose caller has part of the answer waits, until its deadline.
-func (f *Forwarder) evacuated(req *Request, c *course) bool {
-	return !c.begun && f.Targets.AllEvacuated(req.Service)
+// evacuated reports whether a request is refused at once because all data centres with
+// targets of its service are evacuated. A request whose caller has part of the answer waits
+// until its deadline instead.
+func (f *Forwarder) evacuated(req *Request, p *progress) bool {
+	return !p.begun && f.Targets.AllEvacuated(req.Service)
 }
 
-// leaveLine ends the wait of a request at the target that refused it.
-func (f *Forwarder) leaveLine(c *course) {
-	if c.inLine != nil {
-		f.Targets.End(*c.inLine, choose.Neutral)
-		c.inLine = nil
+// stopWaiting stops counting a request as in flight at the full target that refused it.
+func (f *Forwarder) stopWaiting(p *progress) {
+	if p.waitingAt != nil {
+		f.Targets.End(*p.waitingAt, choose.Neutral)
+		p.waitingAt = nil
 	}
 }
 
-// need returns what the request asks of its next target.
-func (f *Forwarder) need(req *Request, c *course) choose.Need {
-	// What was in flight at a crash may cause the next one, or was beside what did. Two
-	// of them must not meet: apart, the proper ones are answered and clear of it.
-	need := choose.Need{Service: req.Service, Exclude: c.exclude, Overflow: overflow, Apart: f.Quarantine.Suspected(&req.Work)}
-	if c.lost {
+// need returns the requirements on the next target of the request.
+func (f *Forwarder) need(req *Request, p *progress) choose.Need {
+	// A suspect was in flight at a crash and either caused it or ran there by chance. Two
+	// suspects must not run at one target: run separately, the harmless ones are answered,
+	// which clears them.
+	need := choose.Need{Service: req.Service, Exclude: p.exclude, Overflow: overflow, Apart: f.Quarantine.Suspected(&req.Work)}
+	if p.connectionLost {
 		need.ScatterKey = req.Work.ID().Key()
 	}
 	return need
 }
 
-// unplaced returns the error of a request that no target can take.
-func (f *Forwarder) unplaced(ctx context.Context, req *Request, c *course) error {
+// noTargetError returns the error of a request for which no target was found.
+func (f *Forwarder) noTargetError(ctx context.Context, req *Request, p *progress) error {
 	switch {
-	case c.ran > 0 && ctx.Err() != nil:
-		return givenUp(ctx)
-	case c.ran > 0:
-		return errkind.TargetFailed.New("every target tried failed, the last with: %v", c.last)
+	case p.ran > 0 && ctx.Err() != nil:
+		return interrupted(ctx)
+	case p.ran > 0:
+		return errkind.TargetFailed.New("every target tried failed, the last with: %v", p.lastErr)
 	case errors.Is(ctx.Err(), context.Canceled):
-		return errkind.Cancelled.New("the caller went away before the request was sent")
+		return errkind.Cancelled.New("the caller disconnected before the request was sent")
 	}
-	if f.evacuated(req, c) {
+	if f.evacuated(req, p) {
 		return errkind.NoTarget.New("every data centre with targets of service %s is evacuated", req.Service)
 	}
-	return errkind.NoTarget.New("no target has room; last refusal: %v", c.last)
+	return errkind.NoTarget.New("no target has free capacity; last refusal: %v", p.lastErr)
 }
--- a/internal/request/forward/watchdog.go
+++ b/internal/request/forward/watchdog.go
@@ -9,60 +9,61 @@
 )
 
 const (
-	// firstShare is the share of the objective after which a target that has
-	// sent no event is given up: enough is left to be served elsewhere in time.
-	firstShare = 0.5
-	// gapShare is the share of the longest allowed pause after which a target in
-	// mid-stream is given up.
+	// firstEventShare is the share of the objective after which an attempt without an
+	// event may be given up. The rest is enough to be served elsewhere in time.
+	firstEventShare = 0.5
+	// gapShare is the share of the longest allowed gap between two events after which an
+	// attempt may be given up in mid-stream.
 	gapShare = 0.5
-	// leastStall keeps short objectives from giving up healthy targets.
-	leastStall = 80 * time.Millisecond
+	// minStallTimeout keeps short objectives from giving up attempts at healthy targets.
+	minStallTimeout = 80 * time.Millisecond
 )
 
-// lookPause is the time between looks for a better place while a silent target
-// is kept: short beside the usual objective of 300 ms.
-const lookPause = 25 * time.Millisecond
+// recheckInterval is the interval at which an attempt at an unresponsive target is checked
+// for a better target; it is short compared with the usual objective of 300 ms.
+const recheckInterval = 25 * time.Millisecond
 
-// watchdog ends an attempt whose target is silent and that would come sooner to
-// its next event elsewhere. It only watches streams that may still go on
-// elsewhere; for all others silence is no reason to end.
+// watchdog cancels an attempt whose target sends no event for too long, if another target
+// would send the next event sooner. It only watches streams that may still be resumed at
+// another target; other attempts are never cancelled for lack of events.
 type watchdog struct {
-	mu      sync.Mutex
-	timer   *time.Timer // nil: nothing is watched
-	gap     time.Duration
-	better  func() bool // another target would take the request sooner
-	stopped bool
+	mu         sync.Mutex
+	timer      *time.Timer // nil if the attempt is not watched
+	gapTimeout time.Duration
+	better     func() bool // reports whether another target would answer sooner
+	stopped    bool
 }
 
 func newWatchdog(r *route.Route, ran int, better func() bool, cancel context.CancelCauseFunc) *watchdog {
 	if r.Kind != route.Stream || !r.Resumable || ran+1 >= r.Attempts || r.Objective <= 0 || r.GapObjective <= 0 {
 		return &watchdog{}
 	}
-	first := max(leastStall, time.Duration(firstShare*float64(r.Objective)))
-	w := &watchdog{gap: longestGap(r), better: better}
+	first := max(minStallTimeout, time.Duration(firstEventShare*float64(r.Objective)))
+	w := &watchdog{gapTimeout: gapTimeout(r), better: better}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.timer = time.AfterFunc(first, func() { w.expired(cancel) })
 	return w
 }
 
-// longestGap returns the time without an event after which a target counts as
-// silent.
-func longestGap(r *route.Route) time.Duration {
-	return max(leastStall, time.Duration(gapShare*float64(r.GapObjective)))
+// gapTimeout returns the time without an event after which a target counts as
+// unresponsive.
+func gapTimeout(r *route.Route) time.Duration {
+	return max(minStallTimeout, time.Duration(gapShare*float64(r.GapObjective)))
 }
 
-// expired ends the attempt, or looks again soon while no other target is better.
+// expired cancels the attempt if another target is better, and otherwise checks again
+// after recheckInterval.
 func (w *watchdog) expired(cancel context.CancelCauseFunc) {
 	if w.better() {
 		cancel(errStalled)
 		return
 	}
-	w.reset(lookPause)
+	w.reset(recheckInterval)
 }
 
-// event notes that the target has sent an event.
-func (w *watchdog) event() { w.reset(w.gap) }
+// eventReceived restarts the timer for the gap to the next event.
+func (w *watchdog) eventReceived() { w.reset(w.gapTimeout) }
 
 func (w *watchdog) reset(d time.Duration) {
 	w.mu.Lock()
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -33,8 +33,8 @@
 mutant 7 internal/request/choose/eligible.go 's/case e\.leaving:/case e.leaving \&\& e.failures < 0:/' internal/request/choose TestLeavingIsForGood
 mutant 8 internal/process/node/node.go 's/n\.callerHTTP\.Shutdown\(ctx\)/n.callerHTTP.Close()/' lab/e2e TestRollingDrain
 mutant 9 lab/platform/server.go 's/version == want && version != 0/version >= 0 \&\& want >= 0/' lab/e2e TestOperatorsRace
-mutant 6 internal/request/forward/judge.go 's/case !req\.Route\.Repeatable\(\):/case !req.Route.Repeatable() \&\& c.begun:/' lab/hosted TestAtMostOnce
-mutant 5 internal/request/forward/place.go 's/case c\.ran > 0:/case c.ran > 5:/' lab/hosted TestRepeatable
+mutant 6 internal/request/forward/judge.go 's/case !req\.Route\.Repeatable\(\):/case !req.Route.Repeatable() \&\& p.begun:/' lab/hosted TestAtMostOnce
+mutant 5 internal/request/forward/place.go 's/case p\.ran > 0:/case p.ran > 5:/' lab/hosted TestRepeatable
 mutant 2 internal/request/job/manager.go 's/return told \|\| m\.Ended/_ = told\n\treturn m.Ended/' lab/hosted TestEndedJobStops
 mutant 1 internal/request/job/progress.go 's/if id <= s\.held/if id < s.held/' internal/request/job TestEveryItemHasOnePosition
 mutant 1 internal/request/job/write.go 's/KindHeads, id, revision, value/KindHeads, id, 0*revision, value/' internal/request/job TestFormerHolderIsFenced
@@ -47,7 +47,7 @@
 mutant 3 internal/connection/beacon/send.go 's/if pass == v1\.Pass_PASS_NOT/if pass != v1.Pass_PASS_NOT/' internal/connection/beacon TestHoldersHearAtOnce
 mutant 3 internal/connection/beacon/view.go 's/rendezvous\.First\(p\.Node, speakers\) == v\.self/rendezvous.First(p.Node, speakers) == p.Node/' internal/connection/beacon TestEveryNodeHearsEveryGroup
 mutant 1 internal/connection/beacon/silence.go 's/told\.Sub\(w\.at\) > silentAfter/told.Sub(w.at) > time.Hour/' internal/connection/beacon TestSilenceIsToldOn
-mutant 3 internal/request/forward/forward.go 's/final == nil && Saturated\(err\)/final == nil \&\& Saturated(err) \&\& c.begun/' internal/request/forward TestRefusedRequestCountsWhileItWaits
+mutant 3 internal/request/forward/forward.go 's/final == nil && Saturated\(err\)/final == nil \&\& Saturated(err) \&\& p.begun/' internal/request/forward TestRefusedRequestCountsWhileItWaits
 mutant 6 internal/request/choose/prefer.go 's/if key == 0 \{/if key < 1<<63 {/' internal/request/choose TestScatteredWorkParts
 mutant 6 internal/request/run/run.go 's/promptLosses = 2/promptLosses = 60/' internal/request/run TestLostLinksAwaitLoadReports
 mutant 10 internal/version/workspace/workspace.go 's/x\.byKey\[hash\] = nil/x.byKey[hash] = holder/' internal/version/workspace TestKeysNameOneWorkspace
@@ -64,7 +64,7 @@
 mutant 10 internal/request/backlog/backlog.go 's/case waiting > limit:/case waiting > 2*limit:/' internal/request/backlog TestOneOfTwoTakesTheLastRoom
 mutant 10 internal/request/backlog/backlog.go 's/case now\.Sub\(b\.since\) >= learnTime:/case !now.Before(b.since):/' internal/request/backlog TestNewOwnerLearnsFirst
 mutant 10 internal/request/schedule/fair.go 's/return max\(f\.virtual, f\.tags\[name\]\)/return f.tags[name]/' internal/request/schedule TestFairWithinAWorkspaceIsByDue
-mutant 3 internal/request/forward/watchdog.go 's/if w\.better\(\)/if w.better() || w.gap > 0/' internal/request/forward TestQueuedRequestKeepsItsPlace
+mutant 3 internal/request/forward/watchdog.go 's/if w\.better\(\)/if w.better() || w.gapTimeout > 0/' internal/request/forward TestQueuedRequestKeepsItsPlace
 mutant 3 internal/request/choose/better.go 's/now\.Sub\(e\.heardAt\) > heard/now.Sub(e.heardAt) > time.Hour/' internal/request/choose TestBetterThanWaiting
 mutant 8 internal/request/job/handover.go 's/m\.handOver\(ctx, jobs\)//' lab/hosted TestLeavingNodeHandsOver
 mutant 9 internal/version/follow/cache.go 's/old\.Revision > o\.Revision \|\|/old.Revision > o.Revision+9 ||/' internal/version/follow TestOrderOfDeliveryDoesNotMatter
@@ -89,7 +89,7 @@
 mutant 3 internal/connection/dial/dial.go 's/d\.at\(address\)\.failed\+\+/d.at(address)/' internal/connection/dial TestLimitFollowsTheNetwork
 mutant 8 internal/connection/dial/silent.go 's/Control: limitUnacknowledged,//' internal/connection/dial TestSilentConnectionsAreFound
 mutant 1 internal/process/clock/clock.go 's/c\.suspended = away/_ = away/' internal/process/clock TestSuspensionsCount
-mutant 6 internal/request/forward/forward.go 's/if !f\.Now\(\)\.Before\(req\.Deadline\)/if c.begun \&\& f.Now().IsZero()/' internal/request/forward TestDeadlineCountsSuspensions
+mutant 6 internal/request/forward/forward.go 's/if !f\.Now\(\)\.Before\(req\.Deadline\)/if p.begun \&\& f.Now().IsZero()/' internal/request/forward TestDeadlineCountsSuspensions
 mutant 1 internal/request/job/run.go 's/m\.Clock\.Since\(looked\)/time.Since(looked)/' internal/request/job TestSuspendedHolderAsksTheStore
 mutant 1 internal/connection/beacon/send.go 's/w\.at\.After\(x\.woke\) && //' internal/connection/beacon TestSuspendedNodeTellsNothingOld
 mutant 1 internal/request/batch/lease.go 's/w\.clock\.Since\(l\.renewed\)/time.Since(l.renewed)/' internal/request/batch TestLeaseRunsOutDuringASuspension
@@ -109,7 +109,7 @@
 mutant 5 internal/request/quarantine/verdict.go 's/ && !t\.explains\(other\)//' internal/request/quarantine TestSeveralInStep
 mutant 6 internal/process/crashes/watch.go 's/w\.Leaving\(t\) \|\| w\.EndedBefore\(t\)/w.Leaving(t)/' internal/process/crashes TestLaterAttemptIsNotAccused
 mutant 6 internal/connection/target/liveness.go 's/silent-time\.Since\(l\.last\)/0*(silent-time.Since(l.last))/' internal/connection/target TestSilentAttemptIsLost
-mutant 6 internal/request/forward/attempt.go 's/live\.Replaced\(longestGap\(req\.Route\)/live.Replaced(0*longestGap(req.Route)/' lab/hosted TestAnswerGoesOnAtTheNextStart
+mutant 6 internal/request/forward/attempt.go 's/liveness\.Replaced\(gapTimeout\(req\.Route\)/liveness.Replaced(0*gapTimeout(req.Route)/' lab/hosted TestAnswerGoesOnAtTheNextStart
 mutant 6 internal/connection/dial/checked.go 's/c\.kept\.Swap\(false\) && c\.closed\(\)/c.kept.Swap(false) \&\& c.closed() \&\& c.raw == nil/' platform TestKeptConnectionsOfAnEndedProcess
 mutant 3 internal/request/job/run.go 's/\tm\.mu\.Lock\(\)\n\tdelete\(h\.stops, i\)\n\tm\.mu\.Unlock\(\)\n//' internal/request/job TestItemsThatHaveLeftAreNotLeaving
 mutant 3 internal/request/choose/room.go 's/e\.full = now/e.saturated = now/' internal/request/choose TestRefusedItemStopsNoOther
@@ -121,7 +121,7 @@
 mutant 11 internal/request/choose/eligible.go 's/t\.warmUp\(now, e, t\.warmUpOf\(e\.Service\)\.Time\)/_ = e/' internal/request/choose TestReturnedTargetsWarmUp
 mutant 11 internal/process/hosted/evacuation.go 's/n\.pool\.Evacuate\(evacuated\)/n.pool.Evacuate(nil)/' lab/hosted TestEvacuatedDataCentreGetsNothing
 mutant 11 internal/request/job/evacuate.go 's/items := m\.runningWhere\(m\.Pool\.Evacuated\)/items := m.runningWhere(m.Pool.Evacuated)[:0]/' lab/hosted TestItemsLeaveAnEvacuatedDataCentre
-mutant 11 internal/request/forward/place.go 's/if f\.evacuated\(req, c\) \|\| /if /' internal/request/forward TestNoTargetLeftIsSaidAtOnce
+mutant 11 internal/request/forward/place.go 's/if f\.evacuated\(req, p\) \|\| /if /' internal/request/forward TestNoTargetLeftIsSaidAtOnce
 mutant 11 internal/process/node/remotes.go 's/ && !r\.node\.config\.Current\(\)\.IsEvacuated\(c\.DataCentre\)//' lab/e2e TestOperatorEvacuatesADataCentre
 mutant 12 internal/request/warmup/warmup.go 's/place := \(uint64\(s\.Index\) \+ /place := uint64(0) * (uint64(s.Index) + /' internal/request/warmup TestTurnsKeepTheRate
 mutant 12 internal/request/choose/warm.go 's/turn != warmup\.NoTurn && turn != e\.lastTurn/turn != warmup.NoTurn/' internal/request/choose TestReturnedTargetsWarmUp
