--- a/internal/request/run/answer.go
+++ b/internal/request/run/answer.go
@@ -6,7 +6,7 @@
 	"github.com/marblepond/marblepond/internal/request/assemble"
 )
 
-// Answer is the answer of one request while it grows. The run adds pieces;
+// Answer is the answer of one request while it is streamed. The Runner appends pieces;
 // any number of readers follow at their own speed.
 type Answer struct {
 	mu        sync.Mutex
@@ -22,8 +22,8 @@
 	return &Answer{assembler: assemble.New(requestID), changed: make(chan struct{})}
 }
 
-// ContinueAnswer returns the answer of a request of which the node that
-// forwarded it holds the first tokens.
+// ContinueAnswer returns the answer of a request of which another node, which
+// forwarded it, has the first tokens.
 func ContinueAnswer(requestID string, held int, text string) *Answer {
 	return &Answer{assembler: assemble.Continue(requestID, held, text), changed: make(chan struct{})}
 }
@@ -39,32 +39,32 @@
 	defer a.mu.Unlock()
 	if ready := a.assembler.Add(p); len(ready) > 0 {
 		a.pieces = append(a.pieces, ready...)
-		a.wake()
+		a.notifyReaders()
 	}
 }
 
-func (a *Answer) wake() {
+func (a *Answer) notifyReaders() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// finish ends the answer; err nil means it is whole.
+// finish ends the answer; err is nil if it is complete.
 func (a *Answer) finish(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.done, a.err = true, err
-	a.wake()
+	a.notifyReaders()
 }
 
-// Held returns the number of tokens held without a gap.
+// Held returns the number of tokens received without a gap.
 func (a *Answer) Held() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.assembler.Held()
 }
 
-// whole reports whether the answer has ended without a gap.
-func (a *Answer) whole() bool {
+// complete reports whether the answer was received without a gap up to its end.
+func (a *Answer) complete() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.assembler.Whole()
@@ -77,15 +77,15 @@
 	return a.assembler.Text(), a.assembler.Held(), a.assembler.Finish()
 }
 
-// State is what a reader sees at one moment.
+// State is a snapshot of an answer for a reader.
 type State struct {
-	Pieces  []assemble.Piece // from the index asked for
+	Pieces  []assemble.Piece // from the index requested
 	Done    bool
 	Err     error
-	Changed <-chan struct{} // closed when there is more
+	Changed <-chan struct{} // closed at the next change
 }
 
-// From returns the pieces from index n on and what else is known.
+// From returns the state of the answer with the pieces from index n on.
 func (a *Answer) From(n int) State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/request/run/run.go
+++ b/internal/request/run/run.go
@@ -1,6 +1,6 @@
-// Package run carries one request to its whole answer: it chooses targets,
-// makes attempts, resumes streams whose link broke, and continues on another
-// target from the tokens held.
+// Package run runs one request until its answer is complete: it chooses targets, makes
+// attempts, resumes streams whose connection broke, and continues at another target
+// after the tokens already received.
 package run
 
 import (
@@ -23,12 +23,12 @@
 	"github.com/marblepond/marblepond/internal/version/targets"
 )
 
-// Request is one request or item to be run.
+// Request is one online request or batch item to be run.
 type Request struct {
 	ID            string
 	Workspace     string
 	Service       string
-	Loaded        string // name a target must have loaded; empty for plain services
+	Loaded        string // model name that the target must have loaded; empty for plain services
 	Path          string
 	Method        string // plain services
 	Header        http.Header
@@ -36,186 +36,190 @@
 	Prefix        string
 	Deadline      time.Time
 	NonIdempotent bool
-	Work          *fingerprint.Work // what is asked for, whatever the ID
+	Work          *fingerprint.Work // what is asked for, independent of the ID
 	Hops          int               // times it was forwarded between data centres
-	PreferRemote  bool              // the own data centre is empty or full: ask another
+	PreferRemote  bool              // the local data centre has no target or is full, so another is tried first
 }
 
-// WorkOf returns what a request asks for. A new version of its model is other work: it
-// may bear what the one before did not.
+// WorkOf returns what a request asks for. A new version of the model makes it different
+// work, because the new version may not crash where the old one did.
 func WorkOf(req *Request) *fingerprint.Work {
 	return &fingerprint.Work{Method: http.MethodPost, Host: req.Service, Path: req.Path, Workspace: req.Workspace, Selectors: []string{req.Loaded, req.Method}, Body: req.Body}
 }
 
-// Remote stands for the targets of other data centres.
+// Remote gives access to the targets of other data centres.
 type Remote interface {
-	// Reachable reports whether any node of another data centre can be asked.
+	// Reachable reports whether a node of another data centre can be reached.
 	Reachable() bool
-	// Next returns a node of another data centre and the headers that admit the
-	// workspace's request there; ok is false when none is left.
+	// Next returns a node of another data centre that is not excluded, and the headers
+	// that admit the workspace's request there; ok is false if no node is left.
 	Next(workspace string, exclude map[string]bool) (target choose.Target, header http.Header, ok bool)
 }
 
-// Quarantine knows the work under which targets crash.
+// Quarantine refuses work that crashes the targets that run it.
 type Quarantine interface {
-	// Refuse returns the error that refuses such work, nil for all other work.
+	// Refuse returns the error with which work is refused, nil if it is not.
 	Refuse(work *fingerprint.Work) error
-	// Lost takes work whose connection to a target broke, and Whole work that was
-	// answered whole.
+	// Lost records that the connection to a target broke while it ran the work.
 	Lost(work *fingerprint.Work, t choose.Target)
+	// Completed records that work was answered completely.
 	Completed(work *fingerprint.Work)
 }
 
 // Runner runs requests.
 type Runner struct {
-	quarantine Quarantine
-	targets    *targets.Manager
-	engines    *engine.Client
-	remote     Remote
-	recorder   *timeline.Recorder
-	checker    *invariant.Checker
-	reports    time.Duration // between load reports of a target
-	now        func() time.Time
+	quarantine     Quarantine
+	targets        *targets.Manager
+	engines        *engine.Client
+	remote         Remote
+	recorder       *timeline.Recorder
+	checker        *invariant.Checker
+	reportInterval time.Duration // between load reports of a target
+	now            func() time.Time
 
 	mu     sync.Mutex
 	budget *budget.Budget
 }
 
-// New returns a runner whose retries are bounded to a share of its requests; reports is
-// the time between load reports of a target. now is the clock of the quarantine.
-func New(t *targets.Manager, e *engine.Client, remote Remote, q Quarantine, r *timeline.Recorder, c *invariant.Checker, retryShare float64, reports time.Duration, now func() time.Time) *Runner {
-	return &Runner{quarantine: q, targets: t, engines: e, remote: remote, recorder: r, checker: c, budget: budget.New(retryShare), reports: reports, now: now}
+// New returns a runner whose retries are limited to a share of its requests.
+// reportInterval is the time between load reports of a target. now is the clock of the
+// quarantine.
+func New(t *targets.Manager, e *engine.Client, remote Remote, q Quarantine, r *timeline.Recorder, c *invariant.Checker, retryShare float64, reportInterval time.Duration, now func() time.Time) *Runner {
+	return &Runner{quarantine: q, targets: t, engines: e, remote: remote, recorder: r, checker: c, budget: budget.New(retryShare), reportInterval: reportInterval, now: now}
 }
 
-// RemoteReachable reports whether another data centre can be asked.
+// RemoteReachable reports whether another data centre can be reached.
 func (r *Runner) RemoteReachable() bool { return r.remote.Reachable() }
 
-// searchPause is the pause before targets are looked for again when an
-// accepted answer has none to continue on.
-const searchPause = 100 * time.Millisecond
+// searchInterval is the interval at which targets are polled for an answer that has
+// begun and has no target to continue at.
+const searchInterval = 100 * time.Millisecond
 
-// Online runs a model request until its answer is whole or given up. The
-// error is nil or of a kind of errkind; a.finish is called with it.
+// Online runs a model request until its answer is complete or the request has failed.
+// The error is nil or of a kind of errkind; a.finish is called with it.
 func (r *Runner) Online(ctx context.Context, req Request, a *Answer) error {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
 	r.mu.Lock()
 	r.budget.Accepted()
 	r.mu.Unlock()
-	err := r.attempts(ctx, req, a)
-	r.checker.Assert(err != nil || a.whole(), invariant.AnswerWhole, req.ID, "", "success without a whole answer")
+	err := r.runAttempts(ctx, req, a)
+	r.checker.Assert(err != nil || a.complete(), invariant.AnswerWhole, req.ID, "", "success without a complete answer")
 	a.finish(err)
 	return err
 }
 
-// course is what the attempts of one request have come to.
-type course struct {
-	exclude map[string]bool
-	sent    bool // something was sent to a target
-	losses  int  // links lost in a row by attempts that brought nothing
-	lastErr error
+// progress is the state of a request across its attempts.
+type progress struct {
+	exclude          map[string]bool
+	sent             bool // the request was sent to a target
+	connectionLosses int  // consecutive attempts that lost the connection while the answer had no token
+	lastErr          error
 }
 
 const (
-	// promptLosses is how many links may be lost in a row before a request waits: one
-	// that lost its target with many others is sent on at once.
-	promptLosses = 2
-	// reportsToWait is how many times between load reports it waits then: in the mean half
-	// of one shows that the target has crashed, and the others are told with the next.
-	reportsToWait = 2
+	// waitAfterLosses is the number of consecutive connection losses after which a request
+	// waits before it is retried. After a single loss it is retried at once, since it may
+	// have lost its target together with many other requests.
+	waitAfterLosses = 2
+	// awaitedReports is how many report intervals it waits then: after half an interval on
+	// average a load report shows that the target has crashed, and the other nodes learn of
+	// it with the next.
+	awaitedReports = 2
 )
 
-func (r *Runner) attempts(ctx context.Context, req Request, a *Answer) error {
-	c := &course{exclude: map[string]bool{}}
+func (r *Runner) runAttempts(ctx context.Context, req Request, a *Answer) error {
+	p := &progress{exclude: map[string]bool{}}
 	for {
 		if err := r.quarantine.Refuse(req.Work); err != nil {
 			return err
 		}
-		target, header, ok := r.choose(req, c)
+		target, header, ok := r.choose(req, p)
 		if !ok {
-			if err := r.noTarget(ctx, req, a, c); err != nil {
+			if err := r.waitOrRefuse(ctx, req, a, p); err != nil {
 				return err
 			}
 			continue
 		}
 		target.Sent = r.now()
 		err := r.attempt(ctx, req, target, header, a)
-		r.note(req, target, err)
-		r.end(target, err)
+		r.reportOutcome(req, target, err)
+		r.endAttempt(target, err)
 		if err == nil {
 			return nil
 		}
-		if final := r.judge(ctx, req, target, a, c, err); final != nil {
+		if final := r.finalError(ctx, req, target, a, p, err); final != nil {
 			return final
 		}
 	}
 }
 
-func (r *Runner) choose(req Request, c *course) (choose.Target, http.Header, bool) {
-	if req.PreferRemote && !c.sent {
-		if target, header, ok := r.remote.Next(req.Workspace, c.exclude); ok {
+func (r *Runner) choose(req Request, p *progress) (choose.Target, http.Header, bool) {
+	if req.PreferRemote && !p.sent {
+		if target, header, ok := r.remote.Next(req.Workspace, p.exclude); ok {
 			return target, header, true
 		}
 	}
-	need := choose.Need{Service: req.Service, Loaded: req.Loaded, Prefix: req.Prefix, Exclude: c.exclude}
+	need := choose.Need{Service: req.Service, Loaded: req.Loaded, Prefix: req.Prefix, Exclude: p.exclude}
 	if target, ok := r.targets.Choose(need); ok {
 		return target, nil, true
 	}
-	if req.Hops > 0 || (req.NonIdempotent && c.sent) {
+	if req.Hops > 0 || (req.NonIdempotent && p.sent) {
 		return choose.Target{}, nil, false
 	}
-	return r.remote.Next(req.Workspace, c.exclude)
+	return r.remote.Next(req.Workspace, p.exclude)
 }
 
-// noTarget decides what happens when nobody can take the request: an answer
-// that has begun waits for a target, another is refused.
-func (r *Runner) noTarget(ctx context.Context, req Request, a *Answer, c *course) error {
+// waitOrRefuse handles a request that no target can take: it waits if its answer has
+// begun, and returns its error otherwise.
+func (r *Runner) waitOrRefuse(ctx context.Context, req Request, a *Answer, p *progress) error {
 	switch {
 	case a.Held() > 0:
-		clear(c.exclude)
+		clear(p.exclude)
 		select {
 		case <-ctx.Done():
 			return deadlineError(ctx)
-		case <-time.After(searchPause):
+		case <-time.After(searchInterval):
 			return nil
 		}
-	case !c.sent:
+	case !p.sent:
 		return errkind.NoTarget.New("no target of service %s can take the request", req.Service)
 	}
-	return errkind.TargetFailed.New("every target tried failed, the last with: %v", c.lastErr)
+	return errkind.TargetFailed.New("every target tried failed, the last with: %v", p.lastErr)
 }
 
-// judge returns the final error of the request, or nil to try again.
-func (r *Runner) judge(ctx context.Context, req Request, target choose.Target, a *Answer, c *course, err error) error {
-	c.lastErr = err
-	c.exclude[target.ID] = true
-	c.losses = lossesAfter(c.losses, err, a.Held())
+// finalError returns the error with which the request ends after a failed attempt, or nil
+// to try again.
+func (r *Runner) finalError(ctx context.Context, req Request, target choose.Target, a *Answer, p *progress, err error) error {
+	p.lastErr = err
+	p.exclude[target.ID] = true
+	p.connectionLosses = lossesAfter(p.connectionLosses, err, a.Held())
 	notSent := errors.Is(err, engine.ErrNotSent) || (errors.Is(err, engine.ErrBusy) && req.Loaded != "")
-	c.sent = c.sent || !notSent
+	p.sent = p.sent || !notSent
 	switch {
 	case errors.Is(err, engine.ErrRejected):
-		return errkind.Malformed.New("the engine rejects the request: %v", err)
+		return errkind.Malformed.New("the engine rejected the request: %v", err)
 	case req.NonIdempotent && !notSent:
-		return errkind.UnknownOutcome.New("the target was lost after the request was sent; it is not repeated")
-	case ctx.Err() != nil && c.sent:
+		return errkind.UnknownOutcome.New("the connection to the target was lost after the request was sent; a non-idempotent request is not repeated")
+	case ctx.Err() != nil && p.sent:
 		return deadlineError(ctx)
 	case ctx.Err() != nil:
 		return errkind.DeadlineUnmeetable.New("no target took the request before its deadline")
 	}
 	if a.Held() == 0 && !r.takeRetry() {
-		if !c.sent {
+		if !p.sent {
 			return errkind.Overloaded.New("targets refuse new work and the retry budget is spent")
 		}
 		return errkind.TargetFailed.New("the retry budget is spent; the target failed with: %v", err)
 	}
-	if !r.awaitReports(ctx, c) {
+	if !r.awaitReports(ctx, p) {
 		return deadlineError(ctx)
 	}
 	r.recorder.Record(timeline.RequestRetried, req.ID, target.ID, err.Error())
 	return nil
 }
 
-// lossesAfter returns how many links were lost in a row after one more attempt.
+// lossesAfter returns the number of consecutive connection losses after one more attempt.
 func lossesAfter(losses int, err error, held int) int {
 	if held > 0 || !errors.Is(err, engine.ErrLinkLost) {
 		return 0
@@ -223,13 +227,13 @@
 	return losses + 1
 }
 
-// awaitReports gives load reports the time to show whether targets crash under the
-// request, twice as long after each further loss; false: its time is over.
-func (r *Runner) awaitReports(ctx context.Context, c *course) bool {
-	if c.losses < promptLosses {
+// awaitReports waits until load reports can show whether targets crash while they run the
+// request, twice as long after each further loss. It returns false if ctx ends first.
+func (r *Runner) awaitReports(ctx context.Context, p *progress) bool {
+	if p.connectionLosses < waitAfterLosses {
 		return true
 	}
-	return wait.For(ctx, reportsToWait*r.reports<<(c.losses-promptLosses))
+	return wait.For(ctx, awaitedReports*r.reportInterval<<(p.connectionLosses-waitAfterLosses))
 }
 
 func (r *Runner) takeRetry() bool {
@@ -240,15 +244,15 @@
 
 func deadlineError(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return errkind.Cancelled.New("the request was given up")
+		return errkind.Cancelled.New("the request was cancelled")
 	}
-	return errkind.DeadlineExceeded.New("the answer was not whole at the deadline")
+	return errkind.DeadlineExceeded.New("the answer was incomplete at the deadline")
 }
 
-// note tells the quarantine what the end of an attempt says about the target.
-func (r *Runner) note(req Request, target choose.Target, err error) {
+// reportOutcome reports to the quarantine what the end of an attempt shows about the target.
+func (r *Runner) reportOutcome(req Request, target choose.Target, err error) {
 	if target.Remote {
-		return // the node that stands for it tells
+		return // the node that it was forwarded to reports
 	}
 	switch {
 	case err == nil:
@@ -261,14 +265,14 @@
 	}
 }
 
-func (r *Runner) end(target choose.Target, err error) {
+func (r *Runner) endAttempt(target choose.Target, err error) {
 	if target.Remote {
 		return
 	}
 	r.targets.End(target.ID, OutcomeOf(err))
 }
 
-// OutcomeOf tells what an attempt's error says of its target.
+// OutcomeOf returns how an attempt's result counts for the health of its target.
 func OutcomeOf(err error) choose.Outcome {
 	switch {
 	case err == nil:
@@ -279,9 +283,9 @@
 	return choose.Failure
 }
 
-// attempt makes one attempt, with one resume when the link broke in mid-stream.
+// attempt makes one attempt, and resumes it once if the connection broke in mid-stream.
 func (r *Runner) attempt(ctx context.Context, req Request, target choose.Target, header http.Header, a *Answer) error {
-	call, err := r.call(req, target, header, a)
+	call, err := r.engineCall(req, target, header, a)
 	if err != nil {
 		return err
 	}
@@ -290,13 +294,13 @@
 	err = r.engines.Stream(ctx, call, a.add)
 	if errors.Is(err, engine.ErrLinkLost) && a.Held() > call.Held {
 		call.Held = a.Held()
-		r.recorder.Record(timeline.RequestResumed, req.ID, target.ID, "link lost")
+		r.recorder.Record(timeline.RequestResumed, req.ID, target.ID, "connection lost")
 		err = r.engines.Resume(ctx, call, a.add)
 		if errors.Is(err, engine.ErrRejected) {
-			err = engine.ErrLinkLost // the engine no longer has the stream; that is not the caller's fault
+			err = engine.ErrLinkLost // the engine no longer has the stream; the request itself is valid
 		}
 	}
-	if a.whole() {
+	if a.complete() {
 		return nil
 	}
 	if err == nil {
@@ -308,7 +312,7 @@
 	return err
 }
 
-// cancelTimeout bounds the message that frees an engine's sequence.
+// cancelTimeout is the timeout of the call that frees an engine's sequence.
 const cancelTimeout = 2 * time.Second
 
 func (r *Runner) cancel(call engine.Call) {
@@ -317,7 +321,7 @@
 	r.engines.Cancel(ctx, call)
 }
 
-func (r *Runner) call(req Request, target choose.Target, header http.Header, a *Answer) (engine.Call, error) {
+func (r *Runner) engineCall(req Request, target choose.Target, header http.Header, a *Answer) (engine.Call, error) {
 	attempt, held, text := a.begin()
 	loaded := req.Loaded
 	if target.Remote {
@@ -333,14 +337,14 @@
 	return engine.Call{Addr: target.Addr, Path: req.Path, RequestID: req.ID, Attempt: attempt, Body: body, Held: held, Header: header}, nil
 }
 
-// Item makes one attempt at a batch item on the target given. The answer
-// keeps what it holds, so that the next attempt goes on from there.
+// Item makes one attempt at a batch item on the target given. The answer keeps the tokens
+// received, so that the next attempt continues after them.
 func (r *Runner) Item(ctx context.Context, req Request, target choose.Target, a *Answer) error {
 	if err := r.quarantine.Refuse(req.Work); err != nil {
 		return err
 	}
 	err := r.attempt(ctx, req, target, nil, a)
-	r.note(req, target, err)
+	r.reportOutcome(req, target, err)
 	r.targets.Judge(target.ID, OutcomeOf(err))
 	return err
 }
@@ -352,23 +356,23 @@
 	r.mu.Lock()
 	r.budget.Accepted()
 	r.mu.Unlock()
-	c := &course{exclude: map[string]bool{}}
-	none := NewAnswer(req.ID)
+	p := &progress{exclude: map[string]bool{}}
+	empty := NewAnswer(req.ID)
 	for {
 		if err := r.quarantine.Refuse(req.Work); err != nil {
 			return engine.PlainAnswer{}, err
 		}
-		target, ok := r.targets.Choose(choose.Need{Service: req.Service, Exclude: c.exclude})
+		target, ok := r.targets.Choose(choose.Need{Service: req.Service, Exclude: p.exclude})
 		if !ok {
-			return engine.PlainAnswer{}, r.noTarget(ctx, req, none, c)
+			return engine.PlainAnswer{}, r.waitOrRefuse(ctx, req, empty, p)
 		}
 		answer, err := r.plainAttempt(ctx, req, target)
-		r.note(req, target, err)
-		r.end(target, err)
+		r.reportOutcome(req, target, err)
+		r.endAttempt(target, err)
 		if err == nil {
 			return answer, nil
 		}
-		if final := r.judge(ctx, req, target, none, c, err); final != nil {
+		if final := r.finalError(ctx, req, target, empty, p, err); final != nil {
 			return engine.PlainAnswer{}, final
 		}
 	}
@@ -386,7 +390,7 @@
 		return engine.PlainAnswer{}, err
 	}
 	answer, err := r.plainAttempt(ctx, req, target)
-	r.note(req, target, err)
+	r.reportOutcome(req, target, err)
 	r.targets.Judge(target.ID, OutcomeOf(err))
 	return answer, err
 }
--- a/internal/request/run/run_test.go
+++ b/internal/request/run/run_test.go
@@ -10,21 +10,21 @@
 	"github.com/marblepond/marblepond/internal/connection/engine"
 )
 
-// TestLostLinksAwaitLoadReports: a request that loses two targets in a row waits until load
-// reports can have shown that they crashed, and twice as long after each further one. The
-// first loss, and one after an attempt that brought something, are sent on at once.
+// TestLostLinksAwaitLoadReports: a request that loses two consecutive connections waits until
+// load reports can have shown that the targets crashed, and twice as long after each further
+// loss. After the first loss, and once the answer has a token, it is retried at once.
 func TestLostLinksAwaitLoadReports(t *testing.T) {
 	is := is.New(t)
-	r := &Runner{reports: 10 * time.Millisecond}
-	over, cancel := context.WithCancel(context.Background())
+	r := &Runner{reportInterval: 10 * time.Millisecond}
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	losses := lossesAfter(0, engine.ErrLinkLost, 0)
-	is.True(r.awaitReports(over, &course{losses: losses})) // there is nothing to wait for
-	for wait := 2 * r.reports; wait <= 8*r.reports; wait *= 2 {
+	is.True(r.awaitReports(cancelled, &progress{connectionLosses: losses})) // the first loss causes no wait
+	for wait := 2 * r.reportInterval; wait <= 8*r.reportInterval; wait *= 2 {
 		losses = lossesAfter(losses, engine.ErrLinkLost, 0)
-		is.True(!r.awaitReports(over, &course{losses: losses}))
+		is.True(!r.awaitReports(cancelled, &progress{connectionLosses: losses}))
 		began := time.Now()
-		is.True(r.awaitReports(context.Background(), &course{losses: losses}))
+		is.True(r.awaitReports(context.Background(), &progress{connectionLosses: losses}))
 		is.True(time.Since(began) >= wait)
 	}
 	is.Equal(lossesAfter(losses, engine.ErrLinkLost, 1), 0)
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -49,7 +49,7 @@
 mutant 1 internal/connection/beacon/silence.go 's/told\.Sub\(w\.at\) > silentAfter/told.Sub(w.at) > time.Hour/' internal/connection/beacon TestSilenceIsToldOn
 mutant 3 internal/request/forward/forward.go 's/final == nil && Saturated\(err\)/final == nil \&\& Saturated(err) \&\& p.begun/' internal/request/forward TestRefusedRequestCountsWhileItWaits
 mutant 6 internal/request/choose/prefer.go 's/if key == 0 \{/if key < 1<<63 {/' internal/request/choose TestScatteredWorkParts
-mutant 6 internal/request/run/run.go 's/promptLosses = 2/promptLosses = 60/' internal/request/run TestLostLinksAwaitLoadReports
+mutant 6 internal/request/run/run.go 's/waitAfterLosses = 2/waitAfterLosses = 60/' internal/request/run TestLostLinksAwaitLoadReports
 mutant 10 internal/version/workspace/workspace.go 's/x\.byKey\[hash\] = nil/x.byKey[hash] = holder/' internal/version/workspace TestKeysNameOneWorkspace
 mutant 10 platform/workspaces.go 's/h\.Del\(headerAuthorization\)/h.Del(headerWorkspace)/' lab/hosted TestTargetsLearnTheWorkspace
 mutant 10 internal/request/job/record.go 's/if workspace == "" \{/if workspace != "never" {/' lab/hosted TestJobsBelongToTheirWorkspace
