--- a/internal/connection/beacon/beacon.go
+++ b/internal/connection/beacon/beacon.go
@@ -1,29 +1,30 @@
-// Package beacon tells nodes about each other by datagrams that are always
-// whole: what each has in flight at targets, and how new its copy of what the
-// object store holds is. A lost or late datagram is healed by the next.
+// Package beacon exchanges state between nodes by datagrams: what each node has in
+// flight at targets, and how fresh its cached copy of the object store's objects is.
+// Each datagram carries the sender's complete state, so that the next one makes up for a
+// lost or late one.
 //
 // The nodes of a data centre share its targets, and each has to know what the
-// others have there. Where they are many they form groups. Each node tells its
-// own word to its group, and the sum over its group to those nodes of other groups
-// that it speaks to; a grid of rows and columns, which makes 2 sqrt(n) datagrams a
-// round of what would be n, and one step more on the way. To other data centres
-// each node tells the sum over its own, at a low rate and to a few nodes at a
-// time: whichever node is heard, it speaks for its whole data centre.
+// others have in flight there. Above maxSingleGroup nodes they form groups. Each node
+// sends a report on itself to its own group, and the sum over its group to those nodes of
+// other groups for which it is the representative: a grid of rows and columns, with
+// 2 sqrt(n) datagrams a round in place of n, and one hop more on the way. To other data
+// centres each node sends the sum over its own, at a low rate and to a few nodes at a
+// time; a report of any node of a data centre covers the whole data centre.
 //
-// What each word carries, how old it may be with 59 nodes in a data centre while
-// something changes all the time, and who hears it:
+// What each report carries, who receives it, and how old it may be with 59 nodes in a
+// data centre while something changes all the time:
 //
-//	                       of a node    of a group      of a data centre
-//	heard by               its group    other groups    a few nodes elsewhere
+//	                       on a node    on a group      on a data centre
+//	receivers              its group    other groups    a few nodes elsewhere
 //	in flight, demand      0.2 s        0.4 s           0.5 s
 //	liveness               1 s          1 s, 2 s when   1 s, of the data centre
 //	                                    a whole group
-//	                                    falls silent
-//	age of copies          all of them, at the sender
-//	crashes known          a digest of all of them, at the sender; nothing while there are none
+//	                                    is unreachable
+//	freshness marks        of all kinds, as the sender has them
+//	crashes known          a digest of all that the sender knows; none while there are none
 //	jobs newly held        the sender's, its members', those of its data centre
 //
-// A node sends at most 1/nearPace datagrams a second in its data centre, whatever
+// A node sends at most 1/roundPerReceiver datagrams a second in its data centre, whatever
 // its size, and farFanout/farInterval to others.
 package beacon
 
@@ -39,85 +40,94 @@
 )
 
 const (
-	// nearLeast is the least time between two rounds to the own data centre,
-	// and nearPace is added to it for each node told: 125 datagrams a second at the
-	// most.
-	nearLeast = 5 * time.Millisecond
-	nearPace  = 8 * time.Millisecond
-	// nearInterval is the time between rounds when nothing changes: ten of them may
-	// be lost before a node counts as silent.
+	// roundBase is the least time between two rounds to the own data centre, and
+	// roundPerReceiver is added to it for each node that receives a report: 125
+	// datagrams a second at the most.
+	roundBase        = 5 * time.Millisecond
+	roundPerReceiver = 8 * time.Millisecond
+	// nearInterval is the time between rounds to the own data centre when nothing
+	// changes: ten of them may be lost before a node counts as unreachable.
 	nearInterval = 100 * time.Millisecond
-	// farInterval is the time between rounds to other data centres and farFanout
-	// how many nodes one round reaches.
+	// farInterval is the time between rounds to other data centres, and farFanout is
+	// the number of nodes that receive one round.
 	farInterval = 100 * time.Millisecond
 	farFanout   = 3
-	// urgentRing is how many urgent words may wait to be sent.
-	urgentRing = 64
+	// urgentQueue is how many targets may wait for an urgent report.
+	urgentQueue = 64
 	// maxDatagram is the largest datagram read, in bytes.
 	maxDatagram = 64 << 10
-	// silentAfter is how long a node's word counts: several rounds.
-	silentAfter = time.Second
+	// unreachableAfter is the time without a datagram after which a node, a group or
+	// a data centre counts as unreachable: several rounds.
+	unreachableAfter = time.Second
 )
 
-// Loads is what is told and heard of targets. What is set replaces what was heard
-// before; nil: it is not heard of any more. The setters report whether that is
-// news.
+// Loads holds what nodes have in flight at targets. The setters replace what was
+// received from a node, group or data centre before; nil removes it. They report
+// whether anything changed.
 type Loads interface {
 	// InFlight returns what this node has in flight, InFlightInGroup what all nodes
-	// of its group have, and InFlightHere those of its data centre, as far as it
-	// knows.
+	// of its group have, and InFlightHere what all nodes of its data centre have, as
+	// far as this node knows.
 	InFlight() map[string]choose.InFlight
 	InFlightInGroup() map[string]choose.InFlight
 	InFlightHere() map[string]choose.InFlight
-	// Holders returns who else has batch items at a target.
+	// Holders returns the other nodes, groups and data centres that have batch items
+	// at a target.
 	Holders(target string) choose.Holders
-	// JoinGroup forgets what nodes and groups of this data centre were heard to
-	// have, because they are divided anew.
+	// JoinGroup drops what nodes and groups of this data centre reported, because the
+	// number of groups has changed; group is this node's new group.
 	JoinGroup(group string)
-	SetNode(node string, counts map[string]choose.InFlight) (news bool)
-	SetGroup(group string, members int, counts map[string]choose.InFlight) (news bool)
-	SetDataCentre(name string, counts map[string]choose.InFlight) (news bool)
+	SetNode(node string, counts map[string]choose.InFlight) (changed bool)
+	SetGroup(group string, members int, counts map[string]choose.InFlight) (changed bool)
+	SetDataCentre(name string, counts map[string]choose.InFlight) (changed bool)
 }
 
-// CacheFreshness is what is told and heard of the copies of the object store.
+// CacheFreshness holds how fresh this node's cached copy of each kind of objects is, and
+// compares it with that of other nodes.
 type CacheFreshness interface {
+	// AgeMarks returns the freshness mark of each kind.
 	AgeMarks() map[string]follow.Mark
+	// HeardMark takes the mark of another node, and reports whether this node's copy is
+	// older.
 	HeardMark(kind string, m follow.Mark) (behind bool)
 }
 
-// BatchReport is what is said of the batch work of a node, a group or a data centre.
+// BatchReport states the batch work of a node, a group or a data centre.
 type BatchReport struct {
 	choose.Claim
 }
 
-// BatchWork is what is told and heard of batch work.
+// BatchWork holds the batch work of this node and the reports of others on theirs.
 type BatchWork interface {
 	// OfNode returns the report on this node, OfGroup that on its group, and OfDataCentre
 	// that on its data centre.
 	OfNode() BatchReport
 	OfGroup() BatchReport
 	OfDataCentre() BatchReport
-	// Announced returns the jobs that this node lately came to hold.
+	// Announced returns the jobs that this node recently became the holder of.
 	Announced() []string
-	// JoinGroup forgets what nodes and groups of this data centre said.
+	// JoinGroup drops the reports of nodes and groups of this data centre.
 	JoinGroup()
 	// ReceiveNode, ReceiveGroup and ReceiveDataCentre take the reports of others.
-	ReceiveNode(node string, w BatchReport)
-	ReceiveGroup(group string, w BatchReport)
-	ReceiveDataCentre(name string, w BatchReport)
-	// ReceiveJobs takes the jobs that a node came to hold.
+	ReceiveNode(node string, r BatchReport)
+	ReceiveGroup(group string, r BatchReport)
+	ReceiveDataCentre(name string, r BatchReport)
+	// ReceiveJobs takes the jobs that a node became the holder of.
 	ReceiveJobs(node string, jobs []string)
 }
 
-// StoreLatency is what is told and heard of how slow the object store is.
+// StoreLatency holds how long the newest known answer of the object store took, and its
+// age.
 type StoreLatency interface {
 	Latency() (took, age time.Duration)
+	// Heard takes what another node reports.
 	Heard(took, age time.Duration)
 }
 
-// Crashes is what is told and heard of crashed targets: a digest only. Who hears
-// another one than its own asks for what it lacks.
+// Crashes holds what this node knows of crashed targets. Datagrams carry only a digest;
+// a node that receives one unlike its own requests what it lacks.
 type Crashes interface {
+	// Digest returns a hash of all crashes known, 0 when there are none.
 	Digest() uint64
 	// ReceiveDigest takes the digest of another node. It must not block.
 	ReceiveDigest(node string, digest uint64)
@@ -133,54 +143,56 @@
 	Batch      BatchWork
 	Store      StoreLatency
 	Crashes    Crashes
-	// Suspended returns how long the machine was suspended in all.
+	// Suspended returns the total time for which the VM was suspended.
 	Suspended func() time.Duration
-	// View returns how this node sees the others now.
+	// View returns the other nodes that are registered now.
 	View func() *View
-	// OnBehind is told that a node knows more than this one, and OnUnreachable that a node
-	// of the own data centre is heard no more. They must not block.
+	// OnBehind is called when the cached copy of a node is newer than this node's, and
+	// OnUnreachable when a node of the own data centre becomes unreachable. They must
+	// not block.
 	OnBehind      func(node string)
 	OnUnreachable func(node string)
-	// OnReachable is told that a node is heard that was not; nil: nobody is.
+	// OnReachable is called with the first datagram of a node that did not count as
+	// reachable; it may be nil.
 	OnReachable func(node string)
 }
 
-// Exchange sends and takes the datagrams of one node.
+// Exchange sends and receives the datagrams of one node.
 type Exchange struct {
 	Options
-	touched  chan struct{}
-	urgent   chan string // targets; drops what it has no room for: the next round tells the same
+	changed  chan struct{}
+	urgent   chan string // targets; when it is full, more are dropped: the next round carries the same
 	sequence uint64      // of the newest datagram composed; only Run uses it
 
 	nearInterval, farInterval time.Duration // the constants, longer in tests
 
-	mu      sync.Mutex
-	groups  int           // into which the data centre was divided when the words were heard
-	slept   time.Duration // suspensions of the machine that are noticed
-	woke    time.Time     // when the last of them was
-	heard   map[string]word
-	gone    map[string]time.Time // nodes that are heard no more: when they last were
-	grouped map[string]time.Time // other groups: when a node of it last spoke for it
-	centres map[string]time.Time // other data centres: when a node of it was last heard
+	mu               sync.Mutex
+	groupCount       int                  // number of groups when the reports were received
+	suspendedTotal   time.Duration        // suspensions of the VM that were noticed
+	resumedAt        time.Time            // when the last of them was noticed
+	nodes            map[string]nodeState // reachable nodes, until removeUnreachable removes them
+	unreachableSince map[string]time.Time // unreachable nodes, and when each was last received
+	groupsReceived   map[string]time.Time // other groups: when a report on the group was last received
+	centresReceived  map[string]time.Time // other data centres: when a datagram of one of its nodes was last received
 }
 
 // New returns an exchange; Run starts it.
 func New(o Options) *Exchange {
-	return &Exchange{Options: o, touched: make(chan struct{}, 1), urgent: make(chan string, urgentRing), nearInterval: nearInterval, farInterval: farInterval, heard: map[string]word{},
-		gone: map[string]time.Time{}, grouped: map[string]time.Time{}, centres: map[string]time.Time{}}
+	return &Exchange{Options: o, changed: make(chan struct{}, 1), urgent: make(chan string, urgentQueue), nearInterval: nearInterval, farInterval: farInterval, nodes: map[string]nodeState{},
+		unreachableSince: map[string]time.Time{}, groupsReceived: map[string]time.Time{}, centresReceived: map[string]time.Time{}}
 }
 
-// NotifyChange says that something changed; it never blocks.
+// NotifyChange has a round sent as soon as the rate allows; it never blocks.
 func (x *Exchange) NotifyChange() {
 	select {
-	case x.touched <- struct{}{}:
+	case x.changed <- struct{}{}:
 	default:
 	}
 }
 
-// NotifyHolders lets those that have batch items at a target know at once that a request
-// waits for a slot there; it never blocks. Waiting for the next rounds would take
-// up to two of them in the own data centre and farInterval in others.
+// NotifyHolders notifies the nodes that have batch items at a target, without waiting for
+// a round, that a request waits for a slot there; it never blocks. The regular rounds
+// would take up to two intervals in the own data centre and farInterval in others.
 func (x *Exchange) NotifyHolders(target string) {
 	select {
 	case x.urgent <- target:
@@ -188,7 +200,7 @@
 	}
 }
 
-// Run exchanges over conn until ctx ends.
+// Run sends and receives datagrams over conn until ctx ends.
 func (x *Exchange) Run(ctx context.Context, conn net.PacketConn) {
 	go func() {
 		<-ctx.Done()
@@ -199,55 +211,58 @@
 	defer far.Stop()
 	next := time.NewTimer(x.nearInterval)
 	defer next.Stop()
-	touched := x.touched // nil while the pace forbids a round
+	changed := x.changed // nil until MinRoundInterval has passed since the last round
 	round := func() {
-		told := x.round(conn)
-		touched = nil
-		next.Reset(MinRoundInterval(told))
+		receivers := x.sendRound(conn)
+		changed = nil
+		next.Reset(MinRoundInterval(receivers))
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-touched:
+		case <-changed:
 			round()
 		case <-next.C:
-			if touched != nil {
+			if changed != nil {
 				round()
 				continue
 			}
-			touched = x.touched
+			changed = x.changed
 			next.Reset(x.nearInterval)
 		case target := <-x.urgent:
-			x.tellHolders(conn, target)
+			x.sendToHolders(conn, target)
 		case <-far.C:
-			x.forgetSilent()
-			x.send(conn, x.View().farListeners(farFanout), x.wordOfDataCentre)
+			x.removeUnreachable()
+			x.send(conn, x.View().farReceivers(farFanout), x.dataCentreReport)
 		}
 	}
 }
 
-// MinRoundInterval returns the least time between two rounds that each tell so many nodes.
-func MinRoundInterval(told int) time.Duration { return nearLeast + time.Duration(told)*nearPace }
+// MinRoundInterval returns the least time between two rounds, each to the number of nodes
+// given.
+func MinRoundInterval(receivers int) time.Duration {
+	return roundBase + time.Duration(receivers)*roundPerReceiver
+}
 
-// round tells the own data centre, and returns how many nodes it told.
-func (x *Exchange) round(conn net.PacketConn) int {
+// sendRound sends one round to the own data centre, and returns how many nodes were sent a
+// report.
+func (x *Exchange) sendRound(conn net.PacketConn) int {
 	view := x.View()
-	x.join(view)
-	members, listeners := view.Members(), view.GroupReportReceivers(x.ReachableInGroup(), rand.Float64)
-	x.send(conn, members, x.wordOfNode)
-	x.send(conn, listeners, x.wordOfGroup)
-	return len(members) + len(listeners)
+	x.regroup(view)
+	members, receivers := view.Members(), view.GroupReportReceivers(x.ReachableInGroup(), rand.Float64)
+	x.send(conn, members, x.nodeReport)
+	x.send(conn, receivers, x.groupReport)
+	return len(members) + len(receivers)
 }
 
-// join forgets the words of nodes and groups when the data centre is divided into
-// groups anew.
-func (x *Exchange) join(view *View) {
+// regroup drops the reports of nodes and groups when the number of groups has changed.
+func (x *Exchange) regroup(view *View) {
 	x.mu.Lock()
-	same := x.groups == view.groups
-	x.groups = view.groups
+	same := x.groupCount == view.groups
+	x.groupCount = view.groups
 	if !same {
-		clear(x.grouped)
+		clear(x.groupsReceived)
 	}
 	x.mu.Unlock()
 	if !same {
--- a/internal/connection/beacon/beacon_test.go
+++ b/internal/connection/beacon/beacon_test.go
@@ -16,56 +16,56 @@
 	"github.com/marblepond/marblepond/internal/version/follow"
 )
 
-// words records what one node has in flight and hears.
-type words struct {
+// fakeState is the state of one node: what it has in flight, and what it received.
+type fakeState struct {
 	mu        sync.Mutex
 	own       map[string]choose.InFlight
 	holders   choose.Holders
 	announced []string
-	jobs      map[string]string // holders that were heard, by job
-
-	nodes   map[string]map[string]choose.InFlight
-	groups  map[string]map[string]choose.InFlight
-	centres map[string]map[string]choose.InFlight
-	claims  map[string]BatchReport // by node or data centre
-	health  *objects.Health
-	gone    []string // nodes that fell silent
+	jobs      map[string]string // reported holders, by job
+
+	nodes       map[string]map[string]choose.InFlight
+	groups      map[string]map[string]choose.InFlight
+	centres     map[string]map[string]choose.InFlight
+	claims      map[string]BatchReport // by node or data centre
+	health      *objects.Health
+	unreachable []string // nodes that became unreachable
 }
 
-func (w *words) silent(node string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.gone = append(w.gone, node)
+func (f *fakeState) noteUnreachable(node string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.unreachable = append(f.unreachable, node)
 }
 
-func newWords(own map[string]choose.InFlight) *words {
-	return &words{own: own, jobs: map[string]string{}, nodes: map[string]map[string]choose.InFlight{}, groups: map[string]map[string]choose.InFlight{}, centres: map[string]map[string]choose.InFlight{}, claims: map[string]BatchReport{},
+func newFakeState(own map[string]choose.InFlight) *fakeState {
+	return &fakeState{own: own, jobs: map[string]string{}, nodes: map[string]map[string]choose.InFlight{}, groups: map[string]map[string]choose.InFlight{}, centres: map[string]map[string]choose.InFlight{}, claims: map[string]BatchReport{},
 		health: objects.NewHealth(time.Now, func(bool, time.Duration) {})}
 }
 
-func (w *words) InFlight() map[string]choose.InFlight {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return maps.Clone(w.own)
+func (f *fakeState) InFlight() map[string]choose.InFlight {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return maps.Clone(f.own)
 }
 
-func (w *words) InFlightInGroup() map[string]choose.InFlight {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return sumOf(append(slices.Collect(maps.Values(w.nodes)), w.own)...)
+func (f *fakeState) InFlightInGroup() map[string]choose.InFlight {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return sumOf(append(slices.Collect(maps.Values(f.nodes)), f.own)...)
 }
 
-func (w *words) InFlightHere() map[string]choose.InFlight {
-	here := w.InFlightInGroup()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return sumOf(append(slices.Collect(maps.Values(w.groups)), here)...)
+func (f *fakeState) InFlightHere() map[string]choose.InFlight {
+	here := f.InFlightInGroup()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return sumOf(append(slices.Collect(maps.Values(f.groups)), here)...)
 }
 
-// sumOf adds up words.
-func sumOf(words ...map[string]choose.InFlight) map[string]choose.InFlight {
+// sumOf adds up reports.
+func sumOf(reports ...map[string]choose.InFlight) map[string]choose.InFlight {
 	out := map[string]choose.InFlight{}
-	for _, counts := range words {
+	for _, counts := range reports {
 		for id, n := range counts {
 			out[id] = choose.InFlight{Online: out[id].Online + n.Online, Batch: out[id].Batch + n.Batch}
 		}
@@ -73,178 +73,181 @@
 	return out
 }
 
-func (w *words) Holders(string) choose.Holders {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.holders
+func (f *fakeState) Holders(string) choose.Holders {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.holders
 }
 
-// batchOf is the batch side of words, whose JoinGroup has nothing to forget.
-type batchOf struct{ *words }
+// fakeBatch is fakeState as BatchWork, whose JoinGroup has nothing to drop.
+type fakeBatch struct{ *fakeState }
 
-func (batchOf) JoinGroup() {}
+func (fakeBatch) JoinGroup() {}
 
-func (w *words) JoinGroup(string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	clear(w.nodes)
-	clear(w.groups)
+func (f *fakeState) JoinGroup(string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	clear(f.nodes)
+	clear(f.groups)
 }
 
-func (w *words) SetNode(node string, counts map[string]choose.InFlight) bool {
-	return w.set(w.nodes, node, counts)
+func (f *fakeState) SetNode(node string, counts map[string]choose.InFlight) bool {
+	return f.set(f.nodes, node, counts)
 }
 
-func (w *words) SetGroup(group string, _ int, counts map[string]choose.InFlight) bool {
-	return w.set(w.groups, group, counts)
+func (f *fakeState) SetGroup(group string, _ int, counts map[string]choose.InFlight) bool {
+	return f.set(f.groups, group, counts)
 }
 
-func (w *words) SetDataCentre(name string, counts map[string]choose.InFlight) bool {
-	return w.set(w.centres, name, counts)
+func (f *fakeState) SetDataCentre(name string, counts map[string]choose.InFlight) bool {
+	return f.set(f.centres, name, counts)
 }
 
-func (w *words) set(words map[string]map[string]choose.InFlight, name string, counts map[string]choose.InFlight) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	news := !maps.Equal(words[name], counts)
-	words[name] = counts
-	return news
+func (f *fakeState) set(reports map[string]map[string]choose.InFlight, name string, counts map[string]choose.InFlight) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	changed := !maps.Equal(reports[name], counts)
+	reports[name] = counts
+	return changed
 }
 
-func (w *words) OfNode() BatchReport  { return BatchReport{Claim: choose.Claim{Demand: 1}} }
-func (w *words) OfGroup() BatchReport { return BatchReport{Claim: choose.Claim{Demand: 1}} }
-func (w *words) OfDataCentre() BatchReport {
+func (f *fakeState) OfNode() BatchReport  { return BatchReport{Claim: choose.Claim{Demand: 1}} }
+func (f *fakeState) OfGroup() BatchReport { return BatchReport{Claim: choose.Claim{Demand: 1}} }
+func (f *fakeState) OfDataCentre() BatchReport {
 	return BatchReport{Claim: choose.Claim{Demand: 2, Overflow: 1}}
 }
 
-func (w *words) Announced() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.announced
+func (f *fakeState) Announced() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.announced
 }
 
-func (w *words) ReceiveGroup(string, BatchReport) {}
+func (f *fakeState) ReceiveGroup(string, BatchReport) {}
 
-func (w *words) ReceiveNode(node string, b BatchReport) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.claims[node] = b
+func (f *fakeState) ReceiveNode(node string, b BatchReport) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.claims[node] = b
 }
 
-func (w *words) ReceiveDataCentre(name string, b BatchReport) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.claims[name] = b
+func (f *fakeState) ReceiveDataCentre(name string, b BatchReport) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.claims[name] = b
 }
 
-func (w *words) ReceiveJobs(node string, jobs []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (f *fakeState) ReceiveJobs(node string, jobs []string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	for _, id := range jobs {
-		w.jobs[id] = node
+		f.jobs[id] = node
 	}
 }
 
-// noCrashes knows of no crashed target.
+// noCrashes knows no crashed target.
 type noCrashes struct{}
 
 func (noCrashes) Digest() uint64               { return 0 }
 func (noCrashes) ReceiveDigest(string, uint64) {}
 
-type noCopies struct{}
+// noCache has no freshness marks.
+type noCache struct{}
 
-func (noCopies) AgeMarks() map[string]follow.Mark   { return nil }
-func (noCopies) HeardMark(string, follow.Mark) bool { return false }
+func (noCache) AgeMarks() map[string]follow.Mark   { return nil }
+func (noCache) HeardMark(string, follow.Mark) bool { return false }
 
-func (w *words) said(name string) map[string]choose.InFlight {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if counts := w.centres[name]; counts != nil {
+func (f *fakeState) received(name string) map[string]choose.InFlight {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if counts := f.centres[name]; counts != nil {
 		return counts
 	}
-	return w.nodes[name]
+	return f.nodes[name]
 }
 
-// TestOneNodeSpeaksForItsDataCentre: a node hears each node of its own data
-// centre, and of another one the sum, whichever node it hears; what falls silent
-// counts no more.
-func TestOneNodeSpeaksForItsDataCentre(t *testing.T) {
+// TestAnyNodeReportsForItsDataCentre: a node receives a report of each node of its own
+// data centre, and the sum over another data centre from any node of it. Reports of
+// unreachable nodes and data centres no longer count.
+func TestAnyNodeReportsForItsDataCentre(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	exchanges := map[string]*Exchange{}
-	start := func(node, centre string, w *words, others ...Peer) (Peer, context.CancelFunc) {
+	start := func(node, centre string, state *fakeState, others ...Peer) (Peer, context.CancelFunc) {
 		running, stop := context.WithCancel(ctx)
-		x, conn := newExchange(t, node, centre, w, func() []Peer { return others })
+		x, conn := newExchange(t, node, centre, state, func() []Peer { return others })
 		exchanges[node] = x
 		go x.Run(running, conn)
 		return Peer{Node: node, DataCentre: centre, Address: conn.LocalAddr(), Callers: true}, stop
 	}
-	b, a1, a2 := newWords(nil), newWords(map[string]choose.InFlight{"t": {Online: 2}}), newWords(map[string]choose.InFlight{"t": {Online: 1, Batch: 3}})
+	b, a1, a2 := newFakeState(nil), newFakeState(map[string]choose.InFlight{"t": {Online: 2}}), newFakeState(map[string]choose.InFlight{"t": {Online: 1, Batch: 3}})
 	peerB, _ := start("b1", "b", b)
 	peer1, stop1 := start("a1", "a", a1, peerB)
 	_, stop2 := start("a2", "a", a2, peer1)
 	eventually(t, func() bool {
-		n := b.said("a")["t"]
+		n := b.received("a")["t"]
 		return n.Online == 3 && n.Batch == 3
 	})
-	a2.health.Answered(300 * time.Millisecond) // how slow the store is passes on through a1
+	a2.health.Answered(300 * time.Millisecond) // a1 passes on the latency of the object store
 	eventually(t, func() bool {
 		took, _ := b.health.Latency()
 		return took == 300*time.Millisecond
 	})
-	is.Equal(a1.said("a2")["t"], choose.InFlight{Online: 1, Batch: 3})
+	is.Equal(a1.received("a2")["t"], choose.InFlight{Online: 1, Batch: 3})
 	b.mu.Lock()
 	is.Equal(b.claims["a"], BatchReport{Claim: choose.Claim{Demand: 2, Overflow: 1}})
 	b.mu.Unlock()
 	stop2()
-	eventually(t, func() bool { return a1.said("a2") == nil })
+	eventually(t, func() bool { return a1.received("a2") == nil })
 	a1.mu.Lock()
-	is.Equal(a1.gone, []string{"a2"})
-	since, silent := exchanges["a1"].UnreachableSince("a2")
-	is.True(silent && time.Since(since) >= silentAfter)
+	is.Equal(a1.unreachable, []string{"a2"})
+	since, unreachable := exchanges["a1"].UnreachableSince("a2")
+	is.True(unreachable && time.Since(since) >= unreachableAfter)
 	a1.mu.Unlock()
 	stop1()
-	eventually(t, func() bool { return b.said("a") == nil })
+	eventually(t, func() bool { return b.received("a") == nil })
 }
 
-// newExchange returns an exchange that sees the others given, and where it hears.
-func newExchange(t *testing.T, node, centre string, w *words, others func() []Peer) (*Exchange, net.PacketConn) {
+// newExchange returns an exchange whose view has the given nodes, and its socket.
+func newExchange(t *testing.T, node, centre string, state *fakeState, others func() []Peer) (*Exchange, net.PacketConn) {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return New(Options{Node: node, DataCentre: centre, Boot: time.Now().UnixMicro(), Loads: w, Cache: noCopies{}, Crashes: noCrashes{}, Suspended: func() time.Duration { return 0 }, Batch: batchOf{w}, Store: w.health,
-		View: func() *View { return NewView(node, centre, others()) }, OnBehind: func(string) {}, OnUnreachable: w.silent}), conn
+	return New(Options{Node: node, DataCentre: centre, Boot: time.Now().UnixMicro(), Loads: state, Cache: noCache{}, Crashes: noCrashes{}, Suspended: func() time.Duration { return 0 }, Batch: fakeBatch{state}, Store: state.health,
+		View: func() *View { return NewView(node, centre, others()) }, OnBehind: func(string) {}, OnUnreachable: state.noteUnreachable}), conn
 }
 
-// TestHoldersHearAtOnce: what cannot wait reaches the holders of items without
-// waiting for a round, in the own data centre and elsewhere, and nobody else.
-func TestHoldersHearAtOnce(t *testing.T) {
+// TestHoldersAreNotifiedAtOnce: an urgent report reaches the nodes that have batch items
+// without waiting for a round, in the own data centre and elsewhere, and no other node.
+func TestHoldersAreNotifiedAtOnce(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	near, far, other, holder := newWords(nil), newWords(nil), newWords(nil), newWords(nil)
-	start := func(node, centre string, w *words, others ...Peer) (*Exchange, Peer) {
-		x, conn := newExchange(t, node, centre, w, func() []Peer { return others })
+	near, far, other, holder := newFakeState(nil), newFakeState(nil), newFakeState(nil), newFakeState(nil)
+	start := func(node, centre string, state *fakeState, others ...Peer) (*Exchange, Peer) {
+		x, conn := newExchange(t, node, centre, state, func() []Peer { return others })
 		x.nearInterval, x.farInterval = time.Hour, time.Hour
 		go x.Run(ctx, conn)
 		return x, Peer{Node: node, DataCentre: centre, Address: conn.LocalAddr(), Callers: true}
 	}
 	_, nearPeer := start("a2", "a", near)
 	_, holderPeer := start("b2", "b", holder)
-	far.holders = choose.Holders{Nodes: []string{"b2"}} // as b1 knows its data centre
+	far.holders = choose.Holders{Nodes: []string{"b2"}} // as b1 knows of its own data centre
 	_, farPeer := start("b1", "b", far, holderPeer)
 	_, otherPeer := start("c1", "c", other)
-	w := newWords(map[string]choose.InFlight{"t": {Online: 1}})
-	w.holders = choose.Holders{Nodes: []string{"a2"}, DataCentres: []string{"b"}}
-	x, _ := start("a1", "a", w, nearPeer, farPeer, otherPeer)
+	state := newFakeState(map[string]choose.InFlight{"t": {Online: 1}})
+	state.holders = choose.Holders{Nodes: []string{"a2"}, DataCentres: []string{"b"}}
+	x, _ := start("a1", "a", state, nearPeer, farPeer, otherPeer)
 	x.NotifyHolders("t")
-	eventually(t, func() bool { return near.said("a1") != nil && far.said("a") != nil && holder.said("a") != nil })
-	is.Equal(near.said("a1")["t"].Online, 1)
-	is.Equal(holder.said("a")["t"].Online, 1) // through b1, which knows who holds items there
-	is.Equal(len(other.said("a")), 0)
+	eventually(t, func() bool {
+		return near.received("a1") != nil && far.received("a") != nil && holder.received("a") != nil
+	})
+	is.Equal(near.received("a1")["t"].Online, 1)
+	is.Equal(holder.received("a")["t"].Online, 1) // through b1, which knows who holds items there
+	is.Equal(len(other.received("a")), 0)
 }
 
 func eventually(t *testing.T, f func() bool) {
--- a/internal/connection/beacon/groups_test.go
+++ b/internal/connection/beacon/groups_test.go
@@ -14,74 +14,74 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// grid is a data centre of exchanges over loopback.
-type grid struct {
-	mu    sync.Mutex
-	peers []Peer
-	words []*words
-	all   []*Exchange
-	stops []context.CancelFunc
+// localCentre is a data centre of exchanges that are connected over loopback.
+type localCentre struct {
+	mu     sync.Mutex
+	peers  []Peer
+	states []*fakeState
+	all    []*Exchange
+	stops  []context.CancelFunc
 }
 
-func (g *grid) others(node string) []Peer {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(g.peers), func(p Peer) bool { return p.Node == node })
+func (c *localCentre) others(node string) []Peer {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.DeleteFunc(slices.Clone(c.peers), func(p Peer) bool { return p.Node == node })
 }
 
-// startGrid starts n nodes that know each other; each has one online request in
-// flight at "t" and one item at a target of its own.
-func startGrid(t *testing.T, n int) *grid {
-	g := &grid{}
+// startLocalCentre starts n nodes that know each other. Each has one online request in
+// flight at "t" and one batch item at a target of its own.
+func startLocalCentre(t *testing.T, n int) *localCentre {
+	c := &localCentre{}
 	for i := range n {
 		node := fmt.Sprint("n", i)
-		w := newWords(map[string]choose.InFlight{"t": {Online: 1}, node: {Batch: 1}})
-		x, conn := newExchange(t, node, "a", w, func() []Peer { return g.others(node) })
+		state := newFakeState(map[string]choose.InFlight{"t": {Online: 1}, node: {Batch: 1}})
+		x, conn := newExchange(t, node, "a", state, func() []Peer { return c.others(node) })
 		ctx, stop := context.WithCancel(context.Background())
 		t.Cleanup(stop)
-		g.mu.Lock()
-		g.peers = append(g.peers, Peer{Node: node, DataCentre: "a", Address: conn.LocalAddr(), Callers: true})
-		g.mu.Unlock()
-		g.words, g.all, g.stops = append(g.words, w), append(g.all, x), append(g.stops, stop)
+		c.mu.Lock()
+		c.peers = append(c.peers, Peer{Node: node, DataCentre: "a", Address: conn.LocalAddr(), Callers: true})
+		c.mu.Unlock()
+		c.states, c.all, c.stops = append(c.states, state), append(c.all, x), append(c.stops, stop)
 		defer func() { go x.Run(ctx, conn) }()
 	}
-	return g
+	return c
 }
 
-// counted returns how many online requests each node left counts at "t".
-func (g *grid) counted(left []int) []int {
+// onlineSeenBy returns how many online requests each node left counts at "t".
+func (c *localCentre) onlineSeenBy(left []int) []int {
 	var out []int
 	for _, i := range left {
-		out = append(out, g.words[i].InFlightHere()["t"].Online)
+		out = append(out, c.states[i].InFlightHere()["t"].Online)
 	}
 	return out
 }
 
-// TestGroupsShareWhatIsInFlight: 20 nodes in four groups. Each comes to know what
-// all have in flight and that all are heard; of one that is lost each hears, and
-// of no other one; a new holder of a job is known everywhere.
+// TestGroupsShareWhatIsInFlight: 20 nodes in four groups. Each comes to know what all
+// have in flight and that all are reachable; when one is lost, that one and no other
+// becomes unreachable at each; each learns the new holder of a job.
 func TestGroupsShareWhatIsInFlight(t *testing.T) {
 	is := is.New(t)
 	const nodes = 20
-	g := startGrid(t, nodes)
+	c := startLocalCentre(t, nodes)
 	all := make([]int, nodes)
 	for i := range all {
 		all[i] = i
 	}
-	is.Equal(g.all[0].View().groups, 4)
-	eventually(t, func() bool { return slices.Equal(g.counted(all), slices.Repeat([]int{nodes}, nodes)) })
-	for _, x := range g.all {
+	is.Equal(c.all[0].View().groups, 4)
+	eventually(t, func() bool { return slices.Equal(c.onlineSeenBy(all), slices.Repeat([]int{nodes}, nodes)) })
+	for _, x := range c.all {
 		is.Equal(len(x.ReachableInDataCentre()), nodes-1)
 	}
 
-	g.words[3].mu.Lock()
-	g.words[3].announced = []string{"job"}
-	g.words[3].mu.Unlock()
+	c.states[3].mu.Lock()
+	c.states[3].announced = []string{"job"}
+	c.states[3].mu.Unlock()
 	eventually(t, func() bool {
-		for i, w := range g.words {
-			w.mu.Lock()
-			holder := w.jobs["job"]
-			w.mu.Unlock()
+		for i, state := range c.states {
+			state.mu.Lock()
+			holder := state.jobs["job"]
+			state.mu.Unlock()
 			if i != 3 && holder != "n3" {
 				return false
 			}
@@ -90,61 +90,61 @@
 	})
 
 	lost := 7
-	g.stops[lost]()
+	c.stops[lost]()
 	left := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return i == lost })
-	eventually(t, func() bool { return slices.Equal(g.counted(left), slices.Repeat([]int{nodes - 1}, nodes-1)) })
-	eventually(t, func() bool { return g.allMiss(left) })
+	eventually(t, func() bool { return slices.Equal(c.onlineSeenBy(left), slices.Repeat([]int{nodes - 1}, nodes-1)) })
+	eventually(t, func() bool { return c.allNotified(left) })
 	for _, i := range left {
-		g.words[i].mu.Lock()
-		is.Equal(g.words[i].gone, []string{fmt.Sprint("n", lost)})
-		g.words[i].mu.Unlock()
-		is.Equal(len(g.all[i].ReachableInDataCentre()), nodes-2)
+		c.states[i].mu.Lock()
+		is.Equal(c.states[i].unreachable, []string{fmt.Sprint("n", lost)})
+		c.states[i].mu.Unlock()
+		is.Equal(len(c.all[i].ReachableInDataCentre()), nodes-2)
 	}
 }
 
-// allMiss reports whether each node left was told that a node is silent.
-func (g *grid) allMiss(left []int) bool {
+// allNotified reports whether OnUnreachable was called at each node left.
+func (c *localCentre) allNotified(left []int) bool {
 	for _, i := range left {
-		g.words[i].mu.Lock()
-		told := len(g.words[i].gone)
-		g.words[i].mu.Unlock()
-		if told == 0 {
+		c.states[i].mu.Lock()
+		reported := len(c.states[i].unreachable)
+		c.states[i].mu.Unlock()
+		if reported == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// TestLostGroupIsNoticed: all nodes of one group are lost at once, with those that
-// spoke for it. The others hear of each.
+// TestLostGroupIsNoticed: all nodes of one group are lost at once, its representatives
+// included. The other nodes notice the loss of each.
 func TestLostGroupIsNoticed(t *testing.T) {
 	is := is.New(t)
 	const nodes = 20
-	g := startGrid(t, nodes)
-	eventually(t, func() bool { return g.counted([]int{0})[0] == nodes })
-	group := (g.all[0].View().group + 1) % g.all[0].View().groups
+	c := startLocalCentre(t, nodes)
+	eventually(t, func() bool { return c.onlineSeenBy([]int{0})[0] == nodes })
+	group := (c.all[0].View().group + 1) % c.all[0].View().groups
 	lost := map[string]bool{}
 	var left []int
-	for i, x := range g.all {
+	for i, x := range c.all {
 		if x.View().group == group {
 			lost[x.Node] = true
-			g.stops[i]()
+			c.stops[i]()
 			continue
 		}
 		left = append(left, i)
 	}
 	is.True(len(lost) > 0)
-	eventually(t, func() bool { return slices.Equal(g.counted(left), slices.Repeat([]int{len(left)}, len(left))) })
+	eventually(t, func() bool { return slices.Equal(c.onlineSeenBy(left), slices.Repeat([]int{len(left)}, len(left))) })
 	eventually(t, func() bool {
 		for _, i := range left {
-			g.words[i].mu.Lock()
-			gone := maps.Collect(func(yield func(string, bool) bool) {
-				for _, name := range g.words[i].gone {
+			c.states[i].mu.Lock()
+			unreachable := maps.Collect(func(yield func(string, bool) bool) {
+				for _, name := range c.states[i].unreachable {
 					yield(name, true)
 				}
 			})
-			g.words[i].mu.Unlock()
-			if !maps.Equal(gone, lost) {
+			c.states[i].mu.Unlock()
+			if !maps.Equal(unreachable, lost) {
 				return false
 			}
 		}
@@ -152,78 +152,78 @@
 	})
 }
 
-// TestSilenceIsToldOn: of a node in another group a node hears through that group's
-// speaker. One that the speaker has not heard for long is silent then, and one of
-// which nobody speaks any more only after twice the time.
-func TestSilenceIsToldOn(t *testing.T) {
+// TestOtherGroupsNodesBecomeUnreachable: nodes of another group are known through reports
+// of its representative. A node that newer reports no longer include is unreachable, and
+// one on whose group no report arrives any more only after twice the time.
+func TestOtherGroupsNodesBecomeUnreachable(t *testing.T) {
 	is := is.New(t)
-	x := startGrid(t, 20).all[0]
+	x := startLocalCentre(t, 20).all[0]
 	group := (x.View().group + 1) % x.View().groups
 	now := time.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	old := word{at: now.Add(-silentAfter - 200*time.Millisecond), near: true, group: group}
-	x.grouped[groupName(group)] = now
-	is.True(x.silentNow(old))
-	x.grouped[groupName(group)] = old.at // its speaker is lost too
-	is.True(!x.silentNow(old))
-	old.at = now.Add(-2*silentAfter - time.Millisecond)
-	x.grouped[groupName(group)] = old.at
-	is.True(x.silentNow(old))
-	old.group = x.View().group // heard directly
-	old.at = now.Add(-silentAfter - 200*time.Millisecond)
-	is.True(x.silentNow(old))
+	old := nodeState{lastReceived: now.Add(-unreachableAfter - 200*time.Millisecond), near: true, group: group}
+	x.groupsReceived[groupName(group)] = now
+	is.True(x.isUnreachable(old))
+	x.groupsReceived[groupName(group)] = old.lastReceived // the representative is lost too
+	is.True(!x.isUnreachable(old))
+	old.lastReceived = now.Add(-2*unreachableAfter - time.Millisecond)
+	x.groupsReceived[groupName(group)] = old.lastReceived
+	is.True(x.isUnreachable(old))
+	old.group = x.View().group // received directly
+	old.lastReceived = now.Add(-unreachableAfter - 200*time.Millisecond)
+	is.True(x.isUnreachable(old))
 }
 
-// TestOtherDivisionCountsNothingTwice: while two nodes disagree on the number of
-// groups, because one knows more nodes, neither counts a node by its own word and
-// by that of a group.
+// TestOtherDivisionCountsNothingTwice: while two nodes disagree on the number of groups,
+// because one knows more nodes, neither counts a node both by its own report and by that
+// on its group.
 func TestOtherDivisionCountsNothingTwice(t *testing.T) {
 	is := is.New(t)
-	w := newWords(map[string]choose.InFlight{"t": {Online: 1}})
-	x, conn := newExchange(t, "self", "a", w, func() []Peer { return nil })
+	state := newFakeState(map[string]choose.InFlight{"t": {Online: 1}})
+	x, conn := newExchange(t, "self", "a", state, func() []Peer { return nil })
 	defer conn.Close()
-	sum := newWords(map[string]choose.InFlight{"t": {Online: 5}})
+	sum := newFakeState(map[string]choose.InFlight{"t": {Online: 5}})
 	var crowd []Peer
 	for i := range 19 {
 		crowd = append(crowd, Peer{Node: fmt.Sprint("n", i), DataCentre: "a", Address: conn.LocalAddr()})
 	}
 	other, otherConn := newExchange(t, "other", "a", sum, func() []Peer { return crowd })
 	defer otherConn.Close()
-	m := other.wordOfGroup()
-	is.True(x.news(m))
-	x.take(m)
-	is.Equal(w.InFlightHere()["t"].Online, 1)
-	is.True(x.hears("other")) // it lives all the same
-	m = other.wordOfNode()
-	is.True(x.news(m))
-	x.take(m)
-	is.Equal(w.InFlightHere()["t"].Online, 1)
+	m := other.groupReport()
+	is.True(x.isNewer(m))
+	x.apply(m)
+	is.Equal(state.InFlightHere()["t"].Online, 1)
+	is.True(x.reachable("other")) // but its sender is reachable
+	m = other.nodeReport()
+	is.True(x.isNewer(m))
+	x.apply(m)
+	is.Equal(state.InFlightHere()["t"].Online, 1)
 	time.Sleep(time.Millisecond)
-	is.True(!x.news(m)) // and a repeated datagram is none
+	is.True(!x.isNewer(m)) // a repeated datagram is not newer
 }
 
-// TestSuspendedNodeTellsNothingOld: a node whose machine was suspended does not tell
-// others that it just heard nodes which it heard before that. They may be lost since,
-// and those that know it would take them for alive again.
-func TestSuspendedNodeTellsNothingOld(t *testing.T) {
+// TestSuspendedNodeReportsNothingOld: a node whose VM was suspended does not report nodes
+// from which it received datagrams before the suspension. They may have been lost
+// meanwhile, and nodes that know this would take them for reachable again.
+func TestSuspendedNodeReportsNothingOld(t *testing.T) {
 	is := is.New(t)
 	var suspended time.Duration
-	x, conn := newExchange(t, "self", "a", newWords(nil), func() []Peer { return nil })
+	x, conn := newExchange(t, "self", "a", newFakeState(nil), func() []Peer { return nil })
 	defer conn.Close()
 	x.Suspended = func() time.Duration { return suspended }
-	everyone := func(word) bool { return true }
-	hear := func(node string) {
+	everyone := func(nodeState) bool { return true }
+	receive := func(node string) {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.heard[node] = word{at: time.Now(), near: true}
+		x.nodes[node] = nodeState{lastReceived: time.Now(), near: true}
 	}
-	hear("before")
+	receive("before")
 	is.Equal(len(x.members(everyone)), 1)
 	suspended = 10 * time.Second
 	is.Equal(len(x.members(everyone)), 0)
-	hear("after")
-	told := x.members(everyone)
-	is.Equal(len(told), 1)
-	is.Equal(told[0].Node, "after")
+	receive("after")
+	reported := x.members(everyone)
+	is.Equal(len(reported), 1)
+	is.Equal(reported[0].Node, "after")
 }
--- a/internal/connection/beacon/receive.go
+++ b/internal/connection/beacon/receive.go
@@ -11,6 +11,7 @@
 	"github.com/marblepond/marblepond/internal/version/follow"
 )
 
+// receive handles datagrams until the socket is closed.
 func (x *Exchange) receive(conn net.PacketConn) {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -19,42 +20,43 @@
 			return // the socket is closed
 		}
 		var message v1.Beacon
-		if proto.Unmarshal(buffer[:n], &message) == nil && x.news(&message) {
-			x.take(&message)
-			x.passOn(conn, &message)
+		if proto.Unmarshal(buffer[:n], &message) == nil && x.isNewer(&message) {
+			x.apply(&message)
+			x.forward(conn, &message)
 		}
 	}
 }
 
-// news reports whether a datagram is newer than the last of its sender.
-func (x *Exchange) news(m *v1.Beacon) bool {
+// isNewer reports whether a datagram is newer than the last one of its sender, and notes
+// that the sender is reachable.
+func (x *Exchange) isNewer(m *v1.Beacon) bool {
 	group := x.View().groupOf(m.Node)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	last, heard := x.heard[m.Node]
+	last, known := x.nodes[m.Node]
 	if m.Node == x.Node || m.Boot < last.boot || (m.Boot == last.boot && m.Sequence <= last.sequence) {
 		return false
 	}
 	near := m.DataCentre == x.DataCentre
-	x.heard[m.Node] = word{boot: m.Boot, sequence: m.Sequence, at: time.Now(), near: near, group: group, jobs: m.Jobs}
-	delete(x.gone, m.Node)
+	x.nodes[m.Node] = nodeState{boot: m.Boot, sequence: m.Sequence, lastReceived: time.Now(), near: near, group: group, jobs: m.Jobs}
+	delete(x.unreachableSince, m.Node)
 	if !near {
-		x.centres[m.DataCentre] = time.Now()
+		x.centresReceived[m.DataCentre] = time.Now()
 	}
-	if !heard && x.OnReachable != nil {
+	if !known && x.OnReachable != nil {
 		x.OnReachable(m.Node)
 	}
 	return true
 }
 
-// take hands what a datagram says to the duties that it concerns.
-func (x *Exchange) take(m *v1.Beacon) {
-	x.takeLoads(m)
+// apply passes the content of a datagram to the parts of the node that use it.
+func (x *Exchange) apply(m *v1.Beacon) {
+	x.applyLoads(m)
 	if len(m.Jobs) > 0 {
 		x.Batch.ReceiveJobs(m.Node, m.Jobs)
 	}
 	for _, member := range m.Members {
-		x.takeMember(member, m)
+		x.applyMember(member, m)
 	}
 	if m.StoreTookMs > 0 {
 		x.Store.Heard(time.Duration(m.StoreTookMs)*time.Millisecond, time.Duration(m.StoreAgeMs)*time.Millisecond)
@@ -71,10 +73,10 @@
 	}
 }
 
-// takeLoads takes what is in flight. A word that speaks for a group as another
-// number of groups divides the nodes would count some of them twice; it is passed
-// over until the two nodes know the same others.
-func (x *Exchange) takeLoads(m *v1.Beacon) {
+// applyLoads takes what is in flight and the batch work. A report from a node that divides
+// the data centre into another number of groups would count some nodes twice; it is
+// ignored until both know the same nodes.
+func (x *Exchange) applyLoads(m *v1.Beacon) {
 	counts := make(map[string]choose.InFlight, len(m.Targets))
 	for _, t := range m.Targets {
 		counts[t.Target] = choose.InFlight{Online: int(t.Online), Batch: int(t.Batch), Apart: int(t.Apart)}
@@ -90,45 +92,47 @@
 	case m.Scope == v1.Scope_SCOPE_NODE && group == view.group:
 		x.Batch.ReceiveNode(m.Node, batch)
 		if x.Loads.SetNode(m.Node, counts) && view.groups > 1 {
-			x.NotifyChange() // the group has something new to say to others
+			x.NotifyChange() // the report on this group has changed
 		}
 	case m.Scope == v1.Scope_SCOPE_GROUP && group != view.group:
-		x.heardGroup(groupName(group))
+		x.noteGroupReport(groupName(group))
 		x.Loads.SetGroup(groupName(group), len(m.Members)+1, counts)
 		x.Batch.ReceiveGroup(groupName(group), batch)
 	}
 }
 
-func (x *Exchange) heardGroup(name string) {
+func (x *Exchange) noteGroupReport(name string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.grouped[name] = time.Now()
+	x.groupsReceived[name] = time.Now()
 }
 
-// takeMember takes what a datagram says of another node than its sender: that of
-// a group in this data centre that it is heard, and the jobs that it holds.
-func (x *Exchange) takeMember(member *v1.Member, m *v1.Beacon) {
+// applyMember takes what a datagram reports on a node other than its sender: when it was
+// last received, if it is of a group in this data centre, and the jobs that it holds.
+func (x *Exchange) applyMember(member *v1.Member, m *v1.Beacon) {
 	if member.Node == x.Node {
 		return
 	}
 	if m.DataCentre == x.DataCentre && m.Scope == v1.Scope_SCOPE_GROUP {
-		x.heardOf(member)
+		x.noteMember(member)
 	}
 	if len(member.Jobs) > 0 {
 		x.Batch.ReceiveJobs(member.Node, member.Jobs)
 	}
 }
 
-func (x *Exchange) heardOf(member *v1.Member) {
+// noteMember notes when the sender of a datagram last received one of another node. Older
+// reports than what this node knows are ignored.
+func (x *Exchange) noteMember(member *v1.Member) {
 	at := time.Now().Add(-time.Duration(member.SilentMs) * time.Millisecond)
 	group := x.View().groupOf(member.Node)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	w := x.heard[member.Node]
-	if !at.After(w.at) || !at.After(x.gone[member.Node]) {
+	state := x.nodes[member.Node]
+	if !at.After(state.lastReceived) || !at.After(x.unreachableSince[member.Node]) {
 		return
 	}
-	w.at, w.near, w.group, w.jobs = at, true, group, member.Jobs
-	x.heard[member.Node] = w
-	delete(x.gone, member.Node)
+	state.lastReceived, state.near, state.group, state.jobs = at, true, group, member.Jobs
+	x.nodes[member.Node] = state
+	delete(x.unreachableSince, member.Node)
 }
--- a/internal/connection/beacon/send.go
+++ b/internal/connection/beacon/send.go
@@ -11,10 +11,10 @@
 	"github.com/marblepond/marblepond/internal/version/follow"
 )
 
-// send tells a word to nodes; it is composed only when there are any.
-func (x *Exchange) send(conn net.PacketConn, to []Peer, word func() *v1.Beacon) {
+// send sends a report to nodes. The report is composed only when there are any.
+func (x *Exchange) send(conn net.PacketConn, to []Peer, report func() *v1.Beacon) {
 	if len(to) > 0 {
-		write(conn, to, word())
+		write(conn, to, report())
 	}
 }
 
@@ -24,31 +24,32 @@
 		return // plain fields always encode
 	}
 	for _, p := range to {
-		_, _ = conn.WriteTo(data, p.Address) // a lost datagram is healed by the next
+		_, _ = conn.WriteTo(data, p.Address) // the next one makes up for a lost datagram
 	}
 }
 
-// tellHolders tells those that have items at a target that a request waits for a
-// slot there: the nodes of the own group, one node of each other group and one of
-// each other data centre, which pass it on.
-func (x *Exchange) tellHolders(conn net.PacketConn, target string) {
+// sendToHolders notifies the nodes that have batch items at a target that a request waits
+// for a slot there: directly those of the own group, and through one node each, which
+// forwards the datagram, those of other groups and data centres.
+func (x *Exchange) sendToHolders(conn net.PacketConn, target string) {
 	view, holders := x.View(), x.Loads.Holders(target)
-	x.send(conn, view.named(holders.Nodes), x.wordOfNode)
+	x.send(conn, view.peersNamed(holders.Nodes), x.nodeReport)
 	for _, group := range holders.Groups {
-		x.send(conn, view.inGroup(group, x.hears), func() *v1.Beacon { return passed(x.wordOfGroup(), v1.Pass_PASS_TO_NODES, target) })
+		x.send(conn, view.pickFromGroup(group, x.reachable), func() *v1.Beacon { return withPass(x.groupReport(), v1.Pass_PASS_TO_NODES, target) })
 	}
 	for _, centre := range holders.DataCentres {
-		x.send(conn, oneOf(view.far[centre], x.hears), func() *v1.Beacon { return passed(x.wordOfDataCentre(), v1.Pass_PASS_TO_GROUPS, target) })
+		x.send(conn, pickOne(view.far[centre], x.reachable), func() *v1.Beacon { return withPass(x.dataCentreReport(), v1.Pass_PASS_TO_GROUPS, target) })
 	}
 }
 
-func passed(message *v1.Beacon, pass v1.Pass, target string) *v1.Beacon {
+func withPass(message *v1.Beacon, pass v1.Pass, target string) *v1.Beacon {
 	message.Pass, message.FullTarget = pass, target
 	return message
 }
 
-// passOn passes a datagram on as it asks. Each step asks for less, so that it ends.
-func (x *Exchange) passOn(conn net.PacketConn, m *v1.Beacon) {
+// forward sends a datagram on to the nodes that its Pass field names. Each hop narrows
+// Pass, so that forwarding ends.
+func (x *Exchange) forward(conn net.PacketConn, m *v1.Beacon) {
 	pass := m.Pass
 	if pass == v1.Pass_PASS_NOT {
 		return
@@ -57,31 +58,31 @@
 	if pass == v1.Pass_PASS_TO_GROUPS {
 		m.Pass = v1.Pass_PASS_TO_NODES
 		for _, group := range holders.Groups {
-			write(conn, view.inGroup(group, x.hears), m)
+			write(conn, view.pickFromGroup(group, x.reachable), m)
 		}
 	}
 	m.Pass = v1.Pass_PASS_NOT
-	if to := view.named(holders.Nodes); len(to) > 0 {
+	if to := view.peersNamed(holders.Nodes); len(to) > 0 {
 		write(conn, to, m)
 	}
 }
 
-// wordOfNode returns what this node says of itself.
-func (x *Exchange) wordOfNode() *v1.Beacon {
+// nodeReport returns the report on this node.
+func (x *Exchange) nodeReport() *v1.Beacon {
 	return x.compose(v1.Scope_SCOPE_NODE, x.Loads.InFlight(), x.Batch.OfNode())
 }
 
-// wordOfGroup returns what this node says of its group.
-func (x *Exchange) wordOfGroup() *v1.Beacon {
+// groupReport returns the report on this node's group.
+func (x *Exchange) groupReport() *v1.Beacon {
 	m := x.compose(v1.Scope_SCOPE_GROUP, x.Loads.InFlightInGroup(), x.Batch.OfGroup())
-	m.Members = x.members(func(w word) bool { return w.group == x.View().group })
+	m.Members = x.members(func(state nodeState) bool { return state.group == x.View().group })
 	return m
 }
 
-// wordOfDataCentre returns what this node says of its data centre.
-func (x *Exchange) wordOfDataCentre() *v1.Beacon {
+// dataCentreReport returns the report on this node's data centre.
+func (x *Exchange) dataCentreReport() *v1.Beacon {
 	m := x.compose(v1.Scope_SCOPE_DATA_CENTRE, x.Loads.InFlightHere(), x.Batch.OfDataCentre())
-	m.Members = x.members(func(w word) bool { return len(w.jobs) > 0 })
+	m.Members = x.members(func(state nodeState) bool { return len(state.jobs) > 0 })
 	return m
 }
 
@@ -99,25 +100,25 @@
 	return message
 }
 
-// noteSuspension notes that the machine was suspended. What was heard before is older
-// than it seems then, and others would take nodes that were lost meanwhile for alive.
-// The caller holds x.mu.
+// noteSuspension notes that the VM was suspended. The monotonic clock stands still
+// meanwhile, so that datagrams received before seem more recent than they are, and other
+// nodes would take nodes that were lost meanwhile for reachable. The caller holds x.mu.
 func (x *Exchange) noteSuspension() {
-	if slept := x.Suspended(); slept > x.slept {
-		x.slept, x.woke = slept, time.Now()
+	if suspended := x.Suspended(); suspended > x.suspendedTotal {
+		x.suspendedTotal, x.resumedAt = suspended, time.Now()
 	}
 }
 
-// members returns what is told of the nodes of this data centre that are heard and
-// wanted.
-func (x *Exchange) members(wanted func(word) bool) []*v1.Member {
+// members returns what a report states of the reachable nodes of this data centre that
+// match a filter.
+func (x *Exchange) members(wanted func(nodeState) bool) []*v1.Member {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.noteSuspension()
 	var out []*v1.Member
-	for node, w := range x.heard {
-		if silent := time.Since(w.at); w.near && silent < silentAfter && w.at.After(x.woke) && wanted(w) {
-			out = append(out, &v1.Member{Node: node, SilentMs: uint32(silent.Milliseconds()), Jobs: w.jobs})
+	for node, state := range x.nodes {
+		if sinceLast := time.Since(state.lastReceived); state.near && sinceLast < unreachableAfter && state.lastReceived.After(x.resumedAt) && wanted(state) {
+			out = append(out, &v1.Member{Node: node, SilentMs: uint32(sinceLast.Milliseconds()), Jobs: state.jobs})
 		}
 	}
 	return out
--- a/internal/connection/beacon/silence.go
+++ b/internal/connection/beacon/silence.go
@@ -5,147 +5,149 @@
 	"time"
 )
 
-// word is the newest that is known of another node.
-type word struct {
-	boot     int64 // and sequence of the newest datagram of its own; 0: only others told of it
-	sequence uint64
-	at       time.Time // when it was last heard, by this node or one that told it
-	near     bool      // of this node's data centre
-	group    int       // there
-	jobs     []string  // that it lately came to hold
+// nodeState is the newest state known of another node.
+type nodeState struct {
+	boot         int64 // of its newest datagram received here; 0: only other nodes reported it
+	sequence     uint64
+	lastReceived time.Time // of its newest datagram, received here or by a node that reported it
+	near         bool      // in this node's data centre
+	group        int       // in its data centre
+	jobs         []string  // that it recently became the holder of
 }
 
-// hears reports whether a node is heard now.
-func (x *Exchange) hears(node string) bool {
+// reachable reports whether a datagram of a node was received within unreachableAfter.
+func (x *Exchange) reachable(node string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return time.Since(x.heard[node].at) < silentAfter
+	return time.Since(x.nodes[node].lastReceived) < unreachableAfter
 }
 
-// ReachableNodes returns the nodes that are heard now.
+// ReachableNodes returns the reachable nodes of all data centres, without this one.
 func (x *Exchange) ReachableNodes() []string {
-	return x.heardBy(func(word) bool { return true })
+	return x.reachableWhere(func(nodeState) bool { return true })
 }
 
-// ReachableInDataCentre returns the nodes of this data centre that are heard now, without
-// this one.
+// ReachableInDataCentre returns the reachable nodes of this data centre, without this one.
 func (x *Exchange) ReachableInDataCentre() []string {
-	return x.heardBy(func(w word) bool { return w.near })
+	return x.reachableWhere(func(state nodeState) bool { return state.near })
 }
 
-// ReachableInGroup returns the nodes of this node's group that are heard now, without
-// this one.
+// ReachableInGroup returns the reachable nodes of this node's group, without this one.
 func (x *Exchange) ReachableInGroup() []string {
 	group := x.View().group
-	return x.heardBy(func(w word) bool { return w.near && w.group == group })
+	return x.reachableWhere(func(state nodeState) bool { return state.near && state.group == group })
 }
 
-func (x *Exchange) heardBy(wanted func(word) bool) []string {
+func (x *Exchange) reachableWhere(wanted func(nodeState) bool) []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	out := make([]string, 0, len(x.heard))
-	for node, w := range x.heard {
-		if !x.silentNow(w) && wanted(w) {
+	out := make([]string, 0, len(x.nodes))
+	for node, state := range x.nodes {
+		if !x.isUnreachable(state) && wanted(state) {
 			out = append(out, node)
 		}
 	}
 	return out
 }
 
-// ReachableGroups returns the other groups of this data centre that are heard now.
-func (x *Exchange) ReachableGroups() []string { return x.heardOfLate(x.grouped) }
+// ReachableGroups returns the other groups of this data centre on which a report was
+// received within unreachableAfter.
+func (x *Exchange) ReachableGroups() []string { return x.receivedLately(x.groupsReceived) }
 
-// ReachableDataCentres returns the other data centres of which a node is heard now.
-func (x *Exchange) ReachableDataCentres() []string { return x.heardOfLate(x.centres) }
+// ReachableDataCentres returns the other data centres of which a datagram was received
+// within unreachableAfter.
+func (x *Exchange) ReachableDataCentres() []string { return x.receivedLately(x.centresReceived) }
 
-// DataCentreLastReceived returns when a node of another data centre was last heard, the zero
-// time when none was of late.
+// DataCentreLastReceived returns when a datagram of another data centre was last received,
+// the zero time when it is unreachable.
 func (x *Exchange) DataCentreLastReceived(name string) time.Time {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.centres[name]
+	return x.centresReceived[name]
 }
 
-func (x *Exchange) heardOfLate(times map[string]time.Time) []string {
+func (x *Exchange) receivedLately(times map[string]time.Time) []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var out []string
 	for name, at := range times {
-		if time.Since(at) < silentAfter {
+		if time.Since(at) < unreachableAfter {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// silentNow reports whether a node counts as silent. Of one in another group this
-// node hears through that group's speaker. When the speaker is lost all of its
-// group fall silent here until another one speaks; they count as silent only when
-// that one says so, or after twice the time. The caller holds x.mu.
-func (x *Exchange) silentNow(w word) bool {
-	silent := time.Since(w.at)
-	if !w.near || w.group == x.View().group || silent <= silentAfter {
-		return silent > silentAfter
+// isUnreachable reports whether a node counts as unreachable. Nodes of another group are
+// known here through reports of that group's representative. When the representative is
+// lost, no reports on its group arrive until another node takes over; the nodes of the
+// group then count as unreachable only when a later report no longer includes them, or
+// after twice the time. The caller holds x.mu.
+func (x *Exchange) isUnreachable(state nodeState) bool {
+	sinceLast := time.Since(state.lastReceived)
+	if !state.near || state.group == x.View().group || sinceLast <= unreachableAfter {
+		return sinceLast > unreachableAfter
 	}
-	told := x.grouped[groupName(w.group)]
-	return told.Sub(w.at) > silentAfter || silent > 2*silentAfter
+	reported := x.groupsReceived[groupName(state.group)]
+	return reported.Sub(state.lastReceived) > unreachableAfter || sinceLast > 2*unreachableAfter
 }
 
-// UnreachableSince returns when a node that is heard no more was last heard; false: it
-// is heard, or never was.
+// UnreachableSince returns when the last datagram of an unreachable node was received;
+// false: the node is reachable, or is not known.
 func (x *Exchange) UnreachableSince(node string) (time.Time, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	at, gone := x.gone[node]
-	return at, gone
+	at, unreachable := x.unreachableSince[node]
+	return at, unreachable
 }
 
-// goneFor is how long a silent node is remembered: longer than its jobs are held.
-const goneFor = 10 * time.Minute
+// keepUnreachable is how long an unreachable node is remembered: longer than any job
+// stays with an unreachable holder.
+const keepUnreachable = 10 * time.Minute
 
-// forgetSilent drops what silent nodes, groups and data centres said they have in
-// flight.
-func (x *Exchange) forgetSilent() {
-	for _, node := range x.silentNodes() {
+// removeUnreachable drops what unreachable nodes, groups and data centres reported to have
+// in flight.
+func (x *Exchange) removeUnreachable() {
+	for _, node := range x.removeUnreachableNodes() {
 		x.Loads.SetNode(node, nil)
 		x.OnUnreachable(node)
 	}
-	for _, group := range x.silentOf(x.grouped) {
+	for _, group := range x.removeStale(x.groupsReceived) {
 		x.Loads.SetGroup(group, 0, nil)
 	}
-	for _, name := range x.silentOf(x.centres) {
+	for _, name := range x.removeStale(x.centresReceived) {
 		x.Loads.SetDataCentre(name, nil)
 	}
 }
 
-// silentNodes forgets the nodes that are heard no more, and returns those of this
-// data centre among them.
-func (x *Exchange) silentNodes() []string {
+// removeUnreachableNodes removes the unreachable nodes, and returns those of this data
+// centre among them.
+func (x *Exchange) removeUnreachableNodes() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var near []string
-	for node, w := range x.heard {
-		if !x.silentNow(w) {
+	for node, state := range x.nodes {
+		if !x.isUnreachable(state) {
 			continue
 		}
-		delete(x.heard, node)
-		x.gone[node] = w.at
-		if w.near {
+		delete(x.nodes, node)
+		x.unreachableSince[node] = state.lastReceived
+		if state.near {
 			near = append(near, node)
 		}
 	}
-	maps.DeleteFunc(x.gone, func(_ string, at time.Time) bool { return time.Since(at) > goneFor })
+	maps.DeleteFunc(x.unreachableSince, func(_ string, at time.Time) bool { return time.Since(at) > keepUnreachable })
 	return near
 }
 
-// silentOf forgets the groups or data centres that are heard no more, and returns
-// them.
-func (x *Exchange) silentOf(times map[string]time.Time) []string {
+// removeStale removes the groups or data centres of which no datagram was received for
+// longer than unreachableAfter, and returns them.
+func (x *Exchange) removeStale(times map[string]time.Time) []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var out []string
 	for name, at := range times {
-		if time.Since(at) > silentAfter {
+		if time.Since(at) > unreachableAfter {
 			delete(times, name)
 			out = append(out, name)
 		}
--- a/internal/connection/beacon/view.go
+++ b/internal/connection/beacon/view.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	// oneGroup is how many nodes of a data centre are one group, in which each tells
-	// each: below it groups would send as much.
-	oneGroup = 12
-	// strayShare is the share of rounds in which a group is told on to a node of
-	// another group by one that is not its speaker. A listener whose path to its
-	// speaker is broken hears the group in one of ten rounds, about once a second.
-	strayShare = 0.1
+	// maxSingleGroup is the number of nodes up to which a data centre is one group, in
+	// which each node reports to each other: groups would send as much there.
+	maxSingleGroup = 12
+	// extraReportShare is the share of rounds in which a node of another group receives
+	// a group's report from a member that is not its representative. A receiver whose path
+	// to its representative is broken gets a report in one of ten rounds, about once a
+	// second.
+	extraReportShare = 0.1
 )
 
 // Peer is another node.
 type Peer struct {
 	Node       string
 	DataCentre string
-	Address    net.Addr // where it hears datagrams
+	Address    net.Addr // where it receives datagrams
 	Callers    bool     // it serves callers and may hold batch items
 }
 
-// View is how a node sees the others: those of its data centre in groups, about
-// as many as each has nodes, and the others by data centre. Which group a node
-// belongs to follows from its name, so that nodes that know the same others agree.
+// View lists the other nodes: those of the own data centre by group, with about as many
+// groups as each has nodes, and the others by data centre. The group of a node follows
+// from its name, so that all nodes that know the same nodes agree on it.
 type View struct {
 	self   string
 	groups int
@@ -42,7 +43,7 @@
 	byName map[string]net.Addr // of this data centre
 }
 
-// NewView returns how a node of a data centre sees the others.
+// NewView returns the view of a node of a data centre.
 func NewView(self, dataCentre string, others []Peer) *View {
 	here := 1
 	for _, p := range others {
@@ -50,10 +51,10 @@
 			here++
 		}
 	}
-	return NewViewWithGroups(self, dataCentre, others, groupsOf(here))
+	return NewViewWithGroups(self, dataCentre, others, groupCount(here))
 }
 
-// NewViewWithGroups returns the same with so many groups in the data centre.
+// NewViewWithGroups is NewView with a given number of groups in the data centre.
 func NewViewWithGroups(self, dataCentre string, others []Peer, groups int) *View {
 	v := &View{self: self, groups: groups, far: map[string][]Peer{}, byName: map[string]net.Addr{}}
 	v.group = v.groupOf(self)
@@ -71,12 +72,12 @@
 	return v
 }
 
-// groupsOf returns into how many groups so many nodes are divided: the power of
-// two nearest to the square root, so that a node that comes or goes seldom changes
-// the groups of all others. A node then tells about as many nodes as its group has,
-// and one of each other group: 2 sqrt(n) in place of n.
-func groupsOf(nodes int) int {
-	if nodes <= oneGroup {
+// groupCount returns the number of groups for a number of nodes: the power of two nearest
+// to the square root, so that a node that joins or leaves seldom changes the groups of all
+// others. A node then sends to about as many nodes as its group has, and to one of each
+// other group: 2 sqrt(n) in place of n.
+func groupCount(nodes int) int {
+	if nodes <= maxSingleGroup {
 		return 1
 	}
 	return 1 << int(math.Round(math.Log2(float64(nodes))/2))
@@ -92,7 +93,7 @@
 // Group returns the name of this node's group.
 func (v *View) Group() string { return groupName(v.group) }
 
-// Groups returns into how many groups the data centre is divided.
+// Groups returns the number of groups in the data centre.
 func (v *View) Groups() int { return v.groups }
 
 // GroupOf returns the name of the group of a node of this data centre.
@@ -103,22 +104,23 @@
 // Members returns the other nodes of this node's group.
 func (v *View) Members() []Peer { return v.near[v.group] }
 
-// GroupReportReceivers returns to which nodes of other groups this node speaks for its own in
-// a round. Each of them has one speaker among the members that are heard, the
-// first in an order of its own; draw adds the strays.
-func (v *View) GroupReportReceivers(heard []string, draw func() float64) []Peer {
+// GroupReportReceivers returns the nodes of other groups to which this node sends the
+// report on its group in a round. Each of them has one representative among the reachable
+// members of the group: the first in rendezvous order for the receiver's name. With
+// extraReportShare, drawn by draw, the other members send one too.
+func (v *View) GroupReportReceivers(reachable []string, draw func() float64) []Peer {
 	if v.groups == 1 {
 		return nil
 	}
-	speakers := append(append(make([]string, 0, len(heard)+1), heard...), v.self)
-	stray := strayShare / float64(max(1, len(heard)))
+	candidates := append(append(make([]string, 0, len(reachable)+1), reachable...), v.self)
+	extra := extraReportShare / float64(max(1, len(reachable)))
 	var out []Peer
 	for g, peers := range v.near {
 		if g == v.group {
 			continue
 		}
 		for _, p := range peers {
-			if rendezvous.First(p.Node, speakers) == v.self || draw() < stray {
+			if rendezvous.First(p.Node, candidates) == v.self || draw() < extra {
 				out = append(out, p)
 			}
 		}
@@ -126,8 +128,8 @@
 	return out
 }
 
-// farListeners returns some nodes of other data centres drawn at random.
-func (v *View) farListeners(n int) []Peer {
+// farReceivers returns up to n nodes of other data centres, drawn at random.
+func (v *View) farReceivers(n int) []Peer {
 	if len(v.all) <= n {
 		return v.all
 	}
@@ -138,41 +140,41 @@
 	return out
 }
 
-// oneOf returns one of some nodes that may hold items: one that is heard if any
-// is.
-func oneOf(peers []Peer, heard func(node string) bool) []Peer {
-	var known, others []Peer
+// pickOne returns a random node among peers that may hold batch items: a reachable one if
+// there is any.
+func pickOne(peers []Peer, reachable func(node string) bool) []Peer {
+	var preferred, others []Peer
 	for _, p := range peers {
 		switch {
 		case !p.Callers:
-		case heard(p.Node):
-			known = append(known, p)
+		case reachable(p.Node):
+			preferred = append(preferred, p)
 		default:
 			others = append(others, p)
 		}
 	}
-	if len(known) == 0 {
-		known = others
+	if len(preferred) == 0 {
+		preferred = others
 	}
-	if len(known) == 0 {
+	if len(preferred) == 0 {
 		return nil
 	}
-	i := rand.IntN(len(known))
-	return known[i : i+1]
+	i := rand.IntN(len(preferred))
+	return preferred[i : i+1]
 }
 
-// inGroup returns one node of the group named, by oneOf.
-func (v *View) inGroup(name string, heard func(node string) bool) []Peer {
+// pickFromGroup returns one node of a group, chosen by pickOne.
+func (v *View) pickFromGroup(name string, reachable func(node string) bool) []Peer {
 	for g, peers := range v.near {
 		if groupName(g) == name {
-			return oneOf(peers, heard)
+			return pickOne(peers, reachable)
 		}
 	}
 	return nil
 }
 
-// named returns the nodes of this data centre with the names given.
-func (v *View) named(nodes []string) []Peer {
+// peersNamed returns the nodes of this data centre with the given names.
+func (v *View) peersNamed(nodes []string) []Peer {
 	var out []Peer
 	for _, node := range nodes {
 		if address := v.byName[node]; address != nil {
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -43,10 +43,10 @@
 mutant 3 internal/request/choose/yield.go 's/now\.Sub\(e\.overSince\) >= yieldPatience/now.Sub(e.overSince) >= 0/' internal/request/choose TestOneMakesRoomForOne
 mutant 3 internal/request/choose/yield.go 's/now\.Sub\(e\.overSince\) >= yieldPatience/now.Sub(e.overSince) > time.Hour/' internal/request/choose TestDifferentNewsStillMakesRoom
 mutant 3 internal/request/choose/reserve.go 's/reaction := awayReaction/reaction := homeReaction/' internal/request/choose TestReserveFollowsTheArrivals
-mutant 3 internal/connection/beacon/beacon.go 's/x\.tellHolders\(conn, target\)/_ = target/' internal/connection/beacon TestHoldersHearAtOnce
-mutant 3 internal/connection/beacon/send.go 's/if pass == v1\.Pass_PASS_NOT/if pass != v1.Pass_PASS_NOT/' internal/connection/beacon TestHoldersHearAtOnce
-mutant 3 internal/connection/beacon/view.go 's/rendezvous\.First\(p\.Node, speakers\) == v\.self/rendezvous.First(p.Node, speakers) == p.Node/' internal/connection/beacon TestEveryNodeHearsEveryGroup
-mutant 1 internal/connection/beacon/silence.go 's/told\.Sub\(w\.at\) > silentAfter/told.Sub(w.at) > time.Hour/' internal/connection/beacon TestSilenceIsToldOn
+mutant 3 internal/connection/beacon/beacon.go 's/x\.sendToHolders\(conn, target\)/_ = target/' internal/connection/beacon TestHoldersAreNotifiedAtOnce
+mutant 3 internal/connection/beacon/send.go 's/if pass == v1\.Pass_PASS_NOT/if pass != v1.Pass_PASS_NOT/' internal/connection/beacon TestHoldersAreNotifiedAtOnce
+mutant 3 internal/connection/beacon/view.go 's/rendezvous\.First\(p\.Node, candidates\) == v\.self/rendezvous.First(p.Node, candidates) == p.Node/' internal/connection/beacon TestEveryNodeReceivesEveryGroup
+mutant 1 internal/connection/beacon/silence.go 's/reported\.Sub\(state\.lastReceived\) > unreachableAfter/reported.Sub(state.lastReceived) > time.Hour/' internal/connection/beacon TestOtherGroupsNodesBecomeUnreachable
 mutant 3 internal/request/forward/forward.go 's/final == nil && Saturated\(err\)/final == nil \&\& Saturated(err) \&\& c.begun/' internal/request/forward TestRefusedRequestCountsWhileItWaits
 mutant 6 internal/request/choose/prefer.go 's/if key == 0 \{/if key < 1<<63 {/' internal/request/choose TestScatteredWorkParts
 mutant 6 internal/request/run/run.go 's/promptLosses = 2/promptLosses = 60/' internal/request/run TestLostLinksAwaitLoadReports
@@ -91,7 +91,7 @@
 mutant 1 internal/process/clock/clock.go 's/c\.suspended = away/_ = away/' internal/process/clock TestSuspensionsCount
 mutant 6 internal/request/forward/forward.go 's/if !f\.Now\(\)\.Before\(req\.Deadline\)/if c.begun \&\& f.Now().IsZero()/' internal/request/forward TestDeadlineCountsSuspensions
 mutant 1 internal/request/job/run.go 's/m\.Clock\.Since\(looked\)/time.Since(looked)/' internal/request/job TestSuspendedHolderAsksTheStore
-mutant 1 internal/connection/beacon/send.go 's/w\.at\.After\(x\.woke\) && //' internal/connection/beacon TestSuspendedNodeTellsNothingOld
+mutant 1 internal/connection/beacon/send.go 's/state\.lastReceived\.After\(x\.resumedAt\) && //' internal/connection/beacon TestSuspendedNodeReportsNothingOld
 mutant 1 internal/request/batch/lease.go 's/w\.clock\.Since\(l\.renewed\)/time.Since(l.renewed)/' internal/request/batch TestLeaseRunsOutDuringASuspension
 mutant 5 internal/request/quarantine/verdict.go 's/return trial\.together\(c, work, near\)/return trial.together(c, work, near) \&\& c == nil/' internal/request/quarantine TestTargetsKilledTogether
 mutant 5 internal/request/quarantine/verdict.go 's/aloneLeast = 1/aloneLeast = 0/' internal/request/quarantine TestBystandersAreNotRefused
