--- a/internal/connection/lending/datagrams.go
+++ b/internal/connection/lending/datagrams.go
@@ -14,13 +14,13 @@
 // maxDatagram is the largest datagram read, in bytes; names are short.
 const maxDatagram = 4 << 10
 
-// grantFrom is an answer to an ask.
-type grantFrom struct {
+// grantReply is the answer to a borrow request.
+type grantReply struct {
 	allowance.Grant
-	unsure bool // the node can't tell
+	unsure bool // the node did not decide: it does not know the workspace, or was only probed
 }
 
-// Run exchanges over conn until ctx ends.
+// Run sends and receives datagrams over conn until ctx ends.
 func (x *Exchange) Run(ctx context.Context, conn net.PacketConn) {
 	x.conn.Store(&conn)
 	go func() {
@@ -35,29 +35,29 @@
 		}
 		var message v1.Lending
 		if proto.Unmarshal(buffer[:n], &message) == nil {
-			x.take(from, &message)
+			x.handle(from, &message)
 		}
 	}
 }
 
-func (x *Exchange) take(from net.Addr, m *v1.Lending) {
+func (x *Exchange) handle(from net.Addr, m *v1.Lending) {
 	switch {
 	case m.GetAsk() != nil:
-		x.takeAsk(from, m.GetAsk())
+		x.handleRequest(from, m.GetAsk())
 	case m.GetGrant() != nil:
-		x.takeGrant(m.GetGrant())
+		x.handleGrant(m.GetGrant())
 	}
 }
 
-// takeAsk answers another node's ask. One without a need only asks whether this node
-// lives.
-func (x *Exchange) takeAsk(from net.Addr, m *v1.LendingAsk) {
-	if m.ForCentre && x.passOn(from, m) {
+// handleRequest answers the borrow request of another node. One that needs no tokens is a
+// probe: any answer shows that this node is alive.
+func (x *Exchange) handleRequest(from net.Addr, m *v1.LendingAsk) {
+	if m.ForCentre && x.forwardToOwner(from, m) {
 		return
 	}
 	grant := &v1.LendingGrant{Node: x.Node, Workspace: m.Workspace, Sequence: m.Sequence}
 	x.mu.Lock()
-	x.lived[m.Node] = x.Now()
+	x.lastReceived[m.Node] = x.Now()
 	if _, known := x.Limit(m.Workspace); known && m.Need > 0 {
 		g := x.lend(allowance.BorrowRequest{Workspace: m.Workspace, Borrower: m.Node, Boot: m.Boot, Sequence: m.Sequence, DataCentre: m.DataCentre,
 			Need: int(m.Need), Prefetch: int(m.Ahead), Returned: int(m.Back), Share: float64(m.Share)}, false)
@@ -67,18 +67,18 @@
 	}
 	x.mu.Unlock()
 	if m.ReplyTo != "" {
-		asker, err := net.ResolveUDPAddr("udp", m.ReplyTo)
+		borrower, err := net.ResolveUDPAddr("udp", m.ReplyTo)
 		if err != nil {
-			return // not from a node of ours
+			return // not sent by a node of the fleet
 		}
-		from = asker
+		from = borrower
 	}
 	x.write(from, &v1.Lending{Kind: &v1.Lending_Grant{Grant: grant}})
 }
 
-// passOn passes an ask for this data centre on to the owner here; false: this node is to
-// answer it.
-func (x *Exchange) passOn(from net.Addr, m *v1.LendingAsk) bool {
+// forwardToOwner forwards a borrow request for this data centre to the owner here; false:
+// this node has to answer it.
+func (x *Exchange) forwardToOwner(from net.Addr, m *v1.LendingAsk) bool {
 	x.mu.Lock()
 	owners := x.Fleet.Owners(m.Workspace, x.suspected)
 	x.mu.Unlock()
@@ -91,36 +91,36 @@
 	return true
 }
 
-// takeGrant hands an answer to the ask that waits for it.
-func (x *Exchange) takeGrant(m *v1.LendingGrant) {
+// handleGrant passes an answer to the borrow request that waits for it.
+func (x *Exchange) handleGrant(m *v1.LendingGrant) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.lived[m.Node] = x.Now()
+	x.lastReceived[m.Node] = x.Now()
 	p := x.pending[m.Workspace]
 	if p == nil || p.sequence != m.Sequence {
 		return // answered already
 	}
-	got := grantFrom{allowance.Grant{Lent: int(m.Lent), Wait: time.Duration(m.WaitMs) * time.Millisecond, Share: float64(m.Share)}, m.Unsure}
+	reply := grantReply{allowance.Grant{Lent: int(m.Lent), Wait: time.Duration(m.WaitMs) * time.Millisecond, Share: float64(m.Share)}, m.Unsure}
 	select {
-	case p.grants <- got:
-	default: // a second answer to an ask that was sent again
+	case p.grants <- reply:
+	default: // a second answer, to a request that was sent again
 	}
 }
 
-// sendAsk asks a node.
-func (x *Exchange) sendAsk(lender Lender, ask allowance.BorrowRequest) {
+// sendRequest sends a borrow request to a node.
+func (x *Exchange) sendRequest(lender Lender, request allowance.BorrowRequest) {
 	if lender.Address == nil {
 		return
 	}
-	x.write(lender.Address, &v1.Lending{Kind: &v1.Lending_Ask{Ask: &v1.LendingAsk{Workspace: ask.Workspace, Node: ask.Borrower, Boot: ask.Boot, Sequence: ask.Sequence,
-		DataCentre: ask.DataCentre, Need: uint32(ask.Need), Ahead: uint32(ask.Prefetch), Back: uint32(ask.Returned), Share: float32(ask.Share), ForCentre: lender.ForCentre}}})
+	x.write(lender.Address, &v1.Lending{Kind: &v1.Lending_Ask{Ask: &v1.LendingAsk{Workspace: request.Workspace, Node: request.Borrower, Boot: request.Boot, Sequence: request.Sequence,
+		DataCentre: request.DataCentre, Need: uint32(request.Need), Ahead: uint32(request.Prefetch), Back: uint32(request.Returned), Share: float32(request.Share), ForCentre: lender.ForCentre}}})
 }
 
 func (x *Exchange) write(to net.Addr, m *v1.Lending) {
 	data, err := proto.Marshal(m)
 	conn := x.conn.Load()
 	if err != nil || conn == nil {
-		return // plain fields always encode; without a socket nobody is asked
+		return // plain fields always encode; without a socket no node is asked
 	}
 	_, _ = (*conn).WriteTo(data, to) // a lost datagram is sent again
 }
--- a/internal/connection/lending/lenders.go
+++ b/internal/connection/lending/lenders.go
@@ -6,24 +6,24 @@
 	"github.com/marblepond/marblepond/internal/request/allowance"
 )
 
-// Lender is a node that takes requests.
+// Lender is a node that accepts requests, and so may own token buckets.
 type Lender struct {
 	Node       string
 	DataCentre string
-	Address    net.Addr // where it takes datagrams; nil: it takes none
-	// ForCentre: it stands for the owner in its data centre, which this node does not
-	// know, and passes asks on to that one.
+	Address    net.Addr // where it receives datagrams; nil: it receives none
+	// ForCentre: the owner is another node of its data centre, which is not known here;
+	// this node forwards borrow requests to it.
 	ForCentre bool
 }
 
-// Lenders are nodes that take requests, heard or not. It is immutable.
+// Lenders lists the nodes that accept requests, reachable or not. It is immutable.
 type Lenders struct {
 	nodes  map[string]int // by data centre
 	names  []string
 	byName map[string]Lender
 }
 
-// NewLenders returns the list of some nodes.
+// NewLenders returns a list of nodes.
 func NewLenders(list []Lender) *Lenders {
 	l := &Lenders{nodes: map[string]int{}, byName: map[string]Lender{}}
 	for _, n := range list {
@@ -37,8 +37,8 @@
 // Nodes returns how many nodes each data centre has.
 func (l *Lenders) Nodes() map[string]int { return l.nodes }
 
-// Owners returns whom to ask for tokens of a workspace, among the nodes that are wanted,
-// the first choice first.
+// Owners returns the nodes to borrow tokens of a workspace from, in order of preference,
+// among the nodes that match a filter.
 func (l *Lenders) Owners(name string, wanted func(Lender) bool) []Lender {
 	var names []string
 	for _, n := range l.byName {
@@ -53,7 +53,7 @@
 	return out
 }
 
-// PreferredOwner returns the first choice among all nodes.
+// PreferredOwner returns the first in that order among all nodes.
 func (l *Lenders) PreferredOwner(name string) Lender {
 	return l.byName[allowance.PreferredOwner(name, l.names)]
 }
--- a/internal/connection/lending/lending.go
+++ b/internal/connection/lending/lending.go
@@ -1,6 +1,7 @@
-// Package lending carries tokens of workspaces' allowances between nodes, by datagrams:
-// a node that takes a request on asks the owner of the workspace's allowance. Who
-// owns what, how much is lent and whom to ask next is decided by package allowance.
+// Package lending enforces the allowances (rate limits) of workspaces over all nodes. One
+// node owns the token buckets of a workspace; a node that accepts a request borrows tokens
+// from it by datagrams. Package allowance decides which node owns what, how much is
+// lent and which node to ask next.
 package lending
 
 import (
@@ -18,26 +19,28 @@
 )
 
 const (
-	// deadAfter is how much longer than a node its data centre has to be heard until the
-	// node counts as lost; a cut makes both fall silent together. Of a node that lives one
-	// datagram comes each probePause meanwhile, and with 30 of 100 lost still one of eight
-	// in 995 of 1,000 cases.
-	deadAfter  = 250 * time.Millisecond
-	probePause = 30 * time.Millisecond
-	// suspectFor is how long an owner that did not answer is not asked first.
+	// unresponsiveAfter is how much older than the last datagram of its data centre the
+	// last one of a node has to be for the node to count as unresponsive; in a network
+	// partition both stop together. A node that is alive answers a probe each probeInterval
+	// meanwhile: with 30 of 100 datagrams lost, one of eight still arrives in 995 of 1,000
+	// cases.
+	unresponsiveAfter = 250 * time.Millisecond
+	probeInterval     = 30 * time.Millisecond
+	// suspectFor is how long an owner that did not answer is skipped.
 	suspectFor = time.Second
 )
 
-// Fleet is what an exchange needs to know of the nodes.
+// Fleet is the view of the fleet's nodes that an exchange needs.
 type Fleet interface {
-	// Owners returns whom to ask for tokens of a workspace, among the nodes that are heard
-	// and not to be skipped, the first choice first.
+	// Owners returns the nodes to borrow tokens of a workspace from, in order of
+	// preference, among the reachable nodes that are not skipped.
 	Owners(name string, skip func(node string) bool) []Lender
-	// PreferredOwner returns the first choice among all nodes, heard or not.
+	// PreferredOwner returns the first in that order among all nodes, reachable or not.
 	PreferredOwner(name string) Lender
 	// Nodes returns how many nodes each data centre has.
 	Nodes() map[string]int
-	// Reachable reports whether another data centre is heard, and LastReceived when it last was.
+	// Reachable reports whether another data centre is reachable, and LastReceived returns
+	// when a datagram of it was last received.
 	Reachable(dataCentre string) bool
 	LastReceived(dataCentre string) time.Time
 }
@@ -49,66 +52,67 @@
 	Boot       int64 // Unix microseconds at process start
 	Now        func() time.Time
 	Fleet      Fleet
-	// Limit returns the allowance of a workspace in force; false: it is not known.
+	// Limit returns the allowance of a workspace in force; false: the workspace is not known.
 	Limit     func(name string) (workspace.Allowance, bool)
 	Tolerance allowance.Tolerance
 	Metrics   tally.Scope
 }
 
-// Exchange borrows tokens for this node's requests and lends those that it owns. It is
-// safe for concurrent use.
+// Exchange borrows tokens for this node's requests, and lends tokens of the workspaces that
+// this node owns. It is safe for concurrent use.
 type Exchange struct {
 	Options
 	conn atomic.Pointer[net.PacketConn] // nil before Run
 
-	mu       sync.Mutex
-	ledger   *allowance.Buckets
-	purse    *allowance.Balances
-	sequence uint64
-	pending  map[string]*pending  // asks under way, by workspace
-	waiting  map[string]int       // requests that wait for a token, by workspace
-	lived    map[string]time.Time // when a datagram of a node last came
-	probed   map[string]time.Time // when a node was last asked for one
-	suspects map[string]time.Time // until when an owner that didn't answer is not asked first
+	mu           sync.Mutex
+	buckets      *allowance.Buckets
+	balances     *allowance.Balances
+	sequence     uint64
+	pending      map[string]*pending  // borrow requests in progress, by workspace
+	waiting      map[string]int       // requests that wait for a token, by workspace
+	lastReceived map[string]time.Time // when a datagram of a node was last received
+	lastProbed   map[string]time.Time // when a node was last probed
+	suspectUntil map[string]time.Time // until when an owner that did not answer is skipped
 }
 
-// pending is an ask under way. Requests that come while it is wait for it.
+// pending is a borrow request in progress. Requests of the workspace that arrive meanwhile
+// wait for it.
 type pending struct {
 	sequence uint64
-	grants   chan grantFrom
+	grants   chan grantReply
 	done     chan struct{}
 }
 
 // New returns an exchange; Run starts it.
 func New(o Options) *Exchange {
-	return &Exchange{Options: o, ledger: allowance.NewBuckets(o.Now(), o.Tolerance), purse: allowance.NewBalances(), pending: map[string]*pending{}, waiting: map[string]int{},
-		lived: map[string]time.Time{}, probed: map[string]time.Time{}, suspects: map[string]time.Time{}}
+	return &Exchange{Options: o, buckets: allowance.NewBuckets(o.Now(), o.Tolerance), balances: allowance.NewBalances(), pending: map[string]*pending{}, waiting: map[string]int{},
+		lastReceived: map[string]time.Time{}, lastProbed: map[string]time.Time{}, suspectUntil: map[string]time.Time{}}
 }
 
-// Take takes a token for a request of a workspace, and asks for one if need be. The error
-// is of errkind: it says when there is room.
+// Take takes a token for a request of a workspace, and borrows tokens if this node has none.
+// The error is of errkind, and says when to retry.
 func (x *Exchange) Take(ctx context.Context, w *workspace.Workspace) error {
 	if !allowance.NeedsToken(w) {
 		return nil
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.purse.Arrived(x.Now(), w.Name)
+	x.balances.Arrived(x.Now(), w.Name)
 	x.waiting[w.Name]++
-	defer x.leave(w.Name)
+	defer x.stopWaiting(w.Name)
 	for {
-		answer, wait := x.purse.Take(x.Now(), w.Name)
+		answer, wait := x.balances.Take(x.Now(), w.Name)
 		switch answer {
 		case allowance.Taken:
 			return nil
 		case allowance.Refused:
 			x.Metrics.Counter("allowance_refused").Inc(1)
-			return errkind.WithRetryAfter(errkind.RateLimited.New("workspace %s is over its %g requests a second with %g at once; the next one is expected in %v",
+			return errkind.WithRetryAfter(errkind.RateLimited.New("workspace %s exceeds its allowance of %g requests a second with a burst of %g; the next token is expected in %v",
 				w.Name, w.Allowance.PerSecond, w.Allowance.Burst, wait.Round(time.Millisecond)), wait)
 		case allowance.Unanswered:
 			return errkind.WithRetryAfter(errkind.PlatformUnavailable.New("no node that lends for workspace %s answers", w.Name), wait)
 		}
-		p := x.join(w.Name)
+		p := x.startOrJoin(w.Name)
 		x.mu.Unlock()
 		select {
 		case <-p.done:
@@ -121,158 +125,162 @@
 	}
 }
 
-// leave notes that a request waits no longer. The caller holds x.mu.
-func (x *Exchange) leave(name string) {
+// stopWaiting notes that a request no longer waits. The caller holds x.mu.
+func (x *Exchange) stopWaiting(name string) {
 	x.waiting[name]--
 	if x.waiting[name] == 0 {
 		delete(x.waiting, name)
 	}
 }
 
-// Return gives back the token of a request that no target got.
+// Return gives back the token of a request that was sent to no target.
 func (x *Exchange) Return(w *workspace.Workspace) {
 	if !allowance.NeedsToken(w) {
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.purse.Return(x.Now(), w.Name)
+	x.balances.Return(x.Now(), w.Name)
 }
 
-// join returns the ask under way for a workspace, and begins one if there is none. The
-// caller holds x.mu.
-func (x *Exchange) join(name string) *pending {
+// startOrJoin returns the borrow request in progress for a workspace, and starts one if
+// there is none. The caller holds x.mu.
+func (x *Exchange) startOrJoin(name string) *pending {
 	p := x.pending[name]
 	if p == nil {
 		x.sequence++
-		p = &pending{sequence: x.sequence, grants: make(chan grantFrom, 1), done: make(chan struct{})}
+		p = &pending{sequence: x.sequence, grants: make(chan grantReply, 1), done: make(chan struct{})}
 		x.pending[name] = p
-		go x.ask(name, p)
+		go x.runRequest(name, p)
 	}
 	return p
 }
 
-// ask borrows what is needed, from the first owner that answers.
-func (x *Exchange) ask(name string, p *pending) {
+// runRequest borrows the tokens that a workspace's waiting requests need, from the first
+// owner that answers.
+func (x *Exchange) runRequest(name string, p *pending) {
 	x.mu.Lock()
 	owners := x.Fleet.Owners(name, x.suspected)
-	ask := x.purse.Request(x.Now(), name, x.waiting[name])
+	request := x.balances.Request(x.Now(), name, x.waiting[name])
 	x.mu.Unlock()
-	ask.Borrower, ask.Boot, ask.Sequence, ask.DataCentre = x.Node, x.Boot, p.sequence, x.DataCentre
+	request.Borrower, request.Boot, request.Sequence, request.DataCentre = x.Node, x.Boot, p.sequence, x.DataCentre
 	var grant allowance.Grant
 	answered := false
-	if ask.Need > 0 { // else all that waited have gone away
-		grant, answered = x.borrow(owners, ask, p)
+	if request.Need > 0 { // else all requests that waited are cancelled
+		grant, answered = x.borrow(owners, request, p)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if ask.Need > 0 {
-		x.granted(ask, grant, answered)
+	if request.Need > 0 {
+		x.applyGrant(request, grant, answered)
 	}
 	delete(x.pending, name)
 	close(p.done)
 }
 
-// granted takes the answer to an ask, or lends in place of owners that do not answer. The
-// caller holds x.mu.
-func (x *Exchange) granted(ask allowance.BorrowRequest, grant allowance.Grant, answered bool) {
+// applyGrant adds the tokens of a grant to this node's balance. When no owner answered, the
+// node lends to itself. The caller holds x.mu.
+func (x *Exchange) applyGrant(request allowance.BorrowRequest, grant allowance.Grant, answered bool) {
 	if !answered {
 		x.Metrics.Counter("allowance_unanswered").Inc(1)
-		grant = x.lend(ask, true)
+		grant = x.lend(request, true)
 	}
-	x.purse.Granted(x.Now(), ask.Workspace, grant, !answered)
+	x.balances.Granted(x.Now(), request.Workspace, grant, !answered)
 }
 
-// borrow sends an ask along its course.
-func (x *Exchange) borrow(owners []Lender, ask allowance.BorrowRequest, p *pending) (allowance.Grant, bool) {
+// borrow sends a borrow request to one owner after another, with retries, until one
+// answers.
+func (x *Exchange) borrow(owners []Lender, request allowance.BorrowRequest, p *pending) (allowance.Grant, bool) {
 	lenders := make(map[string]Lender, len(owners))
 	names := make([]string, len(owners))
 	for i, owner := range owners {
 		names[i], lenders[owner.Node] = owner.Node, owner
 	}
-	course := allowance.NewAttempts(x.Node, names)
+	attempts := allowance.NewAttempts(x.Node, names)
 	for {
-		owner, wait, ok := course.Next()
+		owner, wait, ok := attempts.Next()
 		if !ok {
 			return allowance.Grant{}, false
 		}
 		if owner == x.Node {
 			x.mu.Lock()
-			grant := x.lend(ask, false)
+			grant := x.lend(request, false)
 			x.mu.Unlock()
 			return grant, true
 		}
-		x.sendAsk(lenders[owner], ask)
+		x.sendRequest(lenders[owner], request)
 		timer := time.NewTimer(wait)
 		select {
-		case got := <-p.grants:
+		case reply := <-p.grants:
 			timer.Stop()
-			if !got.unsure {
-				return got.Grant, true
+			if !reply.unsure {
+				return reply.Grant, true
 			}
-			course.Skip()
+			attempts.Skip()
 		case <-timer.C:
-			if course.Last() {
+			if attempts.Last() {
 				x.suspect(owner)
 			}
 		}
 	}
 }
 
-// lend answers an ask from this node's own ledger. The caller holds x.mu.
-func (x *Exchange) lend(ask allowance.BorrowRequest, alone bool) allowance.Grant {
-	limit, ok := x.Limit(ask.Workspace)
+// lend answers a borrow request from this node's token buckets; isolated: no owner answered
+// this node's own request. The caller holds x.mu.
+func (x *Exchange) lend(request allowance.BorrowRequest, isolated bool) allowance.Grant {
+	limit, ok := x.Limit(request.Workspace)
 	if !ok {
-		return allowance.Grant{Wait: time.Second} // it was taken out of the configuration
+		return allowance.Grant{Wait: time.Second} // the workspace was removed from the configuration
 	}
-	return x.ledger.Lend(x.Now(), limit, x.around(ask.Workspace, alone), ask)
+	return x.buckets.Lend(x.Now(), limit, x.fleetView(request.Workspace, isolated), request)
 }
 
-// around returns what this node knows of the fleet as it lends. The caller holds x.mu.
-func (x *Exchange) around(name string, alone bool) allowance.FleetView {
-	around := allowance.FleetView{Isolated: alone, Nodes: x.Fleet.Nodes(), Reachable: map[string]bool{}}
-	for dc := range around.Nodes {
-		around.Reachable[dc] = dc == x.DataCentre || x.Fleet.Reachable(dc)
+// fleetView returns the view of the fleet on which a grant is based. The caller holds x.mu.
+func (x *Exchange) fleetView(name string, isolated bool) allowance.FleetView {
+	view := allowance.FleetView{Isolated: isolated, Nodes: x.Fleet.Nodes(), Reachable: map[string]bool{}}
+	for dc := range view.Nodes {
+		view.Reachable[dc] = dc == x.DataCentre || x.Fleet.Reachable(dc)
 	}
-	natural := x.Fleet.PreferredOwner(name)
-	around.Preferred = natural.Node == x.Node
-	if !around.Preferred && !alone {
-		around.PreferredReachable = x.lives(natural)
+	preferred := x.Fleet.PreferredOwner(name)
+	view.Preferred = preferred.Node == x.Node
+	if !view.Preferred && !isolated {
+		view.PreferredReachable = x.isResponsive(preferred)
 	}
-	return around
+	return view
 }
 
-// lives reports whether a node is taken to live, and asks it for a datagram. It is until
-// it had the time to answer, and longer while its data centre is silent too. The caller
-// holds x.mu.
-func (x *Exchange) lives(owner Lender) bool {
-	heard := x.Now()
+// isResponsive reports whether a node counts as responsive, and probes it. It does until it
+// has had time to answer, and longer while no datagram of its data centre arrives either.
+// The caller holds x.mu.
+func (x *Exchange) isResponsive(owner Lender) bool {
+	reference := x.Now()
 	if owner.DataCentre != x.DataCentre {
 		if !x.Fleet.Reachable(owner.DataCentre) {
-			return false // it is cut off, and what it may lend there is left to it
+			return false // partitioned off: what it may lend there is left to it
 		}
 		if owner.ForCentre {
 			return true
 		}
-		heard = x.Fleet.LastReceived(owner.DataCentre)
+		reference = x.Fleet.LastReceived(owner.DataCentre)
 	}
 	now, node := x.Now(), owner.Node
-	if now.Sub(x.probed[node]) >= deadAfter {
-		x.lived[node] = now
+	if now.Sub(x.lastProbed[node]) >= unresponsiveAfter {
+		x.lastReceived[node] = now
 	}
-	if now.Sub(x.probed[node]) >= probePause {
-		x.probed[node] = now
-		x.sendAsk(owner, allowance.BorrowRequest{Borrower: x.Node, Boot: x.Boot, DataCentre: x.DataCentre})
+	if now.Sub(x.lastProbed[node]) >= probeInterval {
+		x.lastProbed[node] = now
+		x.sendRequest(owner, allowance.BorrowRequest{Borrower: x.Node, Boot: x.Boot, DataCentre: x.DataCentre})
 	}
-	return heard.Sub(x.lived[node]) < deadAfter
+	return reference.Sub(x.lastReceived[node]) < unresponsiveAfter
 }
 
-// suspect notes that an owner did not answer.
+// suspect has an owner that did not answer skipped for suspectFor.
 func (x *Exchange) suspect(node string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.suspects[node] = x.Now().Add(suspectFor)
+	x.suspectUntil[node] = x.Now().Add(suspectFor)
 }
 
-// suspected reports whether a node did not answer of late. The caller holds x.mu.
-func (x *Exchange) suspected(node string) bool { return x.Now().Before(x.suspects[node]) }
+// suspected reports whether a node did not answer within the last suspectFor. The caller
+// holds x.mu.
+func (x *Exchange) suspected(node string) bool { return x.Now().Before(x.suspectUntil[node]) }
--- a/internal/connection/lending/lending_test.go
+++ b/internal/connection/lending/lending_test.go
@@ -16,7 +16,7 @@
 	"github.com/marblepond/marblepond/internal/version/workspace"
 )
 
-// fakeFleet has nodes of one data centre that are all heard.
+// fakeFleet has nodes of one data centre that are all reachable.
 type fakeFleet struct{ *Lenders }
 
 func (f fakeFleet) Owners(name string, skip func(string) bool) []Lender {
@@ -27,8 +27,9 @@
 
 var small = &workspace.Workspace{Name: "small", Allowance: workspace.Allowance{PerSecond: 5, Burst: 5}}
 
-// exchanges returns one for each name, that know each other; those that are told to run do.
-func exchanges(t *testing.T, names []string, running map[string]bool) map[string]*Exchange {
+// newExchanges returns an exchange for each name, which know each other, and runs those in
+// running.
+func newExchanges(t *testing.T, names []string, running map[string]bool) map[string]*Exchange {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -55,12 +56,13 @@
 	return out
 }
 
-// TestManyWaitForOneAsk: requests that come together at a node that is not the owner share
-// an ask; what is over gets 429 with a time, and none gets more than the account holds.
+// TestManyWaitForOneAsk: requests that arrive together at a node that is not the owner share
+// a borrow request. Those over the allowance are refused with a time to retry, and no more
+// tokens are taken than the bucket holds.
 func TestManyWaitForOneAsk(t *testing.T) {
 	is := is.New(t)
 	names := []string{"n1", "n2", "n3"}
-	all := exchanges(t, names, map[string]bool{"n1": true, "n2": true, "n3": true})
+	all := newExchanges(t, names, map[string]bool{"n1": true, "n2": true, "n3": true})
 	owner := all["n1"].Fleet.PreferredOwner(small.Name).Node
 	var mu sync.Mutex
 	taken, refused := 0, 0
@@ -88,15 +90,15 @@
 	is.True(taken >= 1 && taken <= 6)
 }
 
-// TestNobodyLends: where no owner answers, a request waits 0.2 s and no longer, and a node
-// lends itself its own part; what is beyond that is refused as not known, and not as over
-// the allowance.
+// TestNobodyLends: when no owner answers, a request waits 0.2 s and no longer, and the node
+// lends itself its own part of the allowance. Requests beyond that are refused as
+// unavailable, and not as over the allowance.
 func TestNobodyLends(t *testing.T) {
 	is := is.New(t)
 	names := []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8"}
-	all := exchanges(t, names, nil)
+	all := newExchanges(t, names, nil)
 	last := ""
-	for _, name := range names { // one that is not among the first that are asked
+	for _, name := range names { // a node that is not among the owners
 		asked := all[name].Fleet.Owners(small.Name, func(string) bool { return false })
 		first := false
 		for _, o := range asked {
@@ -111,23 +113,23 @@
 	is.True(time.Since(started) < 400*time.Millisecond)
 	x := all[last]
 	x.mu.Lock()
-	x.granted(allowance.BorrowRequest{Workspace: small.Name, Borrower: last, Boot: 1, Sequence: 99, DataCentre: "a", Need: 1}, allowance.Grant{}, false)
+	x.applyGrant(allowance.BorrowRequest{Workspace: small.Name, Borrower: last, Boot: 1, Sequence: 99, DataCentre: "a", Need: 1}, allowance.Grant{}, false)
 	x.mu.Unlock()
 	err := x.Take(context.Background(), small)
 	is.True(errkind.Is(err, errkind.PlatformUnavailable))
 	is.Equal(errkind.Of(err).NotRun, errkind.NotRunTrue)
 }
 
-// TestGoneCallersTakeNothing: a caller that leaves while its request waits costs no token,
+// TestGoneCallersTakeNothing: a caller that cancels while its request waits costs no token,
 // and no later request is refused because of it.
 func TestGoneCallersTakeNothing(t *testing.T) {
 	is := is.New(t)
-	x := exchanges(t, []string{"n1"}, nil)["n1"]
-	gone, cancel := context.WithCancel(context.Background())
+	x := newExchanges(t, []string{"n1"}, nil)["n1"]
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range 50 {
-		err := x.Take(gone, small)
-		is.True(err == nil || errors.Is(gone.Err(), context.Canceled))
+		err := x.Take(cancelled, small)
+		is.True(err == nil || errors.Is(cancelled.Err(), context.Canceled))
 	}
 	time.Sleep(10 * time.Millisecond)
 	x.mu.Lock()
--- a/internal/connection/lending/report.go
+++ b/internal/connection/lending/report.go
@@ -6,8 +6,9 @@
 	"github.com/marblepond/marblepond/internal/version/workspace"
 )
 
-// Report returns the workspaces for operators: what this node lends of each, or who
-// does. address returns where a node takes calls, "" when that is not known.
+// Report returns the workspaces for operators: what this node lends of each, or which node
+// lends it. address returns the address at which a node accepts calls, "" when it is not
+// known.
 func (x *Exchange) Report(index *workspace.Index, address func(node string) string) *v1.WorkspacesResponse {
 	out := &v1.WorkspacesResponse{}
 	if index == nil {
@@ -16,7 +17,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	lent := map[string]allowance.Use{}
-	for _, use := range x.ledger.Uses(x.Now()) {
+	for _, use := range x.buckets.Uses(x.Now()) {
 		lent[use.Workspace] = use
 	}
 	for _, name := range index.Names() {
@@ -26,14 +27,14 @@
 			line.Lender, line.LenderAddress = owners[0].Node, address(owners[0].Node)
 		} else {
 			line.Lender, line.LentHere = x.Node, true
-			x.fill(line, lent[name])
+			x.fillUse(line, lent[name])
 		}
 		out.Uses = append(out.Uses, line)
 	}
 	return out
 }
 
-func (x *Exchange) fill(line *v1.WorkspaceUse, use allowance.Use) {
+func (x *Exchange) fillUse(line *v1.WorkspaceUse, use allowance.Use) {
 	line.Portion, line.Available, line.Taken, line.Refused = use.Portion, use.Level, use.Lent, use.Refused
 	line.RefusedAgoMs, line.Refusal = -1, string(use.Cause)
 	if !use.RefusedAt.IsZero() {
