--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -43,10 +43,10 @@
 mutant 3 internal/request/choose/yield.go 's/now\.Sub\(e\.waitingSince\) >= yieldEscalateAfter/now.Sub(e.waitingSince) >= 0/' internal/request/choose TestOneItemYieldsPerWaitingRequest
 mutant 3 internal/request/choose/yield.go 's/now\.Sub\(e\.waitingSince\) >= yieldEscalateAfter/now.Sub(e.waitingSince) > time.Hour/' internal/request/choose TestYieldEscalatesWhenReportsDiffer
 mutant 3 internal/request/choose/reserve.go 's/preemptTime := remotePreemptTime/preemptTime := localPreemptTime/' internal/request/choose TestReserveFollowsTheArrivals
-mutant 3 internal/connection/beacon/beacon.go 's/x\.tellHolders\(conn, target\)/_ = target/' internal/connection/beacon TestHoldersHearAtOnce
-mutant 3 internal/connection/beacon/send.go 's/if pass == v1\.Pass_PASS_NOT/if pass != v1.Pass_PASS_NOT/' internal/connection/beacon TestHoldersHearAtOnce
-mutant 3 internal/connection/beacon/view.go 's/rendezvous\.First\(p\.Node, speakers\) == v\.self/rendezvous.First(p.Node, speakers) == p.Node/' internal/connection/beacon TestEveryNodeHearsEveryGroup
-mutant 1 internal/connection/beacon/silence.go 's/told\.Sub\(w\.at\) > silentAfter/told.Sub(w.at) > time.Hour/' internal/connection/beacon TestSilenceIsToldOn
+mutant 3 internal/connection/beacon/beacon.go 's/x\.sendToHolders\(conn, target\)/_ = target/' internal/connection/beacon TestHoldersAreNotifiedAtOnce
+mutant 3 internal/connection/beacon/send.go 's/if pass == v1\.Pass_PASS_NOT/if pass != v1.Pass_PASS_NOT/' internal/connection/beacon TestHoldersAreNotifiedAtOnce
+mutant 3 internal/connection/beacon/view.go 's/rendezvous\.First\(p\.Node, candidates\) == v\.self/rendezvous.First(p.Node, candidates) == p.Node/' internal/connection/beacon TestEveryNodeReceivesEveryGroup
+mutant 1 internal/connection/beacon/silence.go 's/reported\.Sub\(state\.lastReceived\) > unreachableAfter/reported.Sub(state.lastReceived) > time.Hour/' internal/connection/beacon TestOtherGroupsNodesBecomeUnreachable
 mutant 3 internal/request/forward/forward.go 's/final == nil && Saturated\(err\)/final == nil \&\& Saturated(err) \&\& p.begun/' internal/request/forward TestRefusedRequestCountsWhileItWaits
 mutant 6 internal/request/choose/prefer.go 's/if key == 0 \{/if key < 1<<63 {/' internal/request/choose TestScatterSeparatesRequests
 mutant 6 internal/request/run/run.go 's/waitAfterLosses = 2/waitAfterLosses = 60/' internal/request/run TestLostLinksAwaitLoadReports
@@ -91,7 +91,7 @@
 mutant 1 internal/process/clock/clock.go 's/c\.suspended = away/_ = away/' internal/process/clock TestSuspensionsCount
 mutant 6 internal/request/forward/forward.go 's/if !f\.Now\(\)\.Before\(req\.Deadline\)/if p.begun \&\& f.Now().IsZero()/' internal/request/forward TestDeadlineCountsSuspensions
 mutant 1 internal/request/job/run.go 's/m\.Clock\.Since\(started\)/time.Since(started)/' internal/request/job TestSuspendedHolderAsksTheStore
-mutant 1 internal/connection/beacon/send.go 's/w\.at\.After\(x\.woke\) && //' internal/connection/beacon TestSuspendedNodeTellsNothingOld
+mutant 1 internal/connection/beacon/send.go 's/state\.lastReceived\.After\(x\.resumedAt\) && //' internal/connection/beacon TestSuspendedNodeReportsNothingOld
 mutant 1 internal/request/batch/lease.go 's/w\.clock\.Since\(l\.renewed\)/time.Since(l.renewed)/' internal/request/batch TestLeaseRunsOutDuringASuspension
 mutant 5 internal/request/quarantine/verdict.go 's/return trial\.together\(c, work, near\)/return trial.together(c, work, near) \&\& c == nil/' internal/request/quarantine TestTargetsKilledTogether
 mutant 5 internal/request/quarantine/verdict.go 's/aloneLeast = 1/aloneLeast = 0/' internal/request/quarantine TestBystandersAreNotRefused
