--- a/internal/connection/engine/engine.go
+++ b/internal/connection/engine/engine.go
@@ -112,7 +112,7 @@
 
 func toPiece(call Call, chunk *openai.Chunk, next int) assemble.Piece {
 	piece := assemble.Piece{RequestID: call.RequestID, Attempt: call.Attempt, Offset: next,
-		Tokens: chunk.Tokens, Text: chunk.Text(), Finish: chunk.Finish()}
+		Tokens: chunk.Tokens, Text: chunk.Text(), FinishReason: chunk.Finish()}
 	if chunk.Offset != nil {
 		piece.Offset = *chunk.Offset
 	} else if piece.Tokens == 0 && piece.Text != "" {
--- a/internal/process/hosted/following.go
+++ b/internal/process/hosted/following.go
@@ -75,7 +75,7 @@
 // from then on.
 func (n *Node) keepCheckpoints(ctx context.Context, wg *sync.WaitGroup) {
 	failed := func(err error) { n.recorder.Record(timeline.SnapshotFailed, "", n.settings.DataDir, err.Error()) }
-	d := &checkpoint.Disk{Dir: n.settings.DataDir, Store: n.checkpoints, Failed: failed}
+	d := &checkpoint.Disk{Dir: n.settings.DataDir, Store: n.checkpoints, OnError: failed}
 	if err := d.Load(); err != nil {
 		failed(err)
 	}
--- a/internal/process/hosted/hosted.go
+++ b/internal/process/hosted/hosted.go
@@ -145,7 +145,7 @@
 		HoldsJobs: s.CallerListen != "", ResultCacheBytes: s.ResultMemory, CheckpointInterval: s.CheckpointInterval,
 	}, job.Dependencies{Store: n.relay(), StoreLatency: n.storeTook, Pool: n.pool, Quarantine: n.crashes, Sender: adapter.Sender, Routes: n.Table, RoutesFresh: n.TableFresh, Peers: n,
 		Backlogs: n.backlogs, Ended: n.ended, Clock: n.clock, Allotments: n.batch.shares, Recorder: n.recorder, Checker: n.checker, Metrics: n.metrics})
-	n.checkpoints = checkpoint.NewStore(checkpoint.Limits{Bytes: s.CheckpointMemory, Keep: s.KeepResults}, n.clock.Now)
+	n.checkpoints = checkpoint.NewStore(checkpoint.Limits{MaxBytes: s.CheckpointMemory, Retention: s.KeepResults}, n.clock.Now)
 	n.beacon = beacon.New(beacon.Options{Node: s.NodeID, DataCentre: s.DataCentre, Boot: n.boot, Loads: n.pool, Cache: n.cache, Batch: n.batch, Store: adapter.Health, Crashes: n.crashes, Suspended: n.clock.Suspended,
 		View: n.view.Load, OnBehind: n.behind, OnUnreachable: func(string) { n.jobs.TriggerSweep() },
 		OnReachable: func(node string) { n.recorder.Record(timeline.NodeHeard, "", node, "") }})
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -65,7 +65,7 @@
 	membership *membership.Manager
 	config     *config.Manager
 	targets    *targets.Manager
-	keeper     *homes.Keeper
+	keeper     *homes.Replicator
 	claims     *claim.Claims
 	store      *batch.Store
 	worker     *batch.Worker
@@ -181,7 +181,7 @@
 	n.config.OnChange(func(c *fleet.Config) { n.targets.Evacuate(c.Evacuated) })
 	n.targets.OnEnded(func(t choose.Target) { n.crashes.Ended(t, quarantine.Restarted) })
 	n.membership.OnChange(n.targets.Reown)
-	n.membership.OnChange(n.keeper.Takeover)
+	n.membership.OnChange(n.keeper.TakeOverOrphans)
 	n.membership.OnChange(n.worker.DropDeadNodes)
 	n.listenHandlers()
 }
--- a/internal/process/node/peers.go
+++ b/internal/process/node/peers.go
@@ -27,7 +27,7 @@
 // Hold implements PeerService.
 func (p *peerService) Hold(ctx context.Context, req *v1.HoldRequest) (*v1.HoldResponse, error) {
 	if req.Relay {
-		answer, err := p.node.keeper.HoldHere(ctx, homes.RequestFromProto(req))
+		answer, err := p.node.keeper.HoldInDataCentre(ctx, homes.RequestFromProto(req))
 		return homes.AnswerToProto(answer), err
 	}
 	return homes.AnswerToProto(p.node.keeper.HoldLocal(homes.RequestFromProto(req))), nil
@@ -36,7 +36,7 @@
 // Finish implements PeerService.
 func (p *peerService) Finish(ctx context.Context, req *v1.FinishRequest) (*v1.FinishResponse, error) {
 	if req.Relay {
-		return &v1.FinishResponse{Stored: true}, p.node.keeper.FinishHere(ctx, homes.ResultFromProto(req.Result))
+		return &v1.FinishResponse{Stored: true}, p.node.keeper.FinishInDataCentre(ctx, homes.ResultFromProto(req.Result))
 	}
 	return &v1.FinishResponse{Stored: p.node.keeper.FinishLocal(homes.ResultFromProto(req.Result), req.Durable)}, nil
 }
@@ -44,16 +44,16 @@
 // Flushed implements PeerService.
 func (p *peerService) Flushed(ctx context.Context, req *v1.FlushedRequest) (*v1.FlushedResponse, error) {
 	if req.Relay {
-		p.node.keeper.FlushedHere(ctx, req.RequestIds)
+		p.node.keeper.MarkFlushedInDataCentre(ctx, req.RequestIds)
 	}
-	p.node.keeper.FlushedLocal(req.RequestIds)
+	p.node.keeper.MarkFlushedLocal(req.RequestIds)
 	return &v1.FlushedResponse{}, nil
 }
 
 // Drop implements PeerService.
 func (p *peerService) Drop(ctx context.Context, req *v1.DropRequest) (*v1.DropResponse, error) {
 	if req.Relay {
-		return &v1.DropResponse{}, p.node.keeper.DropHere(ctx, req.RequestId)
+		return &v1.DropResponse{}, p.node.keeper.DropInDataCentre(ctx, req.RequestId)
 	}
 	p.node.keeper.DropLocal(req.RequestId)
 	return &v1.DropResponse{}, nil
@@ -66,7 +66,7 @@
 	var silent error // a home did not answer
 	switch {
 	case req.Relay:
-		answer, silent = p.node.keeper.FindHere(ctx, req.RequestId, req.Workspace, wait)
+		answer, silent = p.node.keeper.FindInDataCentre(ctx, req.RequestId, req.Workspace, wait)
 	case p.node.keeper.Workspace(req.RequestId) == req.Workspace:
 		answer = p.node.keeper.LookupLocal(ctx, req.RequestId, wait)
 	default:
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -139,7 +139,7 @@
 
 // Errors of the transitions.
 var (
-	ErrHeld   = errors.New("chunk is leased by another holder")
+	ErrLeased = errors.New("chunk is leased by another holder")
 	ErrFenced = errors.New("lease was taken over")
 	ErrFinal  = errors.New("chunk has ended")
 )
@@ -151,7 +151,7 @@
 	case c.Phase == ChunkDone || c.Phase == ChunkStopped:
 		return c, ErrFinal
 	case c.Phase == ChunkLeased && c.Holder != h && !expired:
-		return c, ErrHeld
+		return c, ErrLeased
 	}
 	c.Phase, c.Holder, c.Token = ChunkLeased, h, token
 	c.Epoch++
@@ -181,7 +181,7 @@
 		return c, ErrFenced
 	}
 	if p.Segment != nil {
-		finished := c.Finished()
+		finished := c.CommittedItems()
 		for _, item := range p.Segment.Items {
 			if finished[item] {
 				return c, fmt.Errorf("item %d of chunk %d committed twice", item, c.N)
@@ -213,8 +213,8 @@
 	return c, nil
 }
 
-// Finished returns the set of items whose results are committed.
-func (c ChunkState) Finished() map[int]bool {
+// CommittedItems returns the set of items whose results are committed.
+func (c ChunkState) CommittedItems() map[int]bool {
 	done := map[int]bool{}
 	for _, s := range c.Segments {
 		for _, item := range s.Items {
@@ -264,10 +264,10 @@
 func ChunkName(file string, n int) string { return fmt.Sprintf("chunk/%s/%06d", file, n) }
 
 // StateName returns the object name of a chunk's state.
-func StateName(job string, n int) string { return fmt.Sprintf("%s%06d", StatesOf(job), n) }
+func StateName(job string, n int) string { return fmt.Sprintf("%s%06d", JobStatePrefix(job), n) }
 
-// StatesOf returns the prefix of the chunk states of a job.
-func StatesOf(job string) string { return StatePrefix + job + "/" }
+// JobStatePrefix returns the prefix of the chunk states of a job.
+func JobStatePrefix(job string) string { return StatePrefix + job + "/" }
 
 // SegmentName returns the object name of a results segment. The token makes it
 // unique, so that a segment of a fenced holder never replaces another's.
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -61,7 +61,7 @@
 	first, err := ChunkState{}.Acquire(a, "1", false)
 	is.NoErr(err)
 	_, err = first.Acquire(b, "2", false)
-	is.True(errors.Is(err, ErrHeld)) // not expired
+	is.True(errors.Is(err, ErrLeased)) // not expired
 	second, err := first.Acquire(b, "2", true)
 	is.NoErr(err)
 	_, err = second.Commit(a, first.Epoch, "3", Progress{Phase: ChunkDone})
--- a/internal/request/assemble/assemble.go
+++ b/internal/request/assemble/assemble.go
@@ -5,12 +5,12 @@
 
 // Piece is a part of a target's answer.
 type Piece struct {
-	RequestID string
-	Attempt   int
-	Offset    int // index of the piece's first token in the whole answer
-	Tokens    int
-	Text      string
-	Finish    string // reason the answer ended, on its last piece
+	RequestID    string
+	Attempt      int
+	Offset       int // index of the piece's first token in the whole answer
+	Tokens       int
+	Text         string
+	FinishReason string // reason the answer ended, on its last piece
 }
 
 // Assembler holds the answer of one request as far as it is known.
@@ -37,10 +37,10 @@
 	return a
 }
 
-// Begin starts the next attempt and returns its number. Pieces of earlier
+// BeginAttempt starts the next attempt and returns its number. Pieces of earlier
 // attempts that were not yet in order are dropped: another target's
 // continuation starts at Held.
-func (a *Assembler) Begin() int {
+func (a *Assembler) BeginAttempt() int {
 	a.attempt++
 	clear(a.early)
 	return a.attempt
@@ -67,25 +67,25 @@
 		delete(a.early, a.next)
 		a.next += piece.Tokens
 		a.text = append(a.text, piece.Text...)
-		a.finish = piece.Finish
+		a.finish = piece.FinishReason
 		ready = append(ready, piece)
-		if piece.Finish != "" || piece.Tokens == 0 {
+		if piece.FinishReason != "" || piece.Tokens == 0 {
 			return ready
 		}
 	}
 }
 
-// Held returns the number of tokens held without a gap.
-func (a *Assembler) Held() int { return a.next }
+// TokenCount returns the number of tokens held without a gap.
+func (a *Assembler) TokenCount() int { return a.next }
 
 // Text returns the answer's text held without a gap.
 func (a *Assembler) Text() string { return string(a.text) }
 
-// Finish returns why the answer ended; empty while it has not.
-func (a *Assembler) Finish() string { return a.finish }
+// FinishReason returns why the answer ended; empty while it has not.
+func (a *Assembler) FinishReason() string { return a.finish }
 
-// Whole reports whether the answer has ended without a gap.
-func (a *Assembler) Whole() bool { return a.finish != "" }
+// Complete reports whether the answer has ended without a gap.
+func (a *Assembler) Complete() bool { return a.finish != "" }
 
 // Foreign returns how many pieces of other requests were turned away.
 func (a *Assembler) Foreign() int { return a.foreign }
--- a/internal/request/assemble/assemble_test.go
+++ b/internal/request/assemble/assemble_test.go
@@ -18,18 +18,18 @@
 		piece := func(attempt, i int) Piece {
 			p := Piece{RequestID: "r", Attempt: attempt, Offset: i, Tokens: 1, Text: fmt.Sprintf("<%d>", i)}
 			if i == total-1 {
-				p.Finish = "stop"
+				p.FinishReason = "stop"
 			}
 			return p
 		}
 		a := New("r")
 		var sent []Piece // of every attempt, to be delivered again later
-		for attempt := 1; attempt <= rapid.IntRange(1, 4).Draw(t, "attempts") || !a.Whole(); attempt++ {
-			if a.Begin() != attempt {
+		for attempt := 1; attempt <= rapid.IntRange(1, 4).Draw(t, "attempts") || !a.Complete(); attempt++ {
+			if a.BeginAttempt() != attempt {
 				t.Fatal("attempts are not counted up")
 			}
 			rest := make([]Piece, 0, total)
-			for i := a.Held(); i < total; i++ {
+			for i := a.TokenCount(); i < total; i++ {
 				rest = append(rest, piece(attempt, i))
 			}
 			stream := rapid.Permutation(append(rest, rest...)).Draw(t, "stream")
@@ -52,7 +52,7 @@
 		for i := range total {
 			want.WriteString(piece(0, i).Text)
 		}
-		if a.Text() != want.String() || a.Held() != total {
+		if a.Text() != want.String() || a.TokenCount() != total {
 			t.Fatalf("got %q, want %q", a.Text(), want.String())
 		}
 	})
@@ -61,9 +61,9 @@
 func TestGivenUpAttemptIsDropped(t *testing.T) {
 	is := is.New(t)
 	a := New("r")
-	first := a.Begin()
+	first := a.BeginAttempt()
 	a.Add(Piece{RequestID: "r", Attempt: first, Offset: 1, Tokens: 1, Text: "early"})
-	a.Begin()
+	a.BeginAttempt()
 	is.Equal(len(a.Add(Piece{RequestID: "r", Attempt: first, Offset: 0, Tokens: 1, Text: "late"})), 0)
-	is.Equal(a.Held(), 0)
+	is.Equal(a.TokenCount(), 0)
 }
--- a/internal/request/batch/lease.go
+++ b/internal/request/batch/lease.go
@@ -164,7 +164,7 @@
 	if err != nil {
 		return err
 	}
-	done := l.state.Finished()
+	done := l.state.CommittedItems()
 	started := map[int]bool{}
 	for _, i := range l.state.Started {
 		started[i] = true
--- a/internal/request/batch/store.go
+++ b/internal/request/batch/store.go
@@ -301,7 +301,7 @@
 	if job.State.Final() {
 		return counts, nil
 	}
-	objects, err := s.platform.List(ctx, platform.Status, record.StatesOf(job.ID))
+	objects, err := s.platform.List(ctx, platform.Status, record.JobStatePrefix(job.ID))
 	if err != nil {
 		return counts, answerError(err, "batch", job.ID)
 	}
--- a/internal/request/batch/view.go
+++ b/internal/request/batch/view.go
@@ -42,7 +42,7 @@
 	if time.Since(v.read) < refreshPause {
 		return nil
 	}
-	change, err := p.Watch(ctx, record.StatesOf(v.job.ID), v.since, time.Millisecond)
+	change, err := p.Watch(ctx, record.JobStatePrefix(v.job.ID), v.since, time.Millisecond)
 	if err != nil {
 		return err
 	}
--- a/internal/request/budget/budget.go
+++ b/internal/request/budget/budget.go
@@ -15,8 +15,8 @@
 // maximum at hand.
 func New(share float64) *Budget { return &Budget{share: share, balance: maxSaved} }
 
-// Accepted adds what one accepted request earns.
-func (b *Budget) Accepted() { b.balance = min(maxSaved, b.balance+b.share) }
+// RecordAccepted adds what one accepted request earns.
+func (b *Budget) RecordAccepted() { b.balance = min(maxSaved, b.balance+b.share) }
 
 // Take spends one retry; false when none is left.
 func (b *Budget) Take() bool {
--- a/internal/request/checkpoint/checkpoint.go
+++ b/internal/request/checkpoint/checkpoint.go
@@ -17,8 +17,8 @@
 
 // Limits of a store.
 type Limits struct {
-	Bytes int           // of text kept; the jobs saved longest ago are dropped first
-	Keep  time.Duration // how long a job is kept after it was last saved
+	MaxBytes  int           // of text kept; the jobs saved longest ago are dropped first
+	Retention time.Duration // how long a job is kept after it was last saved
 }
 
 // Store keeps the checkpoints of jobs in memory. It is safe for concurrent use.
@@ -123,11 +123,11 @@
 // is too much text.
 func (s *Store) evict() {
 	for id, state := range s.jobs {
-		if s.now().Sub(state.saved) > s.limits.Keep {
+		if s.now().Sub(state.saved) > s.limits.Retention {
 			s.drop(id)
 		}
 	}
-	for s.bytes > s.limits.Bytes {
+	for s.bytes > s.limits.MaxBytes {
 		oldest := ""
 		for id, state := range s.jobs {
 			if oldest == "" || state.saved.Before(s.jobs[oldest].saved) {
--- a/internal/request/checkpoint/checkpoint_test.go
+++ b/internal/request/checkpoint/checkpoint_test.go
@@ -14,7 +14,7 @@
 
 func newTestStore(bytes int) (*Store, *time.Time) {
 	now := time.Unix(1000, 0)
-	return NewStore(Limits{Bytes: bytes, Keep: time.Minute}, func() time.Time { return now }), &now
+	return NewStore(Limits{MaxBytes: bytes, Retention: time.Minute}, func() time.Time { return now }), &now
 }
 
 func job(id string, epoch uint32, open []uint32, items ...*v1.ItemCheckpoint) []*v1.JobCheckpoint {
--- a/internal/request/checkpoint/disk.go
+++ b/internal/request/checkpoint/disk.go
@@ -28,8 +28,8 @@
 type Disk struct {
 	Dir   string
 	Store *Store
-	// Failed is told what could not be written.
-	Failed func(error)
+	// OnError is told what could not be written.
+	OnError func(error)
 }
 
 // Load puts what the disk holds into the store.
@@ -53,7 +53,7 @@
 func (d *Disk) Run(ctx context.Context) {
 	for wait.For(ctx, writeInterval) {
 		if err := d.Write(); err != nil {
-			d.Failed(err)
+			d.OnError(err)
 		}
 	}
 }
--- a/internal/request/claim/claim.go
+++ b/internal/request/claim/claim.go
@@ -45,8 +45,8 @@
 	return &Claims{platform: p, recorder: r, abandoned: ring.New[record.Claim](abandonedSize, ring.DropOldest)}
 }
 
-// NameOf returns the object name of the claim on a workspace's key.
-func NameOf(workspace, key string) string {
+// ObjectName returns the object name of the claim on a workspace's key.
+func ObjectName(workspace, key string) string {
 	sum := sha256.Sum256([]byte(workspace + "\x00" + key))
 	return record.ClaimName(hex.EncodeToString(sum[:16]))
 }
@@ -57,7 +57,7 @@
 // the background), KeyConflict (same key, other body).
 func (s *Claims) Acquire(ctx context.Context, c record.Claim) (claim record.Claim, won bool, err error) {
 	c.Token, c.State = rand.Text(), record.Claimed
-	name := NameOf(c.Workspace, c.Key)
+	name := ObjectName(c.Workspace, c.Key)
 	for ctx.Err() == nil {
 		_, err := s.platform.Create(ctx, platform.Lease, name, record.Encode(c))
 		if err == nil {
@@ -76,7 +76,7 @@
 }
 
 func (s *Claims) won(c record.Claim) (record.Claim, bool, error) {
-	s.recorder.Record(timeline.ClaimWritten, c.RequestID, NameOf(c.Workspace, c.Key), "")
+	s.recorder.Record(timeline.ClaimWritten, c.RequestID, ObjectName(c.Workspace, c.Key), "")
 	return c, true, nil
 }
 
@@ -141,7 +141,7 @@
 // giveUp turns the claim into a tombstone. When the claim is absent a
 // tombstone is created in its place: a create still on its way then fails.
 func (s *Claims) giveUp(ctx context.Context, c record.Claim) {
-	name := NameOf(c.Workspace, c.Key)
+	name := ObjectName(c.Workspace, c.Key)
 	tombstone := c
 	tombstone.State = record.Abandoned
 	for ctx.Err() == nil {
--- a/internal/request/hold/hold.go
+++ b/internal/request/hold/hold.go
@@ -16,7 +16,7 @@
 
 // The states, as in the peer protocol.
 const (
-	Fresh State = iota + 1
+	Registered State = iota + 1
 	Running
 	Done
 	Conflict
@@ -27,7 +27,7 @@
 // Request is what a home keeps so that another node can run the request.
 type Request struct {
 	ID               string
-	Centre           string // data centre it was taken in; keys are told apart by it
+	DataCentre       string // data centre it was taken in; keys are told apart by it
 	Workspace        string
 	Key              string
 	Digest           []byte
@@ -83,7 +83,7 @@
 // overhead is the memory of an entry besides its contents, in bytes.
 const overhead = 400
 
-func keyOf(r Request) string { return r.Centre + "\x00" + r.Workspace + "\x00" + r.Key }
+func keyOf(r Request) string { return r.DataCentre + "\x00" + r.Workspace + "\x00" + r.Key }
 
 // Answer is the outcome of Hold and Lookup.
 type Answer struct {
@@ -103,7 +103,7 @@
 		}
 		if known.request.ID == r.ID && known.result == nil {
 			known.request.Owner, known.request.OwnerIncarnation = r.Owner, r.OwnerIncarnation
-			return Answer{State: Fresh, RequestID: r.ID}
+			return Answer{State: Registered, RequestID: r.ID}
 		}
 		return known.answer()
 	}
@@ -113,7 +113,7 @@
 	}
 	e := &entry{request: r}
 	t.add(e, size)
-	return Answer{State: Fresh, RequestID: r.ID}
+	return Answer{State: Registered, RequestID: r.ID}
 }
 
 func (t *Table) find(r Request) *entry {
@@ -173,7 +173,7 @@
 func (t *Table) Finish(r Result, durable bool) (stored bool) {
 	e := t.byID[r.RequestID]
 	if e == nil {
-		e = &entry{request: Request{ID: r.RequestID, Centre: r.Centre, Workspace: r.Workspace, Key: r.Key, Digest: r.Digest, Created: r.Created}}
+		e = &entry{request: Request{ID: r.RequestID, DataCentre: r.Centre, Workspace: r.Workspace, Key: r.Key, Digest: r.Digest, Created: r.Created}}
 		t.makeRoom(overhead + len(r.Body))
 		t.add(e, overhead)
 	}
@@ -246,8 +246,8 @@
 	return out
 }
 
-// Flushed marks results as written to the platform.
-func (t *Table) Flushed(requestIDs []string) {
+// MarkFlushed marks results as written to the platform.
+func (t *Table) MarkFlushed(requestIDs []string) {
 	for _, id := range requestIDs {
 		if e := t.byID[id]; e != nil {
 			e.durable = true
@@ -275,8 +275,8 @@
 	return out
 }
 
-// Adopt makes a node the owner of a running request.
-func (t *Table) Adopt(requestID, node string, incarnation uint64) {
+// SetOwner makes a node the owner of a running request.
+func (t *Table) SetOwner(requestID, node string, incarnation uint64) {
 	if e := t.byID[requestID]; e != nil {
 		e.request.Owner, e.request.OwnerIncarnation = node, incarnation
 	}
--- a/internal/request/hold/hold_test.go
+++ b/internal/request/hold/hold_test.go
@@ -15,7 +15,7 @@
 func TestResendJoinsAndConflicts(t *testing.T) {
 	is := is.New(t)
 	tab := New(1 << 20)
-	is.Equal(tab.Hold(request("r1", "k", "d")).State, Fresh)
+	is.Equal(tab.Hold(request("r1", "k", "d")).State, Registered)
 	second := tab.Hold(request("r2", "k", "d"))
 	is.Equal(second.State, Running)
 	is.Equal(second.RequestID, "r1")
@@ -33,9 +33,9 @@
 	is := is.New(t)
 	tab := New(1 << 20)
 	here, there := request("r1", "k", "d"), request("r2", "k", "d")
-	here.Centre, there.Centre = "a", "b"
-	is.Equal(tab.Hold(here).State, Fresh)
-	is.Equal(tab.Hold(there).State, Fresh)
+	here.DataCentre, there.DataCentre = "a", "b"
+	is.Equal(tab.Hold(here).State, Registered)
+	is.Equal(tab.Hold(there).State, Registered)
 }
 
 func TestDroppedKeyStartsAnew(t *testing.T) {
@@ -45,7 +45,7 @@
 	waiting := tab.Wait("r1")
 	tab.Drop("r1")
 	<-waiting // a joined caller is told
-	is.Equal(tab.Hold(request("r2", "k", "d")).State, Fresh)
+	is.Equal(tab.Hold(request("r2", "k", "d")).State, Registered)
 }
 
 func TestOrphansAreThoseOfTheGone(t *testing.T) {
@@ -56,7 +56,7 @@
 	tab.Finish(Result{RequestID: "r2"}, false)
 	gone := func(node string, incarnation uint64) bool { return node == "n" && incarnation == 1 }
 	is.Equal(len(tab.Orphans(gone)), 1)
-	tab.Adopt("r1", "m", 1)
+	tab.SetOwner("r1", "m", 1)
 	is.Equal(len(tab.Orphans(gone)), 0)
 }
 
@@ -69,7 +69,7 @@
 		kept := map[string]bool{}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := fmt.Sprintf("r%d", n)
-			if tab.Hold(request(id, id, "d")).State == Fresh {
+			if tab.Hold(request(id, id, "d")).State == Registered {
 				kept[id] = true
 			}
 			for known := range kept {
@@ -78,7 +78,7 @@
 					tab.Finish(Result{RequestID: known, Body: []byte("x")}, false)
 				case 1:
 					if tab.Lookup(known).State == Done {
-						tab.Flushed([]string{known})
+						tab.MarkFlushed([]string{known})
 						delete(kept, known)
 					}
 				}
--- a/internal/request/homes/durable.go
+++ b/internal/request/homes/durable.go
@@ -27,7 +27,7 @@
 )
 
 // Flush writes finished results to the platform each interval until ctx ends.
-func (k *Keeper) Flush(ctx context.Context, interval time.Duration) {
+func (k *Replicator) Flush(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -45,14 +45,14 @@
 // result of another data centre: its first home should have done so long ago.
 const awayFlushAfter = 15
 
-func (k *Keeper) due(requestID, dataCentre string) bool {
+func (k *Replicator) due(requestID, dataCentre string) bool {
 	id, _ := ParseID(requestID)
 	return id.DataCentre == dataCentre || time.Now().Unix()-id.Created > awayFlushAfter
 }
 
 // FlushAll writes everything this node holds, for a node that leaves. It
 // returns the number of results that could not be written.
-func (k *Keeper) FlushAll(ctx context.Context) int {
+func (k *Replicator) FlushAll(ctx context.Context) int {
 	everything := func(string) bool { return true }
 	for ctx.Err() == nil && k.flushOnce(ctx, everything) > 0 {
 	}
@@ -62,7 +62,7 @@
 }
 
 // flushOnce writes one round of results and returns how many were written.
-func (k *Keeper) flushOnce(ctx context.Context, mine func(string) bool) int {
+func (k *Replicator) flushOnce(ctx context.Context, mine func(string) bool) int {
 	k.mu.Lock()
 	results := k.table.Unflushed(flushCount, mine)
 	k.mu.Unlock()
@@ -107,7 +107,7 @@
 // the body is stored in base64.
 const overheadPerResult = 400
 
-func (k *Keeper) writeGroup(ctx context.Context, group []*hold.Result) error {
+func (k *Replicator) writeGroup(ctx context.Context, group []*hold.Result) error {
 	k.mu.Lock()
 	k.seq++
 	name := fmt.Sprintf("%s%s-%d", bucketOf(group[0]), k.name, k.seq)
@@ -132,7 +132,7 @@
 	return nil
 }
 
-func (k *Keeper) splitGroup(ctx context.Context, group []*hold.Result) error {
+func (k *Replicator) splitGroup(ctx context.Context, group []*hold.Result) error {
 	if len(group) == 1 {
 		k.recorder.Record(timeline.RingOverflow, group[0].RequestID, "results", "a result is larger than the platform's values; kept in memory only")
 		return nil
@@ -144,7 +144,7 @@
 }
 
 // markFlushed marks results as durable here and at their other homes.
-func (k *Keeper) markFlushed(ctx context.Context, group []*hold.Result) {
+func (k *Replicator) markFlushed(ctx context.Context, group []*hold.Result) {
 	self := k.membership().Self.ID
 	byNode, byCentre := map[string][]string{}, map[string][]string{}
 	var ids []string
@@ -154,11 +154,11 @@
 		for _, node := range ranked[:min(homeCount, len(ranked))] {
 			byNode[node] = append(byNode[node], r.RequestID)
 		}
-		if id, _ := ParseID(r.RequestID); id.Second != "" {
-			byCentre[id.Second] = append(byCentre[id.Second], r.RequestID)
+		if id, _ := ParseID(r.RequestID); id.SecondDataCentre != "" {
+			byCentre[id.SecondDataCentre] = append(byCentre[id.SecondDataCentre], r.RequestID)
 		}
 	}
-	k.FlushedLocal(ids)
+	k.MarkFlushedLocal(ids)
 	for node, flushed := range byNode {
 		if client, _, err := k.client(node); err == nil && node != self {
 			k.tellFlushed(ctx, client, flushed, false)
@@ -173,17 +173,17 @@
 	}
 }
 
-func (k *Keeper) tellFlushed(ctx context.Context, c peerClient, ids []string, relay bool) error {
+func (k *Replicator) tellFlushed(ctx context.Context, c peerClient, ids []string, relay bool) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := c.Flushed(ctx, &v1.FlushedRequest{RequestIds: ids, Relay: relay})
 	return err
 }
 
-// FlushedHere marks results of another data centre as durable at this one's
+// MarkFlushedInDataCentre marks results of another data centre as durable at this one's
 // homes.
-func (k *Keeper) FlushedHere(ctx context.Context, ids []string) {
-	k.FlushedLocal(ids)
+func (k *Replicator) MarkFlushedInDataCentre(ctx context.Context, ids []string) {
+	k.MarkFlushedLocal(ids)
 	byNode := map[string][]string{}
 	for _, id := range ids {
 		byNode[k.ranked(id)[0]] = append(byNode[k.ranked(id)[0]], id)
@@ -199,13 +199,13 @@
 // data centre, or in the platform. State Unknown without an error means that
 // there is no such request. Errors: PlatformUnavailable when it was not found
 // and a place that may know it did not answer.
-func (k *Keeper) Find(ctx context.Context, requestID, workspace string, wait time.Duration) (hold.Answer, error) {
+func (k *Replicator) Find(ctx context.Context, requestID, workspace string, wait time.Duration) (hold.Answer, error) {
 	id, ok := ParseID(requestID)
 	if !ok {
 		return hold.Answer{State: hold.Unknown}, nil
 	}
 	var silent error
-	for _, centre := range []string{id.DataCentre, id.Second} {
+	for _, centre := range []string{id.DataCentre, id.SecondDataCentre} {
 		answer, err := k.findIn(ctx, centre, requestID, workspace, wait)
 		if answer.State != hold.Unknown {
 			return answer, nil
@@ -222,13 +222,13 @@
 	return answer, nil
 }
 
-func (k *Keeper) findIn(ctx context.Context, centre, requestID, workspace string, wait time.Duration) (hold.Answer, error) {
+func (k *Replicator) findIn(ctx context.Context, centre, requestID, workspace string, wait time.Duration) (hold.Answer, error) {
 	unknown := hold.Answer{State: hold.Unknown}
 	switch {
 	case centre == "":
 		return unknown, nil
 	case centre == k.membership().Self.DataCentre:
-		return k.FindHere(ctx, requestID, workspace, wait)
+		return k.FindInDataCentre(ctx, requestID, workspace, wait)
 	case k.known(ctx, centre):
 		return k.askThere(ctx, centre, requestID, workspace, wait)
 	case k.membership().SilentSeeds:
@@ -249,11 +249,11 @@
 // longest time for which a request runs, and that until its answer is in the platform.
 const onlyAtHomes = 10 * time.Minute
 
-// FindHere asks the homes of this data centre. Those are found by the nodes that are
+// FindInDataCentre asks the homes of this data centre. Those are found by the nodes that are
 // known, which were others when the request was taken if many have started since: before
 // a young one is denied, all nodes here are asked. Errors: errSilent when none knows the
 // request and not all answered, errUnheard when there may be nodes that are not known.
-func (k *Keeper) FindHere(ctx context.Context, requestID, workspace string, wait time.Duration) (hold.Answer, error) {
+func (k *Replicator) FindInDataCentre(ctx context.Context, requestID, workspace string, wait time.Duration) (hold.Answer, error) {
 	homes := k.ranked(requestID)
 	answer, err := k.ask(ctx, homes, requestID, workspace, wait)
 	if answer.State != hold.Unknown || !young(requestID) {
@@ -293,7 +293,7 @@
 
 // ask asks some nodes in their order. Errors: errSilent when none knows the request and
 // not all answered.
-func (k *Keeper) ask(ctx context.Context, nodes []string, requestID, workspace string, wait time.Duration) (hold.Answer, error) {
+func (k *Replicator) ask(ctx context.Context, nodes []string, requestID, workspace string, wait time.Duration) (hold.Answer, error) {
 	unknown := hold.Answer{State: hold.Unknown}
 	var silent error
 	for _, node := range nodes {
@@ -310,7 +310,7 @@
 
 // askAll asks some nodes at once, and does not wait for an answer that is not there yet.
 // Errors as for ask.
-func (k *Keeper) askAll(ctx context.Context, nodes []string, requestID, workspace string) (hold.Answer, error) {
+func (k *Replicator) askAll(ctx context.Context, nodes []string, requestID, workspace string) (hold.Answer, error) {
 	answers, errs := make([]hold.Answer, len(nodes)), make([]error, len(nodes))
 	var wg sync.WaitGroup
 	for i, node := range nodes {
@@ -329,7 +329,7 @@
 }
 
 // askOne asks one node of this data centre, which may be this one.
-func (k *Keeper) askOne(ctx context.Context, node, requestID, workspace string, wait time.Duration) (hold.Answer, error) {
+func (k *Replicator) askOne(ctx context.Context, node, requestID, workspace string, wait time.Duration) (hold.Answer, error) {
 	unknown := hold.Answer{State: hold.Unknown}
 	client, local, err := k.client(node)
 	switch {
@@ -359,7 +359,7 @@
 
 // askThere asks another data centre: its contacts in turn, until one is sure. Errors:
 // errSilent when none of them knows the request and is sure of it.
-func (k *Keeper) askThere(ctx context.Context, dataCentre, requestID, workspace string, wait time.Duration) (hold.Answer, error) {
+func (k *Replicator) askThere(ctx context.Context, dataCentre, requestID, workspace string, wait time.Duration) (hold.Answer, error) {
 	for _, addr := range k.contacts(dataCentre) {
 		answer, err := lookupAt(ctx, k.pool.Client(addr), requestID, workspace, wait, true)
 		switch {
@@ -372,7 +372,7 @@
 	return hold.Answer{State: hold.Unknown}, errSilent
 }
 
-func (k *Keeper) findStored(ctx context.Context, id ID, requestID, workspace string) (hold.Answer, error) {
+func (k *Replicator) findStored(ctx context.Context, id ID, requestID, workspace string) (hold.Answer, error) {
 	objects, err := k.platform.List(ctx, platform.Status, record.ResultBucket(id.DataCentre, id.Created/60))
 	if err != nil {
 		return hold.Answer{State: hold.Unknown}, err
--- a/internal/request/homes/find_test.go
+++ b/internal/request/homes/find_test.go
@@ -40,7 +40,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func newFinder(t *testing.T, view *member.View) *Keeper {
+func newFinder(t *testing.T, view *member.View) *Replicator {
 	empty := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "[]") }))
 	t.Cleanup(empty.Close)
 	store := platform.New(platform.Options{URL: empty.URL, HTTP: http.DefaultClient, Timeout: time.Second, ReadRate: 100, WriteRate: 100, Metrics: tally.NoopScope})
--- a/internal/request/homes/homes.go
+++ b/internal/request/homes/homes.go
@@ -33,8 +33,8 @@
 	callTimeout = 500 * time.Millisecond
 )
 
-// Keeper holds this node's part and talks to the other homes.
-type Keeper struct {
+// Replicator holds this node's part and talks to the other homes.
+type Replicator struct {
 	membership func() *member.View
 	pool       *peer.Pool
 	platform   *platform.Client
@@ -50,14 +50,14 @@
 
 // New returns a keeper bounded to limit bytes. rerun is called, once per
 // request, with requests whose owner died and that this node must now run.
-func New(limit int, view func() *member.View, pool *peer.Pool, p *platform.Client, r *timeline.Recorder, rerun func(hold.Request)) *Keeper {
-	return &Keeper{membership: view, pool: pool, platform: p, recorder: r, rerun: rerun,
+func New(limit int, view func() *member.View, pool *peer.Pool, p *platform.Client, r *timeline.Recorder, rerun func(hold.Request)) *Replicator {
+	return &Replicator{membership: view, pool: pool, platform: p, recorder: r, rerun: rerun,
 		name: view().Self.ID + "-" + rand.Text()[:8], table: hold.New(limit), avoidUntil: map[string]time.Time{}}
 }
 
 // Register holds a request at its homes. The answer's state is Fresh when the
 // sender is to run it. Errors: Overloaded when no home takes it.
-func (k *Keeper) Register(ctx context.Context, r hold.Request) (hold.Answer, error) {
+func (k *Replicator) Register(ctx context.Context, r hold.Request) (hold.Answer, error) {
 	if r.Key == "" {
 		return k.registerUnkeyed(ctx, r)
 	}
@@ -71,7 +71,7 @@
 		switch {
 		case err != nil || answer.State == hold.Full:
 			continue // the next seat stands in
-		case answer.State == hold.Fresh:
+		case answer.State == hold.Registered:
 			held++
 		default:
 			if held > 0 {
@@ -89,7 +89,7 @@
 // errFull says that a home has no room.
 var errFull = errors.New("home holds as much as it may")
 
-func (k *Keeper) registerUnkeyed(ctx context.Context, r hold.Request) (hold.Answer, error) {
+func (k *Replicator) registerUnkeyed(ctx context.Context, r hold.Request) (hold.Answer, error) {
 	held := k.each(r.ID, homeCount, func(c peerClient, relay bool) error {
 		answer, err := k.holdAt(ctx, c, relay, r)
 		if err == nil && answer.State == hold.Full {
@@ -104,10 +104,10 @@
 	if held == 0 {
 		return hold.Answer{}, errkind.Overloaded.New("no node can keep the request")
 	}
-	return hold.Answer{State: hold.Fresh, RequestID: r.ID}, nil
+	return hold.Answer{State: hold.Registered, RequestID: r.ID}, nil
 }
 
-func (k *Keeper) holdAt(ctx context.Context, c peerClient, relay bool, r hold.Request) (hold.Answer, error) {
+func (k *Replicator) holdAt(ctx context.Context, c peerClient, relay bool, r hold.Request) (hold.Answer, error) {
 	if c == nil {
 		return k.HoldLocal(r), nil
 	}
@@ -122,8 +122,8 @@
 	return answerFromProto(resp), nil
 }
 
-// HoldHere takes a request from another data centre to this one's first home.
-func (k *Keeper) HoldHere(ctx context.Context, r hold.Request) (hold.Answer, error) {
+// HoldInDataCentre takes a request from another data centre to this one's first home.
+func (k *Replicator) HoldInDataCentre(ctx context.Context, r hold.Request) (hold.Answer, error) {
 	client, local, err := k.client(k.ranked(r.ID)[0])
 	if err != nil || local {
 		return k.HoldLocal(r), nil
@@ -132,17 +132,17 @@
 }
 
 // HoldLocal registers a request in this node's own table.
-func (k *Keeper) HoldLocal(r hold.Request) hold.Answer {
+func (k *Replicator) HoldLocal(r hold.Request) hold.Answer {
 	k.recorder.Record(timeline.RequestHeld, r.ID, r.Owner, "")
 	id, _ := ParseID(r.ID)
-	r.Centre = id.DataCentre
+	r.DataCentre = id.DataCentre
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Hold(r)
 }
 
 // Finish stores a final answer at the homes; it returns how many have it.
-func (k *Keeper) Finish(ctx context.Context, r hold.Result) int {
+func (k *Replicator) Finish(ctx context.Context, r hold.Result) int {
 	stored := k.each(r.RequestID, homeCount, func(c peerClient, relay bool) error { return k.finishAt(ctx, c, relay, r) })
 	if stored == 0 {
 		k.FinishLocal(r, false)
@@ -151,7 +151,7 @@
 	return stored
 }
 
-func (k *Keeper) finishAt(ctx context.Context, c peerClient, relay bool, r hold.Result) error {
+func (k *Replicator) finishAt(ctx context.Context, c peerClient, relay bool, r hold.Result) error {
 	if c == nil {
 		k.FinishLocal(r, false)
 		return nil
@@ -162,9 +162,9 @@
 	return err
 }
 
-// FinishHere takes a final answer from another data centre to this one's
+// FinishInDataCentre takes a final answer from another data centre to this one's
 // first home.
-func (k *Keeper) FinishHere(ctx context.Context, r hold.Result) error {
+func (k *Replicator) FinishInDataCentre(ctx context.Context, r hold.Result) error {
 	client, local, err := k.client(k.ranked(r.RequestID)[0])
 	if err != nil || local {
 		k.FinishLocal(r, false)
@@ -175,7 +175,7 @@
 
 // FinishLocal stores a final answer in this node's own table. The first
 // answer of a request stands.
-func (k *Keeper) FinishLocal(r hold.Result, durable bool) bool {
+func (k *Replicator) FinishLocal(r hold.Result, durable bool) bool {
 	k.recorder.Record(timeline.ResultHeld, r.RequestID, r.ErrorKind, "")
 	id, _ := ParseID(r.RequestID)
 	r.Centre = id.DataCentre
@@ -186,11 +186,11 @@
 
 // Drop forgets a request at its homes: it was refused before anything was
 // sent, and a resend is to start anew.
-func (k *Keeper) Drop(ctx context.Context, requestID string) {
+func (k *Replicator) Drop(ctx context.Context, requestID string) {
 	k.each(requestID, candidates, func(c peerClient, relay bool) error { return k.dropAt(ctx, c, relay, requestID) })
 }
 
-func (k *Keeper) dropAt(ctx context.Context, c peerClient, relay bool, requestID string) error {
+func (k *Replicator) dropAt(ctx context.Context, c peerClient, relay bool, requestID string) error {
 	if c == nil {
 		k.DropLocal(requestID)
 		return nil
@@ -201,8 +201,8 @@
 	return err
 }
 
-// DropHere forgets a request of another data centre at this one's first home.
-func (k *Keeper) DropHere(ctx context.Context, requestID string) error {
+// DropInDataCentre forgets a request of another data centre at this one's first home.
+func (k *Replicator) DropInDataCentre(ctx context.Context, requestID string) error {
 	client, local, err := k.client(k.ranked(requestID)[0])
 	if err != nil || local {
 		k.DropLocal(requestID)
@@ -212,21 +212,21 @@
 }
 
 // DropLocal forgets a request in this node's own table.
-func (k *Keeper) DropLocal(requestID string) {
+func (k *Replicator) DropLocal(requestID string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.table.Drop(requestID)
 }
 
-// FlushedLocal marks results as durable in this node's own table.
-func (k *Keeper) FlushedLocal(requestIDs []string) {
+// MarkFlushedLocal marks results as durable in this node's own table.
+func (k *Replicator) MarkFlushedLocal(requestIDs []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.table.Flushed(requestIDs)
+	k.table.MarkFlushed(requestIDs)
 }
 
 // LookupLocal reads this node's own table, waiting up to wait for an answer.
-func (k *Keeper) LookupLocal(ctx context.Context, requestID string, wait time.Duration) hold.Answer {
+func (k *Replicator) LookupLocal(ctx context.Context, requestID string, wait time.Duration) hold.Answer {
 	k.mu.Lock()
 	answer := k.table.Lookup(requestID)
 	var done <-chan struct{}
@@ -248,7 +248,7 @@
 }
 
 // Workspace returns the workspace of a request in this node's own table.
-func (k *Keeper) Workspace(requestID string) string {
+func (k *Replicator) Workspace(requestID string) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Workspace(requestID)
--- a/internal/request/homes/homes_test.go
+++ b/internal/request/homes/homes_test.go
@@ -37,10 +37,10 @@
 func TestID(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringMatching(`[a-z][a-z0-9-]{0,10}`)
-		want := ID{DataCentre: name.Draw(t, "dc"), Second: name.Draw(t, "second"), Created: rapid.Int64Range(0, 1<<40).Draw(t, "created")}
+		want := ID{DataCentre: name.Draw(t, "dc"), SecondDataCentre: name.Draw(t, "second"), Created: rapid.Int64Range(0, 1<<40).Draw(t, "created")}
 		key := rapid.String().Draw(t, "key")
-		a, ok := ParseID(NewID(want.DataCentre, want.Second, want.Created, "w", key))
-		b, _ := ParseID(NewID(want.DataCentre, want.Second, want.Created, "w", key))
+		a, ok := ParseID(NewID(want.DataCentre, want.SecondDataCentre, want.Created, "w", key))
+		b, _ := ParseID(NewID(want.DataCentre, want.SecondDataCentre, want.Created, "w", key))
 		if key != "" && a.Placement != b.Placement {
 			t.Fatal("one key, two placements")
 		}
--- a/internal/request/homes/id.go
+++ b/internal/request/homes/id.go
@@ -15,10 +15,10 @@
 // ID names a request: its data centres, creation time and placement are part
 // of it, so that any node finds its homes and, later, its stored result.
 type ID struct {
-	DataCentre string
-	Second     string // data centre of the second home; empty: the same
-	Created    int64  // Unix seconds
-	Placement  string // ranks the homes; derived from the key when there is one
+	DataCentre       string
+	SecondDataCentre string // data centre of the second home; empty: the same
+	Created          int64  // Unix seconds
+	Placement        string // ranks the homes; derived from the key when there is one
 }
 
 // NewID returns a new request ID. Requests with the same workspace and key get
@@ -42,5 +42,5 @@
 	if err != nil {
 		return ID{}, false
 	}
-	return ID{DataCentre: parts[1], Second: parts[2], Created: created, Placement: parts[4]}, true
+	return ID{DataCentre: parts[1], SecondDataCentre: parts[2], Created: created, Placement: parts[4]}, true
 }
--- a/internal/request/homes/seats.go
+++ b/internal/request/homes/seats.go
@@ -12,7 +12,7 @@
 	"github.com/marblepond/marblepond/internal/process/wait"
 )
 
-func (k *Keeper) ranked(requestID string) []string {
+func (k *Replicator) ranked(requestID string) []string {
 	id, _ := ParseID(requestID)
 	view := k.membership()
 	members := view.Duty
@@ -30,13 +30,13 @@
 }
 
 // seats returns where a request may be kept, in order of preference.
-func (k *Keeper) seats(requestID string) []seat {
+func (k *Replicator) seats(requestID string) []seat {
 	var seats []seat
 	for _, node := range k.ranked(requestID) {
 		seats = append(seats, seat{node: node})
 	}
 	id, _ := ParseID(requestID)
-	if addrs := k.contacts(id.Second); len(addrs) > 0 && id.DataCentre == k.membership().Self.DataCentre {
+	if addrs := k.contacts(id.SecondDataCentre); len(addrs) > 0 && id.DataCentre == k.membership().Self.DataCentre {
 		away := seat{relay: true, addrs: addrs}
 		seats = append(seats[:1:1], append([]seat{away}, seats[1:]...)...)
 	}
@@ -44,7 +44,7 @@
 }
 
 // contacts returns the addresses of a data centre's reachable contacts.
-func (k *Keeper) contacts(dataCentre string) []string {
+func (k *Replicator) contacts(dataCentre string) []string {
 	var addrs []string
 	for _, c := range k.membership().Contacts {
 		if c.DataCentre == dataCentre && c.State != member.Dead && !k.avoided(c.PeerAddr) {
@@ -64,7 +64,7 @@
 
 // known reports whether there is such a data centre, silent or not. While there may be
 // some that are not known it waits for a short time.
-func (k *Keeper) known(ctx context.Context, dataCentre string) bool {
+func (k *Replicator) known(ctx context.Context, dataCentre string) bool {
 	ctx, cancel := context.WithTimeout(ctx, unheardWait)
 	defer cancel()
 	for {
@@ -79,22 +79,22 @@
 // avoidTime is how long an address that did not answer is not asked again.
 const avoidTime = 2 * time.Second
 
-func (k *Keeper) avoid(addr string) {
+func (k *Replicator) avoid(addr string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.avoidUntil[addr] = time.Now().Add(avoidTime)
 }
 
-func (k *Keeper) avoided(addr string) bool {
+func (k *Replicator) avoided(addr string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return time.Now().Before(k.avoidUntil[addr])
 }
 
-// SecondCentre returns the data centre for the second home of a new request:
+// SecondDataCentre returns the data centre for the second home of a new request:
 // the one with a reachable contact that was named first; empty when there is
 // none.
-func (k *Keeper) SecondCentre() string {
+func (k *Replicator) SecondDataCentre() string {
 	for _, c := range k.membership().Contacts {
 		if c.State != member.Dead && !c.Leaving && !k.avoided(c.PeerAddr) {
 			return c.DataCentre
@@ -106,7 +106,7 @@
 // each calls f at the first seats at the same time, as many as are wanted, and
 // at the following ones in place of those that fail. It returns how many have
 // taken the call.
-func (k *Keeper) each(requestID string, wanted int, f func(c peerClient, relay bool) error) (taken int) {
+func (k *Replicator) each(requestID string, wanted int, f func(c peerClient, relay bool) error) (taken int) {
 	seats := k.seats(requestID)
 	first := seats[:min(wanted, len(seats))]
 	failed := make([]bool, len(first))
@@ -129,7 +129,7 @@
 }
 
 // at calls f at one seat. A nil client means this node itself.
-func (k *Keeper) at(s seat, f func(c peerClient, relay bool) error) error {
+func (k *Replicator) at(s seat, f func(c peerClient, relay bool) error) error {
 	if !s.relay {
 		client, local, err := k.client(s.node)
 		if err != nil {
@@ -152,7 +152,7 @@
 
 var errNotMember = errors.New("node is not a member")
 
-func (k *Keeper) client(node string) (c peerClient, local bool, err error) {
+func (k *Replicator) client(node string) (c peerClient, local bool, err error) {
 	view := k.membership()
 	if node == view.Self.ID {
 		return nil, true, nil
--- a/internal/request/homes/watch.go
+++ b/internal/request/homes/watch.go
@@ -12,9 +12,9 @@
 	"github.com/marblepond/marblepond/internal/request/hold"
 )
 
-// Takeover hands on, for rerun, the requests whose owner is gone and whose
+// TakeOverOrphans hands on, for rerun, the requests whose owner is gone and whose
 // first home is now this node.
-func (k *Keeper) Takeover(view *member.View) {
+func (k *Replicator) TakeOverOrphans(view *member.View) {
 	for _, r := range k.orphans(view) {
 		if k.first(r.ID, view) {
 			k.takeOver(r, "owner is gone")
@@ -23,7 +23,7 @@
 }
 
 // orphans returns the running requests of this data centre whose owner is gone.
-func (k *Keeper) orphans(view *member.View) []hold.Request {
+func (k *Replicator) orphans(view *member.View) []hold.Request {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.DeleteFunc(k.table.Orphans(view.Gone), func(r hold.Request) bool {
@@ -35,7 +35,7 @@
 // sweep takes over orphans that were left for more than a round: their first
 // home restarted and knows nothing of them, or they came after their owner's
 // death was seen. It returns the orphans seen.
-func (k *Keeper) sweep(before map[string]bool) map[string]bool {
+func (k *Replicator) sweep(before map[string]bool) map[string]bool {
 	seen := map[string]bool{}
 	for _, r := range k.orphans(k.membership()) {
 		seen[r.ID] = true
@@ -46,10 +46,10 @@
 	return seen
 }
 
-func (k *Keeper) takeOver(r hold.Request, cause string) {
+func (k *Replicator) takeOver(r hold.Request, cause string) {
 	self := k.membership().Self
 	k.mu.Lock()
-	k.table.Adopt(r.ID, self.ID, self.Incarnation)
+	k.table.SetOwner(r.ID, self.ID, self.Incarnation)
 	k.mu.Unlock()
 	r.Owner, r.OwnerIncarnation = self.ID, self.Incarnation
 	k.recorder.Record(timeline.RequestTakenOver, r.ID, "", cause)
@@ -68,7 +68,7 @@
 // request has lost both its owner and its first home; one that does not answer
 // for long is taken for lost: a request that both then run gets one answer, for
 // the first one stands.
-func (k *Keeper) Watch(ctx context.Context) {
+func (k *Replicator) Watch(ctx context.Context) {
 	silent := map[string]time.Time{} // by data centre: since when
 	looked := looks{}
 	left := map[string]bool{} // orphans of this data centre seen in the last round
@@ -108,7 +108,7 @@
 
 // away returns the running requests of other data centres that are due for a
 // look: older than a look's time, so that their owners have had time to end.
-func (k *Keeper) away() []hold.Request {
+func (k *Replicator) away() []hold.Request {
 	self := k.membership().Self
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -125,7 +125,7 @@
 // lookAfter is the age in seconds from which a kept request is looked after.
 const lookAfter = 4
 
-func (k *Keeper) lookAway(ctx context.Context, r hold.Request, silent map[string]time.Time) {
+func (k *Replicator) lookAway(ctx context.Context, r hold.Request, silent map[string]time.Time) {
 	id, _ := ParseID(r.ID)
 	answer, err := k.askThere(ctx, id.DataCentre, r.ID, r.Workspace, 0)
 	if err != nil {
@@ -146,13 +146,13 @@
 	}
 }
 
-func (k *Keeper) first(requestID string, view *member.View) bool {
+func (k *Replicator) first(requestID string, view *member.View) bool {
 	id, _ := ParseID(requestID)
 	return rendezvous.First(id.Placement, view.Duty) == view.Self.ID || len(view.Duty) == 0
 }
 
 // Size returns the number of entries held and their bytes.
-func (k *Keeper) Size() (entries, bytes int) {
+func (k *Replicator) Size() (entries, bytes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Size()
--- a/internal/request/job/checkpoint_test.go
+++ b/internal/request/job/checkpoint_test.go
@@ -20,7 +20,7 @@
 }
 
 func newKeeperPeers() keeperPeers {
-	return keeperPeers{store: checkpoint.NewStore(checkpoint.Limits{Bytes: 1 << 20, Keep: time.Hour}, time.Now)}
+	return keeperPeers{store: checkpoint.NewStore(checkpoint.Limits{MaxBytes: 1 << 20, Retention: time.Hour}, time.Now)}
 }
 
 func (keeperPeers) Keepers(string, []string, func(string) bool) []string { return []string{"keeper"} }
--- a/internal/request/run/answer.go
+++ b/internal/request/run/answer.go
@@ -31,7 +31,7 @@
 func (a *Answer) begin() (attempt, held int, text string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.assembler.Begin(), a.assembler.Held(), a.assembler.Text()
+	return a.assembler.BeginAttempt(), a.assembler.TokenCount(), a.assembler.Text()
 }
 
 func (a *Answer) add(p assemble.Piece) {
@@ -60,21 +60,21 @@
 func (a *Answer) Held() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.assembler.Held()
+	return a.assembler.TokenCount()
 }
 
 // whole reports whether the answer has ended without a gap.
 func (a *Answer) whole() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.assembler.Whole()
+	return a.assembler.Complete()
 }
 
 // Text returns the text, the number of tokens and the finish reason.
 func (a *Answer) Text() (text string, tokens int, finish string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.assembler.Text(), a.assembler.Held(), a.assembler.Finish()
+	return a.assembler.Text(), a.assembler.TokenCount(), a.assembler.FinishReason()
 }
 
 // State is what a reader sees at one moment.
--- a/internal/request/run/run.go
+++ b/internal/request/run/run.go
@@ -100,7 +100,7 @@
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
 	r.mu.Lock()
-	r.budget.Accepted()
+	r.budget.RecordAccepted()
 	r.mu.Unlock()
 	err := r.attempts(ctx, req, a)
 	r.checker.Assert(err != nil || a.whole(), invariant.AnswerWhole, req.ID, "", "success without a whole answer")
@@ -350,7 +350,7 @@
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
 	r.mu.Lock()
-	r.budget.Accepted()
+	r.budget.RecordAccepted()
 	r.mu.Unlock()
 	c := &course{exclude: map[string]bool{}}
 	none := NewAnswer(req.ID)
--- a/internal/request/serve/answer.go
+++ b/internal/request/serve/answer.go
@@ -56,10 +56,10 @@
 	}
 	shape := e.shape()
 	for _, p := range pieces {
-		if p.Finish != "" {
+		if p.FinishReason != "" {
 			<-e.finished // the whole answer is kept before its end is told
 		}
-		if _, err := w.Write(shape.Chunk(p.Text, p.Finish, p.Offset, p.Tokens)); err != nil {
+		if _, err := w.Write(shape.Chunk(p.Text, p.FinishReason, p.Offset, p.Tokens)); err != nil {
 			return nil // the caller is gone; the execution goes on
 		}
 	}
--- a/internal/request/serve/complete.go
+++ b/internal/request/serve/complete.go
@@ -120,7 +120,7 @@
 
 func (s *Server) newExecution(r *http.Request, c *session, service *fleet.Service, body []byte, now time.Time) *execution {
 	key := r.Header.Get(openai.HeaderIdempotencyKey)
-	id := homes.NewID(s.Members().Self.DataCentre, s.Replicas.SecondCentre(), now.Unix(), c.workspace.Name, key)
+	id := homes.NewID(s.Members().Self.DataCentre, s.Replicas.SecondDataCentre(), now.Unix(), c.workspace.Name, key)
 	return &execution{
 		request: run.Request{
 			ID: id, Workspace: c.workspace.Name, Service: service.Name, Path: r.URL.Path, Method: r.Method, Body: body,
@@ -158,7 +158,7 @@
 		return nil, err
 	case answer.State == hold.Conflict:
 		return nil, errkind.KeyConflict.New("the key was used with another body")
-	case answer.State == hold.Fresh:
+	case answer.State == hold.Registered:
 		return nil, nil
 	}
 	return &answer, nil
--- a/internal/request/serve/serve.go
+++ b/internal/request/serve/serve.go
@@ -50,7 +50,7 @@
 	Runner  *run.Runner
 	// Allowances keeps workspaces to what they may ask for over all nodes.
 	Allowances Allowances
-	Replicas   *homes.Keeper
+	Replicas   *homes.Replicator
 	Claims     *claim.Claims
 	Store      *batch.Store
 	Recorder   *timeline.Recorder
