--- a/internal/request/batch/lease.go
+++ b/internal/request/batch/lease.go
@@ -173,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	done := l.state.Finished()
+	done := l.state.CommittedItems()
 	started := map[int]bool{}
 	for _, i := range l.state.Started {
 		started[i] = true
--- a/internal/request/batch/view.go
+++ b/internal/request/batch/view.go
@@ -42,7 +42,7 @@
 	if time.Since(v.lastRefresh) < minRefreshInterval {
 		return nil
 	}
-	change, err := p.Watch(ctx, record.StatesOf(v.job.ID), v.chunksVersion, time.Millisecond)
+	change, err := p.Watch(ctx, record.JobStatePrefix(v.job.ID), v.chunksVersion, time.Millisecond)
 	if err != nil {
 		return err
 	}
--- a/internal/request/run/run.go
+++ b/internal/request/run/run.go
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
 	r.mu.Lock()
-	r.budget.Accepted()
+	r.budget.RecordAccepted()
 	r.mu.Unlock()
 	err := r.runAttempts(ctx, req, a)
 	r.checker.Assert(err != nil || a.complete(), invariant.AnswerWhole, req.ID, "", "success without a complete answer")
@@ -354,7 +354,7 @@
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
 	r.mu.Lock()
-	r.budget.Accepted()
+	r.budget.RecordAccepted()
 	r.mu.Unlock()
 	p := &progress{exclude: map[string]bool{}}
 	empty := NewAnswer(req.ID)
--- a/internal/request/serve/answer.go
+++ b/internal/request/serve/answer.go
@@ -60,10 +60,10 @@
 	}
 	encoder := e.encoder()
 	for _, p := range pieces {
-		if p.Finish != "" {
+		if p.FinishReason != "" {
 			<-e.finished // the replicas store the complete answer before its end is sent
 		}
-		if _, err := w.Write(encoder.Chunk(p.Text, p.Finish, p.Offset, p.Tokens)); err != nil {
+		if _, err := w.Write(encoder.Chunk(p.Text, p.FinishReason, p.Offset, p.Tokens)); err != nil {
 			return nil // the caller disconnected; the execution goes on
 		}
 	}
--- a/internal/request/serve/serve.go
+++ b/internal/request/serve/serve.go
@@ -51,7 +51,7 @@
 	Runner  *run.Runner
 	// Allowances enforces the rate limits of workspaces.
 	Allowances Allowances
-	Replicas   *homes.Keeper
+	Replicas   *homes.Replicator
 	Claims     *claim.Claims
 	Store      *batch.Store
 	Recorder   *timeline.Recorder
