--- a/internal/request/schedule/fair.go
+++ b/internal/request/schedule/fair.go
@@ -2,25 +2,26 @@
 
 import "slices"
 
-// FairQueue shares what a node sends of batch work among workspaces by start-time fair queueing
-// (Goyal, Vin and Cheng, 1996): each workspace has a tag, by which it is served and
-// which grows by the tokens of what is sent of it. One that had nothing to send starts at
-// the tag that is served now, so that nothing is saved up. Of its items the earliest due
-// goes first; where there is one workspace, that is the whole order.
+// FairQueue shares the batch work that a node sends among workspaces by start-time fair
+// queueing (Goyal, Vin and Cheng, 1996). Each workspace has a tag that grows by the tokens
+// of every item sent, and the workspace with the lowest tag is served next. A workspace
+// that had nothing to send starts at the current virtual time, so that it saves up no
+// credit. Within a workspace the item with the earliest due time goes first; with only one
+// workspace, that is the whole order.
 //
 // Deficit round robin (Shreedhar and Varghese, 1995) would need a quantum of the largest
-// item to be as cheap, and lets one workspace run further ahead of another.
+// item to be as cheap, and lets one workspace get further ahead of another.
 //
 // It is not safe for concurrent use.
 type FairQueue struct {
-	virtual float64            // the tag served last
-	tags    map[string]float64 // of workspaces that are ahead of it
+	virtualTime float64            // the start tag of the item sent last
+	finishTags  map[string]float64 // of workspaces whose tag is above virtualTime
 }
 
-// NewFairQueue returns a scheduler that has sent nothing.
-func NewFairQueue() *FairQueue { return &FairQueue{tags: map[string]float64{}} }
+// NewFairQueue creates a scheduler that has sent nothing.
+func NewFairQueue() *FairQueue { return &FairQueue{finishTags: map[string]float64{}} }
 
-// Order puts waiting items into the order in which they get room.
+// Order sorts waiting items into the order in which they get free slots.
 func (f *FairQueue) Order(items []Item) {
 	Sort(items)
 	queues, names := f.queues(items)
@@ -29,7 +30,7 @@
 	}
 	tags := make(map[string]float64, len(names))
 	for _, name := range names {
-		tags[name] = f.start(name)
+		tags[name] = f.startTag(name)
 	}
 	for i := range items {
 		next := ""
@@ -44,8 +45,8 @@
 	}
 }
 
-// queues returns the items of each workspace, and the workspaces in the order of their
-// first items.
+// queues returns the items by workspace, and the workspaces in the order of their first
+// items.
 func (f *FairQueue) queues(items []Item) (map[string][]Item, []string) {
 	queues := map[string][]Item{}
 	var names []string
@@ -58,19 +59,19 @@
 	return queues, slices.Clip(names)
 }
 
-// MarkSent notes that an item got room.
+// MarkSent records that an item was sent to a target.
 func (f *FairQueue) MarkSent(item Item) {
-	f.virtual = f.start(item.Workspace)
-	f.tags[item.Workspace] = f.virtual + cost(item)
-	for name, tag := range f.tags {
-		if tag <= f.virtual {
-			delete(f.tags, name)
+	f.virtualTime = f.startTag(item.Workspace)
+	f.finishTags[item.Workspace] = f.virtualTime + cost(item)
+	for name, tag := range f.finishTags {
+		if tag <= f.virtualTime {
+			delete(f.finishTags, name)
 		}
 	}
 }
 
-// start returns the tag at which a workspace is served next.
-func (f *FairQueue) start(name string) float64 { return max(f.virtual, f.tags[name]) }
+// startTag returns the tag of a workspace's next item.
+func (f *FairQueue) startTag(name string) float64 { return max(f.virtualTime, f.finishTags[name]) }
 
-// cost returns what an item counts; one without a size counts as one token.
+// cost returns an item's tokens; an item of unknown size counts as one token.
 func cost(item Item) float64 { return float64(max(1, item.Tokens)) }
--- a/internal/request/schedule/fair_test.go
+++ b/internal/request/schedule/fair_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// backlogOf returns so many items of a workspace, of 100 to 4,000 tokens, due in the order
-// of their numbers.
-func backlogOf(workspace string, count int, draw *rand.Rand) []Item {
+// itemsOf returns items of a workspace with 100 to 4,000 tokens each, due in the order of
+// their indexes.
+func itemsOf(workspace string, count int, draw *rand.Rand) []Item {
 	items := make([]Item, count)
 	for i := range items {
 		items[i] = Item{Workspace: workspace, Job: workspace + "-job", Index: i, Tokens: 100 + draw.Int64N(3900), Due: time.Unix(int64(i), 0)}
@@ -20,10 +20,10 @@
 	return items
 }
 
-// lead sends items one by one in the order that next gives, and returns the most tokens by
-// which a workspace was ahead of another that had items waiting all the while, in units
-// of the largest item.
-func lead(items []Item, next func(waiting []Item) Item) float64 {
+// largestLead sends items one by one in the order that next selects. It returns the
+// largest number of tokens by which a workspace was ahead of another one that always had
+// items waiting, in units of the largest item.
+func largestLead(items []Item, next func(waiting []Item) Item) float64 {
 	sent := map[string]int64{}
 	left := map[string]int{}
 	largest := int64(0)
@@ -46,8 +46,8 @@
 	return float64(most) / float64(largest)
 }
 
-// byFair sends in the order of Fair.
-func byFair() func([]Item) Item {
+// byFairQueue selects items in the order of FairQueue.
+func byFairQueue() func([]Item) Item {
 	f := NewFairQueue()
 	return func(waiting []Item) Item {
 		order := slices.Clone(waiting)
@@ -57,35 +57,35 @@
 	}
 }
 
-// byRoundRobin sends by deficit round robin with a quantum of the largest item.
+// byRoundRobin selects items by deficit round robin with a quantum of the largest item.
 func byRoundRobin(names []string, quantum int64) func([]Item) Item {
 	deficit := map[string]int64{}
-	at, fresh := 0, true
+	at, newTurn := 0, true
 	return func(waiting []Item) Item {
 		order := slices.Clone(waiting)
 		Sort(order)
 		for {
 			name := names[at%len(names)]
 			i := slices.IndexFunc(order, func(item Item) bool { return item.Workspace == name })
-			if fresh && i >= 0 {
+			if newTurn && i >= 0 {
 				deficit[name] += quantum
 			}
 			if i >= 0 && order[i].Tokens <= deficit[name] {
 				deficit[name] -= order[i].Tokens
-				fresh = false
+				newTurn = false
 				return order[i]
 			}
 			if i < 0 {
 				deficit[name] = 0
 			}
-			at, fresh = at+1, true
+			at, newTurn = at+1, true
 		}
 	}
 }
 
-// TestFairQueueingAgainstRoundRobin: 20 workspaces whose items all wait at once, one of
-// them with ten times as many as the others. Earliest due first alone, with jobs that came
-// a little sooner, puts it ahead of all others by its whole backlog.
+// TestFairQueueingAgainstRoundRobin: all items of 20 workspaces wait at once, and one
+// workspace has ten times as many as the others. Ordering by due time alone would put that
+// workspace ahead of all others by its whole backlog if its jobs are due a little earlier.
 func TestFairQueueingAgainstRoundRobin(t *testing.T) {
 	is := is.New(t)
 	draw := rand.New(rand.NewPCG(1, 2))
@@ -97,16 +97,16 @@
 		if n == 0 {
 			count = 200
 		}
-		items = append(items, backlogOf(names[n], count, draw)...)
+		items = append(items, itemsOf(names[n], count, draw)...)
 	}
 	for i := range items {
 		if items[i].Workspace == "w0" {
-			items[i].Due = time.Unix(-1, 0) // its jobs came first
+			items[i].Due = time.Unix(-1, 0) // its jobs were submitted first
 		}
 	}
-	fair := lead(slices.Clone(items), byFair())
-	robin := lead(slices.Clone(items), byRoundRobin(names, 4000))
-	byDue := lead(slices.Clone(items), func(waiting []Item) Item {
+	fair := largestLead(slices.Clone(items), byFairQueue())
+	robin := largestLead(slices.Clone(items), byRoundRobin(names, 4000))
+	byDue := largestLead(slices.Clone(items), func(waiting []Item) Item {
 		order := slices.Clone(waiting)
 		Sort(order)
 		return order[0]
@@ -117,12 +117,12 @@
 	is.True(byDue > 50)
 }
 
-// TestFairWithinAWorkspaceIsByDue: where all items are of one workspace, or of none, the
-// order is earliest due first; one that comes back after a pause has saved up nothing.
+// TestFairWithinAWorkspaceIsByDue: if all items are of one workspace, or of none, the
+// order is by due time. A workspace that sends again after a pause has saved up no credit.
 func TestFairWithinAWorkspaceIsByDue(t *testing.T) {
 	is := is.New(t)
 	draw := rand.New(rand.NewPCG(1, 2))
-	items := backlogOf("", 30, draw)
+	items := itemsOf("", 30, draw)
 	draw.Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
 	f := NewFairQueue()
 	f.Order(items)
@@ -131,7 +131,7 @@
 	for i := range 100 {
 		f.MarkSent(Item{Workspace: "busy", Index: i, Tokens: 1000})
 	}
-	back := append(backlogOf("back", 10, draw), backlogOf("busy", 10, draw)...)
+	back := append(itemsOf("back", 10, draw), itemsOf("busy", 10, draw)...)
 	f.Order(back)
 	first := 0
 	for _, item := range back[:6] {
@@ -139,5 +139,5 @@
 			first++
 		}
 	}
-	is.True(first >= 2 && first <= 5) // its turn, and not all that it missed
+	is.True(first >= 2 && first <= 5) // its fair share, and no credit for the pause
 }
--- a/internal/request/schedule/schedule.go
+++ b/internal/request/schedule/schedule.go
@@ -1,9 +1,10 @@
-// Package schedule decides which batch items get room first and which give it
-// up. It is pure: the items' state comes from outside.
+// Package schedule decides which batch items get free slots first and which yield theirs.
+// It is pure: the caller passes the items' state.
 //
-// Items go earliest due first, and among workspaces by Fair. Those that can no longer be
-// in time are not put last: how long an item will still wait for online requests cannot
-// be told well enough, and items that would have been in time would be put last as often.
+// Items are sent by due time, and among workspaces by FairQueue. Items that can no longer
+// meet their due time are not put last: how long an item will wait for online requests
+// cannot be predicted well enough, and items that would still meet their due time would be
+// put last as often.
 package schedule
 
 import (
@@ -14,7 +15,7 @@
 
 // Item is one item that waits or runs.
 type Item struct {
-	Workspace string // whose it is; empty: nobody's in particular
+	Workspace string // workspace of its job; empty: none
 	Job       string
 	Index     int // in its job
 	Tokens    int64
@@ -22,16 +23,15 @@
 	Sent      time.Time // when it was last sent to a target
 }
 
-// Sort orders waiting items by who gets room first: earliest due first, then in
-// the order of their job.
+// Sort sorts waiting items by due time, then by job and index.
 func Sort(items []Item) {
 	slices.SortFunc(items, func(a, b Item) int {
 		return cmp.Or(a.Due.Compare(b.Due), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
 	})
 }
 
-// SelectYielding returns up to n of the running items that are to give room up: latest
-// due first, then those that were sent last, which lose least.
+// SelectYielding returns up to n of the running items that have to yield their slots: by
+// latest due time, then those that were sent last, which lose the least progress.
 func SelectYielding(items []Item, n int) []Item {
 	slices.SortFunc(items, func(a, b Item) int {
 		return cmp.Or(b.Due.Compare(a.Due), b.Sent.Compare(a.Sent), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
--- a/internal/request/schedule/schedule_test.go
+++ b/internal/request/schedule/schedule_test.go
@@ -18,8 +18,8 @@
 	}
 	is.Equal(order, "aabc")
 	is.Equal(items[0].Index, 0)
-	given := SelectYielding(items, 3)
-	is.Equal([]string{given[0].Job, given[1].Job, given[2].Job}, []string{"c", "b", "a"})
-	is.Equal(given[2].Index, 0) // of a job the one that was sent last
+	yielding := SelectYielding(items, 3)
+	is.Equal([]string{yielding[0].Job, yielding[1].Job, yielding[2].Job}, []string{"c", "b", "a"})
+	is.Equal(yielding[2].Index, 0) // of one job, the item that was sent last
 	is.Equal(len(SelectYielding(items[:1], 3)), 1)
 }
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -63,7 +63,7 @@
 mutant 10 internal/request/allowance/purse.go 's/if g\.Wait > 0 \{/if g.Lent == 0 {/' lab/model/quota TestManyRequestsShareAnAsk
 mutant 10 internal/request/backlog/backlog.go 's/case waiting > limit:/case waiting > 2*limit:/' internal/request/backlog TestOneOfTwoTakesTheLastRoom
 mutant 10 internal/request/backlog/backlog.go 's/case now\.Sub\(b\.since\) >= learnTime:/case !now.Before(b.since):/' internal/request/backlog TestNewOwnerLearnsFirst
-mutant 10 internal/request/schedule/fair.go 's/return max\(f\.virtual, f\.tags\[name\]\)/return f.tags[name]/' internal/request/schedule TestFairWithinAWorkspaceIsByDue
+mutant 10 internal/request/schedule/fair.go 's/return max\(f\.virtualTime, f\.finishTags\[name\]\)/return f.finishTags[name]/' internal/request/schedule TestFairWithinAWorkspaceIsByDue
 mutant 3 internal/request/forward/watchdog.go 's/if w\.better\(\)/if w.better() || w.gap > 0/' internal/request/forward TestQueuedRequestKeepsItsPlace
 mutant 3 internal/request/choose/better.go 's/now\.Sub\(e\.lastEventAt\) > aliveWithin/now.Sub(e.lastEventAt) > time.Hour/' internal/request/choose TestBetterElsewhere
 mutant 8 internal/request/job/handover.go 's/m\.handOver\(ctx, jobs\)//' lab/hosted TestLeavingNodeHandsOver
