--- a/internal/request/pace/pace.go
+++ b/internal/request/pace/pace.go
@@ -1,6 +1,6 @@
-// Package pace decides how many batch items run at each target a node owns.
-// Engines know no priorities and admit what comes, so batch is bounded here,
-// before the engine. It is pure.
+// Package pace decides how many batch items run at each target that a node owns.
+// Inference engines have no priorities and admit every request, so batch work is limited
+// before it reaches them. The package is pure: the caller passes the time.
 package pace
 
 import (
@@ -8,50 +8,51 @@
 	"time"
 )
 
-// Config of a pacer.
+// Config configures a pacer.
 type Config struct {
 	FillShare float64 // share of MaxRunning that online and batch together may fill
 	Reserve   int     // sequences kept free for the next online request
-	// QuietTime is how long after an online rise the freed sequences stay free.
+	// QuietTime is how long after a rise of online requests the sequences that these
+	// used stay free of batch items.
 	QuietTime time.Duration
-	// Unthrottled ignores online requests: the baseline that pacing is
-	// measured against.
+	// Unthrottled ignores online requests; measurements use it as the baseline.
 	Unthrottled bool
 }
 
-// Target is the pacer's view of one owned target.
+// target is the pacer's state of one owned target.
 type target struct {
 	maxRunning int
 	usable     bool
 	batch      int // own batch items in flight
-	online     map[string]reported
-	peak       int // highest online count of the quiet time
+	online     map[string]onlineReport
+	peak       int // highest online count within QuietTime
 	peakAt     time.Time
 }
 
-// reported is one node's absolute count of online requests.
-type reported struct {
+// onlineReport is one node's count of its online requests at a target.
+type onlineReport struct {
 	incarnation uint64
 	seq         uint64
 	online      int
 }
 
-// Pacer holds the owned targets. It is not safe for concurrent use.
+// Pacer limits the batch items at the owned targets. It is not safe for concurrent use.
 type Pacer struct {
 	cfg     Config
 	targets map[string]*target
 }
 
-// New returns a pacer that owns nothing.
+// New creates a pacer that owns no target.
 func New(cfg Config) *Pacer { return &Pacer{cfg: cfg, targets: map[string]*target{}} }
 
-// SetOwned sets the owned targets. Counts of targets that stay are kept.
+// SetOwned replaces the owned targets. Targets that stay keep their counts; a removed one
+// is kept, but not usable, until its batch items have ended.
 func (p *Pacer) SetOwned(ids []string) {
 	keep := map[string]bool{}
 	for _, id := range ids {
 		keep[id] = true
 		if p.targets[id] == nil {
-			p.targets[id] = &target{online: map[string]reported{}}
+			p.targets[id] = &target{online: map[string]onlineReport{}}
 		}
 	}
 	for id, t := range p.targets {
@@ -64,7 +65,8 @@
 	}
 }
 
-// Owned returns the owned targets and those still being left, in no order.
+// Owned returns the owned targets and removed ones that still have batch items, in no
+// particular order.
 func (p *Pacer) Owned() []string {
 	ids := make([]string, 0, len(p.targets))
 	for id := range p.targets {
@@ -73,17 +75,18 @@
 	return ids
 }
 
-// SetCapacity takes what the engine can run. usable is false for a target that is
-// leaving, unhealthy or out. What it does run is not taken: reports lag, and
-// every online request passes a node of the data centre, which tells.
+// SetCapacity sets how many sequences the engine can run at once. usable is false for a
+// target that is leaving, unhealthy or ejected. The number of sequences that it runs is not
+// used: load reports lag, and every online request passes a node of the data centre, which
+// reports it.
 func (p *Pacer) SetCapacity(id string, maxRunning int, usable bool) {
 	if t := p.targets[id]; t != nil {
 		t.maxRunning, t.usable = maxRunning, usable
 	}
 }
 
-// RecordOnline takes one node's absolute count of online requests at a target.
-// Reports that are older than one already taken change nothing.
+// RecordOnline records one node's count of its online requests at a target. Reports that
+// are older than the recorded one are ignored.
 func (p *Pacer) RecordOnline(now time.Time, id, node string, incarnation, seq uint64, online int) {
 	t := p.targets[id]
 	if t == nil {
@@ -93,13 +96,13 @@
 	if incarnation < old.incarnation || (incarnation == old.incarnation && seq <= old.seq) {
 		return
 	}
-	t.online[node] = reported{incarnation, seq, online}
+	t.online[node] = onlineReport{incarnation, seq, online}
 	if total := t.onlineTotal(); total >= t.peak || now.Sub(t.peakAt) > p.cfg.QuietTime {
 		t.peak, t.peakAt = total, now
 	}
 }
 
-// RemoveNode drops the counts of a node that is gone.
+// RemoveNode drops the counts of a departed node.
 func (p *Pacer) RemoveNode(node string) {
 	for _, t := range p.targets {
 		delete(t.online, node)
@@ -130,8 +133,8 @@
 	return max(0, int(p.cfg.FillShare*float64(t.maxRunning))-online-p.cfg.Reserve)
 }
 
-// Free returns the owned targets that may take more batch items now and how
-// many, most free first.
+// Free returns the owned targets that may take more batch items now, and how many, largest
+// count first.
 func (p *Pacer) Free(now time.Time) []ItemCount {
 	var out []ItemCount
 	for id, t := range p.targets {
@@ -145,13 +148,13 @@
 	return out
 }
 
-// ItemCount is room for Count batch items at a target.
+// ItemCount is a number of batch items at a target.
 type ItemCount struct {
 	Target string
 	Count  int
 }
 
-// Excess returns how many batch items must leave each target now.
+// Excess returns how many batch items have to leave each target now.
 func (p *Pacer) Excess(now time.Time) []ItemCount {
 	var out []ItemCount
 	for id, t := range p.targets {
@@ -163,14 +166,14 @@
 	return out
 }
 
-// Begin counts a batch item sent to a target.
+// Begin counts a batch item sent to a target; End ends it.
 func (p *Pacer) Begin(id string) {
 	if t := p.targets[id]; t != nil {
 		t.batch++
 	}
 }
 
-// End counts a batch item that left a target.
+// End ends a batch item that Begin counted.
 func (p *Pacer) End(id string) {
 	if t := p.targets[id]; t != nil {
 		t.batch = max(0, t.batch-1)
--- a/internal/request/pace/pace_test.go
+++ b/internal/request/pace/pace_test.go
@@ -10,8 +10,8 @@
 
 var start = time.Unix(1000, 0)
 
-// TestBatchStaysWithinItsShare: after any course of reports, filling the free
-// slots never takes more than what online leaves.
+// TestBatchStaysWithinItsShare: after any sequence of reports, batch items that fill the
+// free slots never use more than online requests leave.
 func TestBatchStaysWithinItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(Config{FillShare: 0.9, Reserve: 1, QuietTime: time.Second})
@@ -47,14 +47,14 @@
 	p.SetOwned([]string{"t"})
 	p.SetCapacity("t", 10, true)
 	p.RecordOnline(start, "t", "n", 2, 5, 7)
-	p.RecordOnline(start, "t", "n", 2, 4, 0) // overtaken
-	p.RecordOnline(start, "t", "n", 1, 9, 0) // of a former run
+	p.RecordOnline(start, "t", "n", 2, 4, 0) // a reordered report
+	p.RecordOnline(start, "t", "n", 1, 9, 0) // from an earlier incarnation of the node
 	is.Equal(p.Allowed(start.Add(time.Hour), "t"), 3)
 	p.RemoveNode("n")
 	is.Equal(p.Allowed(start.Add(2*time.Hour), "t"), 10)
 }
 
-func TestRoomStaysFreeForAWhile(t *testing.T) {
+func TestFreedCapacityStaysFreeForQuietTime(t *testing.T) {
 	is := is.New(t)
 	p := New(Config{FillShare: 1, QuietTime: time.Second})
 	p.SetOwned([]string{"t"})
