--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -123,7 +123,7 @@
 mutant 11 internal/request/job/evacuate.go 's/items := m\.runningWhere\(m\.Pool\.Evacuated\)/items := m.runningWhere(m.Pool.Evacuated)[:0]/' lab/hosted TestItemsLeaveAnEvacuatedDataCentre
 mutant 11 internal/request/forward/place.go 's/if f\.evacuated\(req, c\) \|\| /if /' internal/request/forward TestNoTargetLeftIsSaidAtOnce
 mutant 11 internal/process/node/remotes.go 's/ && !r\.node\.config\.Current\(\)\.IsEvacuated\(c\.DataCentre\)//' lab/e2e TestOperatorEvacuatesADataCentre
-mutant 12 internal/request/warmup/warmup.go 's/place := \(uint64\(s\.Index\) \+ /place := uint64(0) * (uint64(s.Index) + /' internal/request/warmup TestTurnsKeepTheRate
+mutant 12 internal/request/warmup/warmup.go 's/offset := \(uint64\(p\.Index\) \+ /offset := uint64(0) * (uint64(p.Index) + /' internal/request/warmup TestTurnsKeepTheRate
 mutant 12 internal/request/choose/warm.go 's/turn != warmup\.NoTurn && turn != e\.lastTurn/turn != warmup.NoTurn/' internal/request/choose TestReturnedTargetsWarmUp
 mutant 12 internal/request/choose/warm.go 's/if until := now\.Add\(left\); until\.After\(e\.warmAt\)/if until := now.Add(left); left > 0/' internal/request/choose TestWarmUpIsNotCutShort
 mutant 12 internal/request/choose/choose.go 's/case len\(cold\) > 0 && !anyFree\(now, out\) && !anyFree\(now, full\):/case len(cold) > 0:/' internal/request/choose TestColdTargetsComeAfterWarmOnes
