--- a/internal/request/admit/admit_test.go
+++ b/internal/request/admit/admit_test.go
@@ -32,32 +32,33 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			g := New(5)
-			d := Request{&c.workspace, &c.service, c.remaining}
+			controller := New(5)
+			request := Request{&c.workspace, &c.service, c.remaining}
 			for range c.admitted {
-				is.NoErr(g.Admit(d, c.supply))
+				is.NoErr(controller.Admit(request, c.supply))
 			}
-			err := g.Admit(d, c.supply)
+			err := controller.Admit(request, c.supply)
 			is.True(errkind.Is(err, c.kind))
 			is.Equal(errkind.Of(err).NotRun, errkind.NotRunTrue)
-			is.True(errkind.Of(err).RetryAfter > 0) // says when to come back
-			is.Equal(g.InFlight(), c.admitted)      // a refusal takes no place
+			is.True(errkind.Of(err).RetryAfter > 0)     // the client knows when to retry
+			is.Equal(controller.InFlight(), c.admitted) // a refused request is not counted
 			for range c.admitted {
-				g.Done(d)
+				controller.Done(request)
 			}
-			is.Equal(g.InFlight(), 0)
+			is.Equal(controller.InFlight(), 0)
 		})
 	}
 }
 
-// TestEmptyOrFullCentreAsksAnother: it refuses only when there is none to ask.
-func TestEmptyOrFullCentreAsksAnother(t *testing.T) {
+// TestEmptyOrFullDataCentreUsesRemote: a data centre that is full or has no targets refuses
+// requests only if no other one can take them.
+func TestEmptyOrFullDataCentreUsesRemote(t *testing.T) {
 	is := is.New(t)
-	d := Request{&workspace.Workspace{}, &fleet.Service{}, time.Minute}
+	request := Request{&workspace.Workspace{}, &fleet.Service{}, time.Minute}
 	for _, s := range []ServiceState{{}, {Usable: 2, Capacity: 8, InFlight: 10}} {
-		is.True(New(5).Admit(d, s) != nil)
+		is.True(New(5).Admit(request, s) != nil)
 		s.Remote = true
-		is.NoErr(New(5).Admit(d, s))
+		is.NoErr(New(5).Admit(request, s))
 		is.True(s.UseRemote())
 	}
 	is.True(!ServiceState{Usable: 2, Capacity: 8, InFlight: 9, Remote: true}.UseRemote())
