--- a/internal/request/backlog/backlog.go
+++ b/internal/request/backlog/backlog.go
@@ -1,11 +1,10 @@
-// Package backlog holds the tokens of batch items that wait, of each workspace on each
-// route, to the limit that counts over all nodes together. It is pure: time comes from
-// outside.
+// Package backlog limits the tokens of waiting batch items of each workspace on each route,
+// counted over all nodes. It is pure: the caller passes the time.
 //
-// Each backlog has an owner among the nodes, as an allowance has. Nodes that hold jobs
-// tell it how much waits with them, and a job is accepted once the owner has counted it:
-// of two submissions at once the second one is held against the first. Only nodes that
-// hold jobs of a backlog tell of it, and only its owner hears of it.
+// Each backlog, of one workspace on one route, is owned by one node. Nodes that hold jobs of
+// it report their waiting tokens to the owner, and only to it. A job is accepted once the
+// owner has counted its tokens, so that of two simultaneous submissions the second one is
+// checked against a sum that includes the first.
 package backlog
 
 import (
@@ -14,14 +13,14 @@
 )
 
 const (
-	// ReportInterval is the time between a node's words on what waits with it.
+	// ReportInterval is the time between a node's reports of its waiting tokens.
 	ReportInterval = 300 * time.Millisecond
-	// learnTime is how long an owner that is new to a backlog learns before it decides:
-	// every holder tells it in that time.
+	// learnTime is how long a new owner of a backlog collects reports before it decides:
+	// every holder reports within that time.
 	learnTime = ReportInterval + 150*time.Millisecond
-	// goneAfter is how long what a silent node held counts. Its jobs were taken over by
-	// then, and their new holders tell of them.
-	goneAfter = 30 * time.Second
+	// reportExpiry is how long the last report of an unresponsive node counts. After that
+	// time its jobs were taken over, and their new holders report them.
+	reportExpiry = 30 * time.Second
 )
 
 // Key names a backlog.
@@ -30,77 +29,78 @@
 	Workspace string // empty: the configuration has no workspaces
 }
 
-// Report is what a node says waits with it.
+// Report is a node's report of its waiting tokens of one backlog.
 type Report struct {
 	Node     string
-	Boot     int64  // of the node
-	Sequence uint64 // of the word in that boot; an older one than is known counts nothing
+	Boot     int64  // start time of the node's process
+	Sequence uint64 // increases within a boot; older reports are ignored
 	Tokens   int64
 }
 
 // Decision is the owner's decision on a job.
 type Decision int
 
-// The verdicts.
+// The decisions.
 const (
-	Unsure Decision = iota // the owner has not heard from every holder yet
-	Fits
-	Full
+	Unsure Decision = iota // not every holder has reported to the owner yet
+	Fits                   // the job is within the limit
+	Full                   // the job would exceed the limit
 )
 
-// Tracker is what one node knows of the backlogs that it owns. It is not safe for
-// concurrent use.
+// Tracker sums up the backlogs that one node owns. It is not safe for concurrent use.
 type Tracker struct {
-	began    time.Time
-	over     float64 // share of a limit that may be let in before holders were heard
-	backlogs map[Key]*backlog
+	started   time.Time
+	overshoot float64 // share of a limit that may be accepted before all holders reported
+	backlogs  map[Key]*backlog
 }
 
 type backlog struct {
-	since time.Time // when this node first heard of it
-	words map[string]heard
-	early int64 // tokens let in before holders were heard
+	since         time.Time // since when reports of it arrive at this node
+	reports       map[string]receivedReport
+	acceptedEarly int64 // tokens accepted before all holders reported
 }
 
-type heard struct {
+type receivedReport struct {
 	Report
 	at time.Time
 }
 
-// New returns the empty ledger of a node that starts now. over is the share of a limit by
-// which it may be exceeded by what an owner lets in that has not heard all holders yet: a
-// job that waits for that misses the objective of its answer and is refused.
-func New(now time.Time, over float64) *Tracker {
-	return &Tracker{began: now, over: over, backlogs: map[Key]*backlog{}}
+// New creates the tracker of a node that starts now. overshoot is the share of a limit that
+// a new owner may accept before all holders have reported, by which the limit may be
+// exceeded: a job that waited for these reports would miss its latency objective and be
+// refused.
+func New(now time.Time, overshoot float64) *Tracker {
+	return &Tracker{started: now, overshoot: overshoot, backlogs: map[Key]*backlog{}}
 }
 
-// Record takes a node's word.
-func (l *Tracker) Record(now time.Time, key Key, w Report) {
-	b := l.backlogs[key]
+// Record records a node's report.
+func (t *Tracker) Record(now time.Time, key Key, r Report) {
+	b := t.backlogs[key]
 	if b == nil {
-		b = &backlog{since: now, words: map[string]heard{}}
-		l.backlogs[key] = b
+		b = &backlog{since: now, reports: map[string]receivedReport{}}
+		t.backlogs[key] = b
 	}
-	if old, known := b.words[w.Node]; known && (w.Boot < old.Boot || (w.Boot == old.Boot && w.Sequence < old.Sequence)) {
+	if old, known := b.reports[r.Node]; known && (r.Boot < old.Boot || (r.Boot == old.Boot && r.Sequence < old.Sequence)) {
 		return
 	}
-	b.words[w.Node] = heard{w, now}
+	b.reports[r.Node] = receivedReport{r, now}
 }
 
-// Reserve decides on a job of so many tokens, which the node's word counts already.
-// natural: this node is the first choice among all nodes, so that holders have told nobody
-// else. The word counts from then on if the job fits, and else the node's earlier one.
-func (l *Tracker) Reserve(now time.Time, key Key, w Report, job, limit int64, natural bool) (v Decision, waiting int64) {
-	known := l.backlogs[key] != nil
-	l.Record(now, key, w)
-	b := l.backlogs[key]
+// Reserve decides whether a job of jobTokens tokens is accepted. The node's report already
+// includes these tokens; if the job is not accepted, they are subtracted from it again.
+// preferred says that this node is the preferred owner, the first in rendezvous order, so
+// that holders have reported to no other node. waiting is the sum over all nodes.
+func (t *Tracker) Reserve(now time.Time, key Key, r Report, jobTokens, limit int64, preferred bool) (decision Decision, waiting int64) {
+	known := t.backlogs[key] != nil
+	t.Record(now, key, r)
+	b := t.backlogs[key]
 	defer func() {
-		if v != Fits {
-			l.Record(now, key, Report{Node: w.Node, Boot: w.Boot, Sequence: w.Sequence, Tokens: w.Tokens - job})
+		if decision != Fits {
+			t.Record(now, key, Report{Node: r.Node, Boot: r.Boot, Sequence: r.Sequence, Tokens: r.Tokens - jobTokens})
 		}
 	}()
-	if !known && natural && now.Sub(l.began) >= learnTime {
-		b.since = l.began // nobody holds any of it, or this node would have heard
+	if !known && preferred && now.Sub(t.started) >= learnTime {
+		b.since = t.started // no node holds jobs of it, or it would have reported them
 	}
 	waiting = b.sum(now)
 	switch {
@@ -108,30 +108,30 @@
 		return Full, waiting
 	case now.Sub(b.since) >= learnTime:
 		return Fits, waiting
-	case float64(b.early+job) > l.over*float64(limit):
+	case float64(b.acceptedEarly+jobTokens) > t.overshoot*float64(limit):
 		return Unsure, waiting
 	}
-	b.early += job
+	b.acceptedEarly += jobTokens
 	return Fits, waiting
 }
 
-// sum returns what waits at all nodes.
+// sum returns the waiting tokens of all nodes.
 func (b *backlog) sum(now time.Time) int64 {
 	total := int64(0)
-	for _, w := range b.words {
-		if now.Sub(w.at) < goneAfter {
-			total += w.Tokens
+	for _, r := range b.reports {
+		if now.Sub(r.at) < reportExpiry {
+			total += r.Tokens
 		}
 	}
 	return total
 }
 
-// DropExpired drops what is too old to count.
-func (l *Tracker) DropExpired(now time.Time) {
-	for key, b := range l.backlogs {
-		maps.DeleteFunc(b.words, func(_ string, w heard) bool { return now.Sub(w.at) >= goneAfter })
-		if len(b.words) == 0 {
-			delete(l.backlogs, key)
+// DropExpired drops reports that no longer count, and backlogs without any.
+func (t *Tracker) DropExpired(now time.Time) {
+	for key, b := range t.backlogs {
+		maps.DeleteFunc(b.reports, func(_ string, r receivedReport) bool { return now.Sub(r.at) >= reportExpiry })
+		if len(b.reports) == 0 {
+			delete(t.backlogs, key)
 		}
 	}
 }
--- a/internal/request/backlog/backlog_test.go
+++ b/internal/request/backlog/backlog_test.go
@@ -15,100 +15,100 @@
 )
 
 const (
-	limit = 1000
-	over  = 0.05
+	limit     = 1000
+	overshoot = 0.05
 )
 
-// settled returns the ledger of a node that has run for long.
-func settled() *Tracker { return New(start.Add(-time.Hour), over) }
+// longRunning returns the tracker of a node that started long ago.
+func longRunning() *Tracker { return New(start.Add(-time.Hour), overshoot) }
 
-// says returns a word of a node.
-func says(node string, sequence uint64, tokens int64) Report {
+// report returns a report of a node.
+func report(node string, sequence uint64, tokens int64) Report {
 	return Report{Node: node, Boot: 1, Sequence: sequence, Tokens: tokens}
 }
 
-// TestWaitingTokensOfAllCount: what waits at all nodes counts, by the newest word of each,
-// and by route and workspace; a word that comes late changes nothing, and a node that is
-// silent for long counts no more, because its jobs have been taken over.
+// TestWaitingTokensOfAllCount: the waiting tokens of all nodes are summed up by route and
+// workspace, from the newest report of each node. Late reports are ignored, and so is a node
+// that has not reported for reportExpiry, because its jobs have been taken over.
 func TestWaitingTokensOfAllCount(t *testing.T) {
 	is := is.New(t)
-	l := settled()
+	tracker := longRunning()
 	waiting := func(now time.Time) int64 {
-		_, n := l.Reserve(now, key, says("asks", uint64(now.UnixNano()), 0), 0, limit, true)
+		_, n := tracker.Reserve(now, key, report("asks", uint64(now.UnixNano()), 0), 0, limit, true)
 		return n
 	}
-	l.Record(start, key, says("n1", 1, 100))
-	l.Record(start, key, says("n1", 3, 10))
-	l.Record(start, key, says("n1", 2, 500))
-	l.Record(start, key, says("n2", 1, 20))
-	l.Record(start, Key{Route: "r", Workspace: "other"}, says("n1", 4, 1))
-	l.Record(start, Key{Route: "other", Workspace: "w"}, says("n1", 4, 1))
+	tracker.Record(start, key, report("n1", 1, 100))
+	tracker.Record(start, key, report("n1", 3, 10))
+	tracker.Record(start, key, report("n1", 2, 500))
+	tracker.Record(start, key, report("n2", 1, 20))
+	tracker.Record(start, Key{Route: "r", Workspace: "other"}, report("n1", 4, 1))
+	tracker.Record(start, Key{Route: "other", Workspace: "w"}, report("n1", 4, 1))
 	is.Equal(waiting(start), int64(30))
-	l.Record(start, key, Report{Node: "n1", Boot: 2, Sequence: 1, Tokens: 7}) // started again
-	l.Record(start, key, says("n1", 9, 500))
+	tracker.Record(start, key, Report{Node: "n1", Boot: 2, Sequence: 1, Tokens: 7}) // the node restarted
+	tracker.Record(start, key, report("n1", 9, 500))
 	is.Equal(waiting(start), int64(27))
-	l.Record(start.Add(20*time.Second), key, says("n2", 2, 300))
-	is.Equal(waiting(start.Add(goneAfter)), int64(300))
-	l.DropExpired(start.Add(2 * goneAfter))
-	is.Equal(len(l.backlogs), 0)
+	tracker.Record(start.Add(20*time.Second), key, report("n2", 2, 300))
+	is.Equal(waiting(start.Add(reportExpiry)), int64(300))
+	tracker.DropExpired(start.Add(2 * reportExpiry))
+	is.Equal(len(tracker.backlogs), 0)
 }
 
-// TestOneOfTwoTakesTheLastRoom: two jobs at two nodes, for which there is room one at a
-// time, whichever is asked for first; what ends makes room at once.
-func TestOneOfTwoTakesTheLastRoom(t *testing.T) {
+// TestSecondJobOverTheLimitIsRefused: of two jobs at two nodes that exceed the limit
+// together, the first one submitted is accepted. Finished items free their tokens at once.
+func TestSecondJobOverTheLimitIsRefused(t *testing.T) {
 	is := is.New(t)
-	l := settled()
-	verdict := func(w Report) Decision {
-		v, _ := l.Reserve(start, key, w, w.Tokens, limit, true)
+	tracker := longRunning()
+	decide := func(r Report) Decision {
+		v, _ := tracker.Reserve(start, key, r, r.Tokens, limit, true)
 		return v
 	}
-	is.Equal(verdict(says("n1", 1, 600)), Fits)
-	is.Equal(verdict(says("n2", 1, 600)), Full) // and counts no more
-	is.Equal(verdict(says("n1", 2, 1000)), Fits)
-	is.Equal(verdict(says("n2", 3, 1)), Full)
-	l.Record(start, key, says("n1", 3, 400)) // items are finished
-	is.Equal(verdict(says("n2", 4, 600)), Fits)
+	is.Equal(decide(report("n1", 1, 600)), Fits)
+	is.Equal(decide(report("n2", 1, 600)), Full) // its tokens are not counted any more
+	is.Equal(decide(report("n1", 2, 1000)), Fits)
+	is.Equal(decide(report("n2", 3, 1)), Full)
+	tracker.Record(start, key, report("n1", 3, 400)) // items are finished
+	is.Equal(decide(report("n2", 4, 600)), Fits)
 }
 
-// TestNewOwnerLearnsFirst: an owner that others told nothing yet can't say that a job fits,
-// until every holder had the time to tell; that it doesn't fit it can. The natural owner,
-// which would have been told, decides at once, unless it has just started.
+// TestNewOwnerLearnsFirst: a new owner does not decide that a job fits until every holder
+// had time to report; it may decide earlier that the job does not fit. The preferred owner,
+// which would have received reports, decides at once, unless it has just started.
 func TestNewOwnerLearnsFirst(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
-		name    string
-		ledger  *Tracker
-		natural bool
-		first   Decision
-	}{{"natural", settled(), true, Fits}, {"substitute", settled(), false, Unsure}, {"just started", New(start, over), true, Unsure}} {
-		v, _ := c.ledger.Reserve(start, key, says("n1", 1, 100), 100, limit, c.natural)
-		is.Equal(v, c.first) // name
-		v, _ = c.ledger.Reserve(start, key, says("n1", 2, limit+1), 1, limit, c.natural)
+		name          string
+		tracker       *Tracker
+		preferred     bool
+		firstDecision Decision
+	}{{"preferred", longRunning(), true, Fits}, {"fallback", longRunning(), false, Unsure}, {"just started", New(start, overshoot), true, Unsure}} {
+		v, _ := c.tracker.Reserve(start, key, report("n1", 1, 100), 100, limit, c.preferred)
+		is.Equal(v, c.firstDecision) // before all holders had time to report
+		v, _ = c.tracker.Reserve(start, key, report("n1", 2, limit+1), 1, limit, c.preferred)
 		is.Equal(v, Full)
-		v, _ = c.ledger.Reserve(start.Add(learnTime), key, says("n1", 3, 100), 100, limit, c.natural)
+		v, _ = c.tracker.Reserve(start.Add(learnTime), key, report("n1", 3, 100), 100, limit, c.preferred)
 		is.Equal(v, Fits)
 	}
 }
 
-// TestSmallJobsNeedNotWaitForANewOwner: it lets a twentieth of the limit in before it has
-// heard from the holders, and no more, however many ask.
+// TestSmallJobsNeedNotWaitForANewOwner: before all holders have reported, a new owner accepts
+// jobs up to a twentieth of the limit in total.
 func TestSmallJobsNeedNotWaitForANewOwner(t *testing.T) {
 	is := is.New(t)
-	l := New(start, over)
+	tracker := New(start, overshoot)
 	in := int64(0)
 	for i := range 20 {
-		if v, _ := l.Reserve(start, key, says(fmt.Sprint("n", i), 1, 10), 10, limit, true); v == Fits {
+		if v, _ := tracker.Reserve(start, key, report(fmt.Sprint("n", i), 1, 10), 10, limit, true); v == Fits {
 			in += 10
 		}
 	}
-	is.Equal(in, int64(over*limit))
+	is.Equal(in, int64(overshoot*limit))
 }
 
-// TestAcceptedNeverExceedsTheLimit: whatever nodes submit, refuse and finish, with words
-// that arrive late or not at all, what one owner has let in stays within the limit.
+// TestAcceptedNeverExceedsTheLimit: whatever nodes submit and finish, and even if reports
+// are lost, the waiting tokens that one owner has accepted stay within the limit.
 func TestAcceptedNeverExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, now := settled(), start
+		tracker, now := longRunning(), start
 		accepted := map[string]int64{}
 		sequence := uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -117,17 +117,17 @@
 			sequence++
 			if rapid.Bool().Draw(t, "finish") {
 				accepted[node] -= min(accepted[node], rapid.Int64Range(0, 300).Draw(t, "finished"))
-				if rapid.Bool().Draw(t, "told") {
-					l.Record(now, key, says(node, sequence, accepted[node]))
+				if rapid.Bool().Draw(t, "reported") {
+					tracker.Record(now, key, report(node, sequence, accepted[node]))
 				}
 				continue
 			}
 			job := rapid.Int64Range(1, 400).Draw(t, "job")
-			if v, _ := l.Reserve(now, key, says(node, sequence, accepted[node]+job), job, limit, true); v == Fits {
+			if v, _ := tracker.Reserve(now, key, report(node, sequence, accepted[node]+job), job, limit, true); v == Fits {
 				accepted[node] += job
 			} else {
 				sequence++
-				l.Record(now, key, says(node, sequence, accepted[node]))
+				tracker.Record(now, key, report(node, sequence, accepted[node]))
 			}
 			if sum := accepted["n1"] + accepted["n2"] + accepted["n3"]; sum > limit {
 				t.Fatalf("%d tokens wait", sum)
