--- a/internal/request/choose/choose.go
+++ b/internal/request/choose/choose.go
@@ -63,7 +63,7 @@
 	itemsRefusedUntil time.Time     // until then it counts as full for batch items, because it refused one
 	firstEvent        time.Duration // moving average of the time to the first event
 	firstEventAt      time.Time     // time of the newest measurement of firstEvent
-	batch             int           // own batch items in flight
+	batch             int           // own batch items in flight, if this table places them
 	yielding          int           // those of them that were told to yield their slot
 	lastEventAt       time.Time     // when the newest event of an answer arrived
 	waitingSince      time.Time     // since when requests wait for a slot there; zero: none waits
@@ -214,7 +214,8 @@
 	return e != nil && e.Incarnation == target.Incarnation
 }
 
-// Leaving reports whether a target was marked as leaving or is no longer listed.
+// Leaving reports whether a target was marked as leaving, or was dropped from the list
+// while work is in flight there.
 func (t *Table) Leaving(target Target) bool {
 	e := t.entries[target.ID]
 	return t.leavingIncarnations[target.ID] >= target.Incarnation || (e != nil && e.Incarnation == target.Incarnation && e.leaving)
--- a/internal/request/choose/choose_test.go
+++ b/internal/request/choose/choose_test.go
@@ -291,8 +291,8 @@
 
 // TestFewChoicesSpreadLoadOnStaleReports: with reports that are some 10 ms old, requests
 // meet full targets less often if each node compares a few random targets than if it
-// takes the least loaded of all, and queues stay even when all targets are full. Few
-// nodes, whose reports are fresh, compare more targets each.
+// takes the least loaded of all, and queues stay equally long when all targets are full.
+// Few nodes, whose reports are fresh, compare more targets each.
 func TestFewChoicesSpreadLoadOnStaleReports(t *testing.T) {
 	is := is.New(t)
 	large := simulation{LeastOfFew, 12, 24, 90, 0}
--- a/internal/request/choose/others_test.go
+++ b/internal/request/choose/others_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestRepeatedReportChangesNothing: an idle node mostly repeats its report; SetNode says
-// so, so that nothing that depends on the in-flight counts is computed again.
+// TestRepeatedReportChangesNothing: an idle node mostly repeats its report. SetNode then
+// returns false, so that nothing that depends on the in-flight counts is computed again.
 func TestRepeatedReportChangesNothing(t *testing.T) {
 	table := twoCentreTable(time.Unix(0, 0))
 	report := func() map[string]InFlight { return map[string]InFlight{"a": {Online: 1}} }
--- a/internal/request/choose/warm.go
+++ b/internal/request/choose/warm.go
@@ -31,7 +31,7 @@
 }
 
 // SetPosition sets this node's position among the nodes that take turns at cold targets.
-func (t *Table) SetPosition(s warmup.Position) { t.position = s }
+func (t *Table) SetPosition(p warmup.Position) { t.position = p }
 
 // warmUpRate returns how targets of a service warm up; zero: they need not.
 func (t *Table) warmUpRate(service string) warmup.Rate {
--- a/internal/request/choose/yield_test.go
+++ b/internal/request/choose/yield_test.go
@@ -39,32 +39,32 @@
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	table := twoCentreTable(now)
-	reserve := func() (home, away int) {
+	reserve := func() (local, remote int) {
 		f := table.Reserve()
 		return f(table.entries["a"].Target), f(table.entries["b"].Target)
 	}
-	home, away := reserve()
-	is.Equal([]int{home, away}, []int{0, 0}) // nothing is known yet
+	local, remote := reserve()
+	is.Equal([]int{local, remote}, []int{0, 0}) // no slot time is recorded yet
 	table.RecordSlotTime("s", 700*time.Millisecond)
-	for _, c := range []struct{ online, home, away int }{{0, 0, 0}, {1, 1, 1}, {2, 1, 2}, {6, 1, 4}, {60, 4, 4}} {
+	for _, c := range []struct{ online, local, remote int }{{0, 0, 0}, {1, 1, 1}, {2, 1, 2}, {6, 1, 4}, {60, 4, 4}} {
 		table.SetDataCentre("there", map[string]InFlight{"a": {Online: c.online}, "b": {Online: c.online}})
-		home, away := reserve()
-		is.Equal([]int{home, away}, []int{c.home, c.away})
+		local, remote := reserve()
+		is.Equal([]int{local, remote}, []int{c.local, c.remote})
 	}
 	for range 200 {
 		table.RecordSlotTime("s", 70*time.Millisecond) // ten times the arrival rate
 	}
 	table.SetDataCentre("there", map[string]InFlight{"a": {Online: 6}, "b": {Online: 6}})
-	home, away = reserve()
-	is.Equal([]int{home, away}, []int{4, 4}) // never more than the slots
+	local, remote = reserve()
+	is.Equal([]int{local, remote}, []int{4, 4}) // never more than the slots
 	table.entries["a"].Slots, table.entries["b"].Slots = 64, 64
-	home, away = reserve()
-	is.Equal([]int{home, away}, []int{6, 23})
+	local, remote = reserve()
+	is.Equal([]int{local, remote}, []int{6, 23})
 	for range 400 {
 		table.RecordSlotTime("s", time.Microsecond) // a mean for which the Poisson terms underflow
 	}
-	home, away = reserve()
-	is.Equal([]int{home, away}, []int{64, 64})
+	local, remote = reserve()
+	is.Equal([]int{local, remote}, []int{64, 64})
 }
 
 // tablesWithItems returns the tables of nodes that each have the given number of items at
