--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -61,9 +61,9 @@
 mutant 10 platform/front.go 's/f\.node\.Allowances\(\)\.Return\(by\)//' lab/hosted TestUnrunRequestsTakeNothing
 mutant 10 internal/connection/lending/lending.go 's/owner == x\.Node \{/owner != "" {/' lab/hosted TestAllowanceHoldsOverTheFleet
 mutant 10 internal/request/allowance/purse.go 's/if g\.Wait > 0 \{/if g.Lent == 0 {/' lab/model/quota TestManyRequestsShareAnAsk
-mutant 10 internal/request/backlog/backlog.go 's/case waiting > limit:/case waiting > 2*limit:/' internal/request/backlog TestOneOfTwoTakesTheLastRoom
+mutant 10 internal/request/backlog/backlog.go 's/case waiting > limit:/case waiting > 2*limit:/' internal/request/backlog TestSecondJobOverTheLimitIsRefused
 mutant 10 internal/request/backlog/backlog.go 's/case now\.Sub\(b\.since\) >= learnTime:/case !now.Before(b.since):/' internal/request/backlog TestNewOwnerLearnsFirst
-mutant 10 internal/request/schedule/fair.go 's/return max\(f\.virtual, f\.tags\[name\]\)/return f.tags[name]/' internal/request/schedule TestFairWithinAWorkspaceIsByDue
+mutant 10 internal/request/schedule/fair.go 's/return max\(f\.virtualTime, f\.finishTags\[name\]\)/return f.finishTags[name]/' internal/request/schedule TestFairWithinAWorkspaceIsByDue
 mutant 3 internal/request/forward/watchdog.go 's/if w\.better\(\)/if w.better() || w.gapTimeout > 0/' internal/request/forward TestQueuedRequestKeepsItsPlace
 mutant 3 internal/request/choose/better.go 's/now\.Sub\(e\.lastEventAt\) > aliveWithin/now.Sub(e.lastEventAt) > time.Hour/' internal/request/choose TestBetterElsewhere
 mutant 8 internal/request/job/handover.go 's/m\.handOver\(ctx, jobs\)//' lab/hosted TestLeavingNodeHandsOver
@@ -123,7 +123,7 @@
 mutant 11 internal/request/job/evacuate.go 's/items := m\.runningWhere\(m\.Pool\.Evacuated\)/items := m.runningWhere(m.Pool.Evacuated)[:0]/' lab/hosted TestItemsLeaveAnEvacuatedDataCentre
 mutant 11 internal/request/forward/place.go 's/if f\.evacuated\(req, p\) \|\| /if /' internal/request/forward TestNoTargetLeftIsSaidAtOnce
 mutant 11 internal/process/node/remotes.go 's/ && !r\.node\.config\.Current\(\)\.IsEvacuated\(c\.DataCentre\)//' lab/e2e TestOperatorEvacuatesADataCentre
-mutant 12 internal/request/warmup/warmup.go 's/place := \(uint64\(s\.Index\) \+ /place := uint64(0) * (uint64(s.Index) + /' internal/request/warmup TestTurnsKeepTheRate
+mutant 12 internal/request/warmup/warmup.go 's/offset := \(uint64\(p\.Index\) \+ /offset := uint64(0) * (uint64(p.Index) + /' internal/request/warmup TestTurnsKeepTheRate
 mutant 12 internal/request/choose/warm.go 's/turn != warmup\.NoTurn && turn != e\.lastTurn/turn != warmup.NoTurn/' internal/request/choose TestReturnedTargetsWarmUp
 mutant 12 internal/request/choose/warm.go 's/if until := now\.Add\(left\); until\.After\(e\.warmAt\)/if until := now.Add(left); left > 0/' internal/request/choose TestWarmUpIsNotCutShort
 mutant 12 internal/request/choose/choose.go 's/case len\(cold\) > 0 && !anyFree\(now, out\) && !anyFree\(now, full\):/case len(cold) > 0:/' internal/request/choose TestColdTargetsComeAfterWarmOnes
