--- a/internal/process/crashes/exchange.go
+++ b/internal/process/crashes/exchange.go
@@ -12,40 +12,41 @@
 	"github.com/marblepond/marblepond/internal/request/quarantine"
 )
 
-// Digest stands for what this node knows; 0: nothing.
+// Digest returns a hash of all crashes that this node knows, 0 when there are none.
 func (w *Watch) Digest() uint64 { return w.digest.Load() }
 
-// ReceiveDigest takes the digest of another node, and has it asked for what this one
-// lacks. It does not block.
+// ReceiveDigest takes the digest of another node, and queues a pull from it when it may know
+// crashes that this node lacks. It does not block.
 func (w *Watch) ReceiveDigest(node string, digest uint64) {
-	if w.lacks(node, digest) {
+	if w.needsPull(node, digest) {
 		w.pulls.Put(node)
 	}
 }
 
-// lacks reports whether a node with a digest may know more than this one.
-func (w *Watch) lacks(node string, digest uint64) bool {
+// needsPull reports whether a node with a given digest may know crashes that this one lacks.
+func (w *Watch) needsPull(node string, digest uint64) bool {
 	if digest == 0 || digest == w.digest.Load() {
 		return false
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.pulledAt[node] != digest
+	return w.pulledDigests[node] != digest
 }
 
 const (
-	// mostPulls is how many nodes may wait to be asked; one that finds no room is
-	// heard again within a fraction of a second.
-	mostPulls = 8
-	// pullPause is the least time between two questions: news of a crash takes some
-	// five steps between 295 nodes, and none asks more than 20 times a second.
-	pullPause   = 50 * time.Millisecond
-	pullTimeout = 400 * time.Millisecond
-	// mostPulled bounds the memory of what was pulled; nodes are asked once more.
-	mostPulled = 1024
+	// pullQueue is how many nodes may wait for a pull; the digest of one that does not
+	// fit arrives again within a fraction of a second.
+	pullQueue = 8
+	// pullInterval is the least time between two pulls: a crash becomes known at 295 nodes
+	// in some five hops, and no node pulls more than 20 times a second.
+	pullInterval = 50 * time.Millisecond
+	pullTimeout  = 400 * time.Millisecond
+	// maxPulledNodes bounds pulledDigests; when it is full, it is cleared, and each node is
+	// pulled from once more.
+	maxPulledNodes = 1024
 )
 
-// pull asks nodes that may know more.
+// pull runs the queued pulls until ctx ends.
 func (w *Watch) pull(ctx context.Context) {
 	for {
 		select {
@@ -54,16 +55,16 @@
 		case node := <-w.pulls.Out():
 			client, known := w.Client(node)
 			if known && w.pullFrom(ctx, node, client) != nil {
-				w.Metrics.Counter("crash_pulls_failed").Inc(1) // heard again and asked again
+				w.Metrics.Counter("crash_pulls_failed").Inc(1) // the next digest of the node queues it again
 			}
-			if !wait.For(ctx, pullPause) {
+			if !wait.For(ctx, pullInterval) {
 				return
 			}
 		}
 	}
 }
 
-// pullFrom takes what another node knows.
+// pullFrom merges the crashes that another node knows and this one lacks.
 func (w *Watch) pullFrom(ctx context.Context, node string, client marblepondv1connect.QuarantineServiceClient) error {
 	w.mu.Lock()
 	known := w.table.Hashes(w.Now())
@@ -78,19 +79,19 @@
 	w.Merge(unpack(answer.Crashes))
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.pulledAt) >= mostPulled {
-		clear(w.pulledAt)
+	if len(w.pulledDigests) >= maxPulledNodes {
+		clear(w.pulledDigests)
 	}
-	w.pulledAt[node] = answer.Digest
+	w.pulledDigests[node] = answer.Digest
 	return nil
 }
 
-// Merge takes crashes that others know of.
+// Merge adds crashes that other nodes know.
 func (w *Watch) Merge(crashes []quarantine.Crash) {
 	w.change(func(now time.Time) bool { return w.table.Merge(now, crashes) })
 }
 
-// Pull implements the service for other nodes.
+// Pull implements QuarantineService: it returns the crashes that the caller lacks.
 func (w *Watch) Pull(_ context.Context, req *v1.PullCrashesRequest) (*v1.PullCrashesResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -98,7 +99,7 @@
 	return &v1.PullCrashesResponse{Crashes: pack(w.table.Missing(now, req.Known)), Digest: w.table.Digest(now)}, nil
 }
 
-// Quarantine implements the operators' call that lists refused work.
+// Quarantine implements OperatorService: it lists the refused work.
 func (w *Watch) Quarantine(context.Context, *v1.QuarantineRequest) (*v1.QuarantineResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -114,11 +115,11 @@
 	return answer, nil
 }
 
-// ReleaseWork implements the operators' call that lets work go.
+// ReleaseWork implements OperatorService: it ends the refusal of work.
 func (w *Watch) ReleaseWork(_ context.Context, req *v1.ReleaseWorkRequest) (*v1.ReleaseWorkResponse, error) {
 	id, ok := fingerprint.Parse(req.Work)
 	if !ok {
-		return nil, errkind.Malformed.New("%q is no fingerprint", req.Work)
+		return nil, errkind.Malformed.New("%q is not a fingerprint", req.Work)
 	}
 	return &v1.ReleaseWorkResponse{Known: w.release(id)}, nil
 }
@@ -151,7 +152,7 @@
 	return out
 }
 
-// unpackIDs leaves out what is no fingerprint.
+// unpackIDs skips values that are not fingerprints.
 func unpackIDs(list [][]byte) []fingerprint.ID {
 	var out []fingerprint.ID
 	for _, b := range list {
--- a/internal/process/crashes/probe.go
+++ b/internal/process/crashes/probe.go
@@ -12,62 +12,64 @@
 )
 
 const (
-	// mostProbes is how many targets may wait to be looked at; one that finds no room
-	// is looked at with the next loss there.
-	mostProbes = 64
-	// probePause is the least time between two looks at one target.
-	probePause = 500 * time.Millisecond
-	// probeTimeout bounds one look. A target that is silent proves nothing.
+	// probeQueue is how many targets may wait for a probe; one that does not fit is probed
+	// with the next loss there.
+	probeQueue = 64
+	// probeInterval is the least time between two probes of one target.
+	probeInterval = 500 * time.Millisecond
+	// probeTimeout bounds one connection attempt. An unresponsive target proves nothing.
 	probeTimeout = 300 * time.Millisecond
-	// probeAgain is when a target that still took a connection is looked at once more:
-	// of a process that ends some connections break before it listens no more.
-	probeAgain = 50 * time.Millisecond
+	// reprobeDelay is the time until a target that still accepted a connection is probed
+	// once more: when a process ends, some of its connections may break before its
+	// listening socket is closed.
+	reprobeDelay = 50 * time.Millisecond
 )
 
-// probe finds out which targets have ended.
+// probe probes the queued targets until ctx ends.
 func (w *Watch) probe(ctx context.Context, wg *sync.WaitGroup) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case t := <-w.probes.Out():
-			if w.due(keyOf(t)) {
+			if w.probeDue(keyOf(t)) {
 				wg.Go(func() { w.probeOne(ctx, t) })
 			}
 		}
 	}
 }
 
-// due reports whether a target has not been looked at just now.
-func (w *Watch) due(t quarantine.Target) bool {
+// probeDue reports whether a target was not probed within the last probeInterval, and notes
+// the probe.
+func (w *Watch) probeDue(t quarantine.Target) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.Now()
-	for key, at := range w.probed {
-		if now.Sub(at) >= probePause {
-			delete(w.probed, key)
+	for key, at := range w.lastProbed {
+		if now.Sub(at) >= probeInterval {
+			delete(w.lastProbed, key)
 		}
 	}
-	if _, lately := w.probed[t]; lately {
+	if _, recent := w.lastProbed[t]; recent {
 		return false
 	}
-	w.probed[t] = now
+	w.lastProbed[t] = now
 	return true
 }
 
-// probeOne looks at a target, and a second time if it takes a connection. One that
-// still does then lives: its connections broke for another reason.
+// probeOne probes a target, and a second time if it accepts a connection. A target that
+// still accepts one then is alive: its connections broke for another reason.
 func (w *Watch) probeOne(ctx context.Context, t choose.Target) {
 	began := w.Now()
 	for range 2 {
-		switch w.state(ctx, t) {
+		switch w.probeState(ctx, t) {
 		case dial.Refuses:
 			w.Ended(t, quarantine.RefusesConnections)
 			return
 		case dial.Silent:
-			return // the next proof decides
+			return // only other proof can show that it has ended
 		}
-		if !wait.For(ctx, probeAgain) {
+		if !wait.For(ctx, reprobeDelay) {
 			return
 		}
 	}
@@ -77,7 +79,7 @@
 	})
 }
 
-func (w *Watch) state(ctx context.Context, t choose.Target) dial.State {
+func (w *Watch) probeState(ctx context.Context, t choose.Target) dial.State {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return w.Probe(ctx, t.Addr)
--- a/internal/process/crashes/verdicts.go
+++ b/internal/process/crashes/verdicts.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// tick is the time between looks at verdicts, which also change by time alone.
-	tick = 200 * time.Millisecond
-	// keeperTimeout bounds a call of the keeper.
-	keeperTimeout = 5 * time.Second
+	// verdictInterval is the time between evaluations of the verdicts, which also change
+	// with time alone.
+	verdictInterval = 200 * time.Millisecond
+	// storeTimeout bounds a call of the verdict store.
+	storeTimeout = 5 * time.Second
 )
 
-// followVerdicts notes new verdicts and those that are no more, while there may be any.
-func (w *Watch) followVerdicts(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+// watchVerdicts evaluates the verdicts each verdictInterval while any crash or loss is known.
+func (w *Watch) watchVerdicts(ctx context.Context) {
+	ticker := time.NewTicker(verdictInterval)
 	defer ticker.Stop()
 	for {
 		if w.idle.Load() {
@@ -28,7 +29,7 @@
 			case <-w.changed:
 			}
 		}
-		w.noteVerdicts(ctx)
+		w.applyVerdicts(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -37,37 +38,38 @@
 	}
 }
 
-func (w *Watch) noteVerdicts(ctx context.Context) {
+// applyVerdicts acts on new verdicts and on those that have ended since the last evaluation.
+func (w *Watch) applyVerdicts(ctx context.Context) {
 	w.mu.Lock()
 	now := w.Now()
 	verdicts := w.table.Verdicts(now)
 	before := w.refused
 	w.refused = verdicts
-	w.noteDigest(now)
+	w.updateDigest(now)
 	w.mu.Unlock()
 	for id, v := range verdicts {
 		if _, known := before[id]; !known {
-			w.refuse(ctx, id, v, now)
+			w.onRefused(ctx, id, v, now)
 		}
 	}
 	for id := range before {
 		if _, still := verdicts[id]; !still {
-			w.released(ctx, id, before[id])
+			w.onReleased(ctx, id, before[id])
 		}
 	}
 }
 
-// refuse acts on a new verdict: what is under way is stopped.
-func (w *Watch) refuse(ctx context.Context, id fingerprint.ID, v quarantine.Verdict, now time.Time) {
+// onRefused acts on a new verdict: it records it, stops the attempts in flight and saves it.
+func (w *Watch) onRefused(ctx context.Context, id fingerprint.ID, v quarantine.Verdict, now time.Time) {
 	w.Recorder.Record(timeline.WorkRefused, "", id.String(), "targets crash under it", timeline.Field{Name: "crashes", Value: w.describe(v, now)},
 		timeline.Field{Name: "decided_ms", Value: now.Sub(v.Since).Milliseconds()}, timeline.Field{Name: "for_s", Value: int(v.Until.Sub(now).Seconds())})
-	for _, a := range w.underWay(id) {
+	for _, a := range w.attemptsAt(id) {
 		a.stop()
 	}
-	if w.Store == nil || !w.decidedHere(v) {
+	if w.Store == nil || !w.decidedLocally(v) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, keeperTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := w.Store.Save(ctx, id, w.evidence(id, v, now)); err != nil {
 		w.Recorder.Record(timeline.VerdictNotKept, "", id.String(), err.Error())
@@ -85,8 +87,8 @@
 	return out
 }
 
-// underWay returns the attempts at work.
-func (w *Watch) underWay(id fingerprint.ID) []*attempt {
+// attemptsAt returns the attempts at work that are in flight.
+func (w *Watch) attemptsAt(id fingerprint.ID) []*attempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []*attempt
@@ -98,15 +100,15 @@
 	return out
 }
 
-// decidedHere reports whether this node noticed the last crash of a verdict. One of
-// the nodes that did keeps it, so that not all write the same.
-func (w *Watch) decidedHere(v quarantine.Verdict) bool {
+// decidedLocally reports whether this node detected the last crash of a verdict. Only nodes
+// that did save the verdict, so that not all nodes write the same.
+func (w *Watch) decidedLocally(v quarantine.Verdict) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.noticed[v.Targets[len(v.Targets)-1]]
+	return w.detected[v.Targets[len(v.Targets)-1]]
 }
 
-// evidence returns the crashes of a verdict as they concern its work.
+// evidence returns the crashes of a verdict, with its work as the only suspect.
 func (w *Watch) evidence(id fingerprint.ID, v quarantine.Verdict, now time.Time) []quarantine.Crash {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -124,13 +126,13 @@
 	return out
 }
 
-// released acts on a verdict that is no more.
-func (w *Watch) released(ctx context.Context, id fingerprint.ID, v quarantine.Verdict) {
+// onReleased acts on a verdict that has ended.
+func (w *Watch) onReleased(ctx context.Context, id fingerprint.ID, v quarantine.Verdict) {
 	w.Recorder.Record(timeline.WorkReleased, "", id.String(), "")
-	if w.Store == nil || !w.decidedHere(v) {
+	if w.Store == nil || !w.decidedLocally(v) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, keeperTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := w.Store.Delete(ctx, id); err != nil {
 		w.Recorder.Record(timeline.VerdictNotKept, "", id.String(), err.Error())
--- a/internal/process/crashes/watch.go
+++ b/internal/process/crashes/watch.go
@@ -1,7 +1,8 @@
-// Package crashes keeps what one node knows of crashed targets. It finds out whether
-// a target whose connections broke has ended, refuses the work under which targets
-// keep crashing, and exchanges what it knows with other nodes. The decisions are those
-// of package quarantine.
+// Package crashes holds the crashes of targets that one node knows. It probes targets whose
+// connections broke, refuses the work under which targets keep crashing, and exchanges
+// crashes with other nodes. Package quarantine makes the decisions.
+//
+// Work is what a fingerprint identifies: a request and its repetitions.
 package crashes
 
 import (
@@ -22,55 +23,57 @@
 	"github.com/marblepond/marblepond/internal/request/quarantine"
 )
 
-// Options of a watch.
+// Options configures a watch.
 type Options struct {
 	Config quarantine.Config
 	Now    func() time.Time
-	// Probe finds out whether a process listens at an address; nil where one that has
-	// ended may be replaced before that shows. Then only a newer start proves an end.
+	// Probe finds out whether a process listens at an address. It is nil where a process
+	// that has ended may be replaced before a probe shows it; then only a newer
+	// incarnation proves the end.
 	Probe func(ctx context.Context, address string) dial.State
 	// Serving returns how many targets serve a service.
 	Serving func(service string) int
-	// Leaving reports whether a target is known to leave. What runs there when it ends
-	// is cut off, and says nothing of the work.
+	// Leaving reports whether a target is known to be leaving. Requests that are in flight
+	// there when it ends break off; that does not make their work suspect.
 	Leaving  func(t choose.Target) bool
 	Recorder *timeline.Recorder
 	Metrics  tally.Scope
-	// Client reaches another node; false: it is not known where it is.
+	// Client returns a client of another node; false: its address is not known.
 	Client func(node string) (marblepondv1connect.QuarantineServiceClient, bool)
-	// OnChange is told that there is something to tell other nodes. It must not block.
+	// OnChange is called when the crashes known have changed. It must not block.
 	OnChange func()
-	// Store keeps what refuses work beyond the life of all nodes; nil: nothing does.
+	// Store stores verdicts, so that they outlast a restart of all nodes; nil: they do not.
 	Store VerdictStore
 }
 
-// VerdictStore outlives the nodes. Its calls may take long and fail; they are then told in
-// the log and not repeated, because other nodes know the same.
+// VerdictStore stores the crashes that lead to each verdict. Its calls may be slow or fail;
+// a failure is logged and not retried, because other nodes know the same crashes.
 type VerdictStore interface {
 	Save(ctx context.Context, work fingerprint.ID, crashes []quarantine.Crash) error
 	Delete(ctx context.Context, work fingerprint.ID) error
 }
 
-// Watch is safe for concurrent use. While no target has crashed its calls cost an
-// atomic load, and no work is fingerprinted.
+// Watch holds the crashes that one node knows, and the verdicts on them. It is safe for
+// concurrent use. While no crash and no loss is known, a check of work costs an atomic
+// load, and no fingerprint is computed.
 type Watch struct {
 	Options
-	idle    atomic.Bool   // nothing is known
-	digest  atomic.Uint64 // of what is known
+	idle    atomic.Bool   // no crash and no loss is known
+	digest  atomic.Uint64 // of the crashes known
 	probes  *ring.Ring[choose.Target]
-	pulls   *ring.Ring[string] // nodes that may know more
-	changed chan struct{}      // something became known
+	pulls   *ring.Ring[string] // nodes that may know more crashes
+	changed chan struct{}      // the crashes known have changed
 
-	mu       sync.Mutex
-	table    *quarantine.Table
-	probed   map[quarantine.Target]time.Time // when it was last found out whether it lives
-	noticed  map[quarantine.Target]bool      // whose crash was noticed here
-	refused  map[fingerprint.ID]quarantine.Verdict
-	running  map[*attempt]struct{}
-	pulledAt map[string]uint64 // by node: its digest when all it knows was taken
+	mu            sync.Mutex
+	table         *quarantine.Table
+	lastProbed    map[quarantine.Target]time.Time // when it was last probed
+	detected      map[quarantine.Target]bool      // targets whose crash this node detected
+	refused       map[fingerprint.ID]quarantine.Verdict
+	running       map[*attempt]struct{}
+	pulledDigests map[string]uint64 // by node: its digest at the last pull
 }
 
-// attempt is one that is under way at a target.
+// attempt is an attempt in flight at a target.
 type attempt struct {
 	work *fingerprint.Work
 	stop func()
@@ -78,9 +81,9 @@
 
 // New returns a watch; Run starts it.
 func New(o Options) *Watch {
-	w := &Watch{Options: o, probes: ring.New[choose.Target](mostProbes, ring.Refuse), pulls: ring.New[string](mostPulls, ring.Refuse), changed: make(chan struct{}, 1), table: quarantine.New(o.Config),
-		probed: map[quarantine.Target]time.Time{}, noticed: map[quarantine.Target]bool{}, refused: map[fingerprint.ID]quarantine.Verdict{},
-		running: map[*attempt]struct{}{}, pulledAt: map[string]uint64{}}
+	w := &Watch{Options: o, probes: ring.New[choose.Target](probeQueue, ring.Refuse), pulls: ring.New[string](pullQueue, ring.Refuse), changed: make(chan struct{}, 1), table: quarantine.New(o.Config),
+		lastProbed: map[quarantine.Target]time.Time{}, detected: map[quarantine.Target]bool{}, refused: map[fingerprint.ID]quarantine.Verdict{},
+		running: map[*attempt]struct{}{}, pulledDigests: map[string]uint64{}}
 	w.idle.Store(true)
 	return w
 }
@@ -108,8 +111,8 @@
 		len(v.Targets), v.Until.Sub(now).Round(time.Second), id)
 }
 
-// Suspected reports whether work was in flight at a crash that nothing else explains and
-// was not answered whole since.
+// Suspected reports whether work was in flight at a crash that nothing else explains and was
+// not completed since.
 func (w *Watch) Suspected(work *fingerprint.Work) bool {
 	if w.idle.Load() {
 		return false
@@ -120,8 +123,8 @@
 	return w.table.Suspected(w.Now(), id)
 }
 
-// Lost takes work whose connection to a target broke, and has it found out whether
-// the target has ended.
+// Lost takes work whose connection to a target broke, and queues a probe of the target to
+// find out whether it has ended.
 func (w *Watch) Lost(work *fingerprint.Work, t choose.Target) {
 	if w.Leaving(t) || w.EndedBefore(t) {
 		return
@@ -134,8 +137,9 @@
 }
 
 // EndedBefore reports whether the target of an attempt was known to have ended when the
-// attempt was sent. It ran at the next incarnation then, and was lost with that: put
-// down to the earlier crash, proper work would be refused for ends it was not there at.
+// attempt was sent. The attempt then ran at the next incarnation and was lost there; if the
+// earlier crash were attributed to it, harmless work would be refused for crashes at which
+// it was not in flight.
 func (w *Watch) EndedBefore(t choose.Target) bool {
 	if w.idle.Load() || t.Sent.IsZero() {
 		return false
@@ -152,39 +156,39 @@
 	}
 	key := keyOf(t)
 	if w.change(func(now time.Time) bool { return w.table.Ended(now, key) }) {
-		w.noteNoticed(key)
+		w.noteDetected(key)
 		w.Recorder.Record(timeline.TargetCrashed, "", t.ID, string(proof), timeline.Field{Name: "incarnation", Value: t.Incarnation})
 		w.Metrics.Counter("targets_crashed").Inc(1)
 	}
 }
 
-// mostNoticed bounds the memory of which crashes were noticed here. Of one that is
-// forgotten some other node may have to keep the verdict.
-const mostNoticed = 1024
+// maxDetected bounds detected, which is cleared when it is full. The verdict on a crash that
+// was cleared there may be saved by another node only.
+const maxDetected = 1024
 
-func (w *Watch) noteNoticed(t quarantine.Target) {
+func (w *Watch) noteDetected(t quarantine.Target) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.noticed) >= mostNoticed {
-		clear(w.noticed)
+	if len(w.detected) >= maxDetected {
+		clear(w.detected)
 	}
-	w.noticed[t] = true
+	w.detected[t] = true
 }
 
-// Completed takes work that was answered whole.
+// Completed takes work that was answered completely, which clears it of all crashes.
 func (w *Watch) Completed(work *fingerprint.Work) {
 	if !w.idle.Load() {
 		w.release(work.ID())
 	}
 }
 
-// release lets work go. It reports whether a crash was held against it.
+// release clears work of all crashes. It reports whether it was suspect at any.
 func (w *Watch) release(id fingerprint.ID) bool {
 	return w.change(func(time.Time) bool { return w.table.Clear(id) })
 }
 
-// OnRefusal has a function called when work is refused that is under way; done takes
-// it back.
+// OnRefusal has stop called when work is refused while an attempt at it is in flight; done
+// unregisters it.
 func (w *Watch) OnRefusal(work *fingerprint.Work, stop func()) (done func()) {
 	a := &attempt{work, stop}
 	w.mu.Lock()
@@ -197,26 +201,27 @@
 	}
 }
 
-// change changes the table, and tells others when that is news.
-func (w *Watch) change(f func(now time.Time) (news bool)) bool {
+// change updates the table, and notifies others when the crashes known have changed.
+func (w *Watch) change(f func(now time.Time) (changed bool)) bool {
 	w.mu.Lock()
 	now := w.Now()
-	news := f(now)
-	w.noteDigest(now)
+	changed := f(now)
+	w.updateDigest(now)
 	w.mu.Unlock()
-	if news {
-		w.tell()
+	if changed {
+		w.notify()
 	}
-	return news
+	return changed
 }
 
-// noteDigest keeps what is read without the lock. The caller holds w.mu.
-func (w *Watch) noteDigest(now time.Time) {
+// updateDigest updates the fields that are read without the lock. The caller holds w.mu.
+func (w *Watch) updateDigest(now time.Time) {
 	w.digest.Store(w.table.Digest(now))
 	w.idle.Store(w.table.Empty())
 }
 
-func (w *Watch) tell() {
+// notify signals that the crashes known have changed.
+func (w *Watch) notify() {
 	w.OnChange()
 	select {
 	case w.changed <- struct{}{}:
@@ -224,11 +229,11 @@
 	}
 }
 
-// Run looks at targets, at verdicts and at what others know until ctx ends.
+// Run probes targets, evaluates verdicts and pulls crashes from other nodes until ctx ends.
 func (w *Watch) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { w.probe(ctx, &wg) })
-	wg.Go(func() { w.followVerdicts(ctx) })
+	wg.Go(func() { w.watchVerdicts(ctx) })
 	wg.Go(func() { w.pull(ctx) })
 	wg.Wait()
 }
--- a/internal/process/crashes/watch_test.go
+++ b/internal/process/crashes/watch_test.go
@@ -22,76 +22,77 @@
 	"github.com/marblepond/marblepond/internal/request/quarantine"
 )
 
-// world is what a watch sees: the states of addresses, and nodes that it reaches.
-type world struct {
-	mu      sync.Mutex
-	now     time.Time
-	states  map[string]dial.State
-	probes  int
-	leaving map[string]bool
-	nodes   map[string]*Watch
-	kept    map[fingerprint.ID][]quarantine.Crash
-	down    bool // of the keeper
+// fakeFleet has the states of addresses, the nodes that a watch can call, and the verdict
+// store.
+type fakeFleet struct {
+	mu        sync.Mutex
+	now       time.Time
+	states    map[string]dial.State
+	probes    int
+	leaving   map[string]bool
+	nodes     map[string]*Watch
+	saved     map[fingerprint.ID][]quarantine.Crash
+	storeDown bool
 }
 
-func newWorld() *world {
-	return &world{now: time.Unix(1_700_000_000, 0), states: map[string]dial.State{}, leaving: map[string]bool{}, nodes: map[string]*Watch{}, kept: map[fingerprint.ID][]quarantine.Crash{}}
+func newFakeFleet() *fakeFleet {
+	return &fakeFleet{now: time.Unix(1_700_000_000, 0), states: map[string]dial.State{}, leaving: map[string]bool{}, nodes: map[string]*Watch{}, saved: map[fingerprint.ID][]quarantine.Crash{}}
 }
 
-func (w *world) pass(d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.now = w.now.Add(d)
+func (f *fakeFleet) advance(d time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.now = f.now.Add(d)
 }
 
-func (w *world) time() time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.now
+func (f *fakeFleet) time() time.Time {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.now
 }
 
-func (w *world) probe(_ context.Context, address string) dial.State {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.probes++
-	return w.states[address]
+func (f *fakeFleet) probe(_ context.Context, address string) dial.State {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.probes++
+	return f.states[address]
 }
 
-func (w *world) Save(_ context.Context, work fingerprint.ID, crashes []quarantine.Crash) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.down {
-		return errors.New("the store is away")
+func (f *fakeFleet) Save(_ context.Context, work fingerprint.ID, crashes []quarantine.Crash) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.storeDown {
+		return errors.New("the verdict store is unavailable")
 	}
-	w.kept[work] = crashes
+	f.saved[work] = crashes
 	return nil
 }
 
-func (w *world) Delete(_ context.Context, work fingerprint.ID) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.kept, work)
+func (f *fakeFleet) Delete(_ context.Context, work fingerprint.ID) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.saved, work)
 	return nil
 }
 
 // start runs the watch of a node until the test ends.
-func (w *world) start(t *testing.T, node string) *Watch {
+func (f *fakeFleet) start(t *testing.T, node string) *Watch {
 	recorder := timeline.NewRecorder(node, 100, &log.Logger{Handler: discard.New()}, tally.NoopScope)
 	watch := New(Options{
-		Config: quarantine.Config{Limit: 3, Retention: time.Hour}, Probe: w.probe, Store: w, Recorder: recorder, Metrics: tally.NoopScope, OnChange: func() {},
-		Now:     w.time,
+		Config: quarantine.Config{Limit: 3, Retention: time.Hour}, Probe: f.probe, Store: f, Recorder: recorder, Metrics: tally.NoopScope, OnChange: func() {},
+		Now:     f.time,
 		Serving: func(string) int { return 12 },
 		Leaving: func(t choose.Target) bool {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			return w.leaving[t.ID]
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			return f.leaving[t.ID]
 		},
 		Client: func(node string) (marblepondv1connect.QuarantineServiceClient, bool) {
-			other, known := w.nodes[node]
+			other, known := f.nodes[node]
 			return other, known
 		},
 	})
-	w.nodes[node] = watch
+	f.nodes[node] = watch
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -109,11 +110,11 @@
 	return choose.Target{ID: fmt.Sprint("t", n), Incarnation: 1, Service: "s", Addr: fmt.Sprint("a", n)}
 }
 
-// crash has a target end under work that runs at a node.
-func (w *world) crash(watch *Watch, n int, work *fingerprint.Work) {
-	w.mu.Lock()
-	w.states[fmt.Sprint("a", n)] = dial.Refuses
-	w.mu.Unlock()
+// crash ends a target while work runs there, sent by a node.
+func (f *fakeFleet) crash(watch *Watch, n int, work *fingerprint.Work) {
+	f.mu.Lock()
+	f.states[fmt.Sprint("a", n)] = dial.Refuses
+	f.mu.Unlock()
 	watch.Lost(work, targetNo(n))
 }
 
@@ -134,25 +135,25 @@
 	return len(w.table.Hashes(w.Now()))
 }
 
-// TestCrashesAtThreeNodes: three nodes see one crash each. All refuse the work once
-// they have told each other; what is under way is stopped, and one that noticed the
-// last crash keeps the verdict.
+// TestCrashesAtThreeNodes: three nodes detect one crash each. All refuse the work once they
+// have exchanged crashes; attempts in flight are stopped, and a node that detected the last
+// crash saves the verdict.
 func TestCrashesAtThreeNodes(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
+	fleet := newFakeFleet()
 	work := &fingerprint.Work{Path: "/bad"}
 	other := &fingerprint.Work{Path: "/good"}
 	var watches []*Watch
 	for n := range 3 {
-		watches = append(watches, w.start(t, fmt.Sprint("n", n)))
+		watches = append(watches, fleet.start(t, fmt.Sprint("n", n)))
 	}
 	stopped := make(chan struct{}, 2)
 	defer watches[0].OnRefusal(work, func() { stopped <- struct{}{} })()
 	defer watches[0].OnRefusal(other, func() { t.Error("other work is stopped") })()
 	for n, watch := range watches {
-		w.crash(watch, n, work)
+		fleet.crash(watch, n, work)
 		eventually(t, "the crash is proved", func() bool { return watch.crashesKnown() == 1 })
-		w.pass(time.Second)
+		fleet.advance(time.Second)
 	}
 	is.NoErr(watches[0].Refuse(work))
 	for range 2 {
@@ -163,7 +164,7 @@
 				}
 			}
 		}
-		time.Sleep(3 * pullPause)
+		time.Sleep(3 * pullInterval)
 	}
 	for _, watch := range watches {
 		eventually(t, "the node refuses the work", func() bool { return watch.Refuse(work) != nil })
@@ -172,37 +173,37 @@
 		is.Equal(watch.Digest(), watches[0].Digest())
 	}
 	<-stopped
-	eventually(t, "the verdict is kept", func() bool {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		return len(w.kept[work.ID()]) == 3
+	eventually(t, "the verdict is saved", func() bool {
+		fleet.mu.Lock()
+		defer fleet.mu.Unlock()
+		return len(fleet.saved[work.ID()]) == 3
 	})
-	watches[1].Completed(work) // an attempt that was under way is answered after all
+	watches[1].Completed(work) // an attempt that was in flight is answered after all
 	is.NoErr(watches[1].Refuse(work))
 }
 
-// TestWhatProvesNoCrash: a target that takes connections, one that is silent, and one
-// that was known to leave accuse nobody.
+// TestWhatProvesNoCrash: a target that accepts connections, one that is unresponsive, and
+// one that was known to be leaving make no work suspect.
 func TestWhatProvesNoCrash(t *testing.T) {
 	for name, c := range map[string]struct {
 		state   dial.State
 		leaving bool
-		ends    time.Duration // until it is known to have ended all the same
+		ends    time.Duration // until its end is proved after all
 	}{"lives": {dial.Takes, false, time.Second}, "silent": {dial.Silent, false, time.Minute}, "leaves": {dial.Refuses, true, 0}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld()
-			watch := w.start(t, "n")
+			fleet := newFakeFleet()
+			watch := fleet.start(t, "n")
 			work := &fingerprint.Work{Path: "/x"}
 			for n := range 5 {
-				w.mu.Lock()
-				w.states[targetNo(n).Addr] = c.state
-				w.leaving[targetNo(n).ID] = c.leaving
-				w.mu.Unlock()
+				fleet.mu.Lock()
+				fleet.states[targetNo(n).Addr] = c.state
+				fleet.leaving[targetNo(n).ID] = c.leaving
+				fleet.mu.Unlock()
 				watch.Lost(work, targetNo(n))
 			}
-			time.Sleep(4 * probeAgain)
-			w.pass(c.ends)
+			time.Sleep(4 * reprobeDelay)
+			fleet.advance(c.ends)
 			for n := range 5 {
 				watch.Ended(targetNo(n), quarantine.AnotherAtAddress)
 			}
@@ -212,30 +213,29 @@
 	}
 }
 
-// TestLaterAttemptIsNotAccused: a target crashes and starts again at its address, and a
-// node sends to it before it has heard of the new start. What is lost there then was
-// not in flight at the crash, also where the node has heard of that from another.
+// TestLaterAttemptIsNotSuspected: a target crashes and restarts at its address, and a node
+// sends to it before it knows the new incarnation. What is then lost there was not in
+// flight at the crash, also where the node learned of the crash from another node.
 //
-// What happened: a stream that lost two of seven targets that were killed together went
-// on at a third, which had been killed with them and had started again, and was taken
-// for the cause of that end too. With its three "crashes" only two of the five ends of
-// that moment were left to show a kill of many, so that it was refused at all nodes.
-// What showed it: in the log of a failing play of TestTargetsKilledTogetherAccuseNobody
-// target_crashed for i-7 comes 0.42 s before the request_dispatched to i-7 that the
-// verdict holds against the stream.
-func TestLaterAttemptIsNotAccused(t *testing.T) {
+// The failure: a stream that lost two of seven targets killed together was resumed at a
+// third, which had been killed with them and had restarted. The earlier end of that target
+// was attributed to the stream too. With its three "crashes", only two of the five ends of
+// that moment were left as a sign of targets killed together, so that all nodes refused it.
+// Its sign in a log: target_crashed of a target, here 0.42 s, before the
+// request_dispatched to it that the verdict counts against the work.
+func TestLaterAttemptIsNotSuspected(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	here, there := w.start(t, "here"), w.start(t, "there")
-	work, beside := &fingerprint.Work{Path: "/good"}, &fingerprint.Work{Path: "/beside"}
+	fleet := newFakeFleet()
+	here, there := fleet.start(t, "here"), fleet.start(t, "there")
+	work, concurrent := &fingerprint.Work{Path: "/good"}, &fingerprint.Work{Path: "/beside"}
 	for n := range 3 {
-		w.crash(there, n, beside)
+		fleet.crash(there, n, concurrent)
 		eventually(t, "the crash is proved", func() bool { return there.crashesKnown() == n+1 })
 		is.NoErr(here.pullFrom(context.Background(), "there", there))
-		w.pass(time.Second)
+		fleet.advance(time.Second)
 		for _, watch := range []*Watch{here, there} {
 			later := targetNo(n)
-			later.Sent = w.time()
+			later.Sent = fleet.time()
 			watch.Lost(work, later)
 		}
 	}
@@ -243,67 +243,67 @@
 		is.True(!watch.Suspected(work))
 		is.NoErr(watch.Refuse(work))
 	}
-	sent := w.time()
-	w.pass(time.Millisecond)
-	w.crash(there, 3, &fingerprint.Work{Path: "/other"})
+	sent := fleet.time()
+	fleet.advance(time.Millisecond)
+	fleet.crash(there, 3, &fingerprint.Work{Path: "/other"})
 	eventually(t, "the crash is proved", func() bool { return there.crashesKnown() == 4 })
 	before := targetNo(3)
 	before.Sent = sent
-	there.Lost(work, before) // it was in flight there, and its end is noticed late
-	w.pass(time.Second)
+	there.Lost(work, before) // it was in flight there, and its loss is noticed late
+	fleet.advance(time.Second)
 	is.True(there.Suspected(work))
 }
 
-// TestOneLookForManyLosses: all that is lost at a target at once has it looked at
-// once, and is put down to the crash.
-func TestOneLookForManyLosses(t *testing.T) {
+// TestOneProbeForManyLosses: when many requests are lost at a target at once, it is probed
+// once, and all of them become suspects of the crash.
+func TestOneProbeForManyLosses(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	watch := w.start(t, "n")
+	fleet := newFakeFleet()
+	watch := fleet.start(t, "n")
 	for i := range 20 {
-		w.crash(watch, 1, &fingerprint.Work{Path: fmt.Sprint("/", i)})
+		fleet.crash(watch, 1, &fingerprint.Work{Path: fmt.Sprint("/", i)})
 	}
-	eventually(t, "all are accused", func() bool {
+	eventually(t, "all are suspects", func() bool {
 		watch.mu.Lock()
 		defer watch.mu.Unlock()
-		all := watch.table.All(w.now)
+		all := watch.table.All(fleet.now)
 		return len(all) == 1 && len(all[0].Suspects) == 20
 	})
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	is.Equal(w.probes, 1)
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	is.Equal(fleet.probes, 1)
 }
 
-// TestNothingIsPaidWhileNothingIsKnown: no fingerprint is computed, and no digest told.
-func TestNothingIsPaidWhileNothingIsKnown(t *testing.T) {
+// TestNothingIsComputedWhileNothingIsKnown: no fingerprint is computed, and the digest is 0.
+func TestNothingIsComputedWhileNothingIsKnown(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	watch := w.start(t, "n")
-	var unread *fingerprint.Work // reading it would end the test
+	fleet := newFakeFleet()
+	watch := fleet.start(t, "n")
+	var unread *fingerprint.Work // reading it would panic
 	is.NoErr(watch.Refuse(unread))
 	is.True(!watch.Suspected(unread))
 	watch.Completed(unread)
 	is.Equal(watch.Digest(), uint64(0))
 }
 
-// TestSameAnswerIsPulledOnce: a node whose digest differs because it remembers other
-// crashes than there is room for here is not asked again until it has news.
+// TestSameAnswerIsPulledOnce: a node whose digest differs because it holds other crashes than
+// fit into this node's table is not pulled from again until its digest changes.
 func TestSameAnswerIsPulledOnce(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	a, b := w.start(t, "a"), w.start(t, "b")
-	w.crash(b, 1, &fingerprint.Work{Path: "/x"})
+	fleet := newFakeFleet()
+	a, b := fleet.start(t, "a"), fleet.start(t, "b")
+	fleet.crash(b, 1, &fingerprint.Work{Path: "/x"})
 	eventually(t, "the crash is proved", func() bool { return b.crashesKnown() == 1 })
-	is.True(a.lacks("b", b.Digest()))
+	is.True(a.needsPull("b", b.Digest()))
 	is.NoErr(a.pullFrom(context.Background(), "b", b))
 	a.Completed(&fingerprint.Work{Path: "/x"}) // now a knows more than b
 	is.True(a.Digest() != b.Digest())
-	is.True(!a.lacks("b", b.Digest()))
-	is.True(b.lacks("a", a.Digest()))
+	is.True(!a.needsPull("b", b.Digest()))
+	is.True(b.needsPull("a", a.Digest()))
 }
 
-// BenchmarkRefuse gives what each request pays, while nothing is known and beside a
-// full table, for bodies of 1 KB and 1 MB.
+// BenchmarkRefuse measures the cost for each request, with an empty and a full table, for
+// bodies of 1 KB and 1 MB.
 func BenchmarkRefuse(b *testing.B) {
 	for _, known := range []int{0, 256} {
 		for _, size := range []int{1 << 10, 1 << 20} {
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -107,7 +107,7 @@
 mutant 5 internal/request/choose/choose.go 's/e\.apart\+e\.elsewhere\.Apart == 0/e.apart >= 0/' internal/request/choose TestSuspectsDontMeet
 mutant 5 internal/request/quarantine/verdict.go 's/!\(there && s == accused\) &&/!(there \&\& s > cleared) \&\&/' internal/request/quarantine TestOneRequestAtManyTargetsAtOnce
 mutant 5 internal/request/quarantine/verdict.go 's/ && !t\.explains\(other\)//' internal/request/quarantine TestSeveralInStep
-mutant 6 internal/process/crashes/watch.go 's/w\.Leaving\(t\) \|\| w\.EndedBefore\(t\)/w.Leaving(t)/' internal/process/crashes TestLaterAttemptIsNotAccused
+mutant 6 internal/process/crashes/watch.go 's/w\.Leaving\(t\) \|\| w\.EndedBefore\(t\)/w.Leaving(t)/' internal/process/crashes TestLaterAttemptIsNotSuspected
 mutant 6 internal/connection/target/liveness.go 's/silent-time\.Since\(l\.last\)/0*(silent-time.Since(l.last))/' internal/connection/target TestSilentAttemptIsLost
 mutant 6 internal/request/forward/attempt.go 's/live\.Replaced\(longestGap\(req\.Route\)/live.Replaced(0*longestGap(req.Route)/' lab/hosted TestAnswerGoesOnAtTheNextStart
 mutant 6 internal/connection/dial/checked.go 's/c\.kept\.Swap\(false\) && c\.closed\(\)/c.kept.Swap(false) \&\& c.closed() \&\& c.raw == nil/' platform TestKeptConnectionsOfAnEndedProcess
