--- a/internal/process/rendezvous/rendezvous.go
+++ b/internal/process/rendezvous/rendezvous.go
@@ -19,19 +19,20 @@
 	return d.Sum64()
 }
 
-// First returns the member with the highest weight, "" when there is none.
+// First returns the member with the highest weight, "" when there are no members.
 func First(key string, members []string) string {
-	best, top := "", uint64(0)
+	best, bestWeight := "", uint64(0)
 	for _, m := range members {
-		if w := Weight(key, m); best == "" || w > top || (w == top && m < best) {
-			best, top = m, w
+		if w := Weight(key, m); best == "" || w > bestWeight || (w == bestWeight && m < best) {
+			best, bestWeight = m, w
 		}
 	}
 	return best
 }
 
-// Rank returns the members by falling weight, at most n of them. It costs one weight a
-// member and few comparisons where n is small: 24 us for 4 of 360 on a busy machine (BenchmarkRank).
+// Rank returns the n members with the highest weights, or all when there are fewer, in
+// descending order. It computes one weight per member and makes few comparisons for a
+// small n: 24 us for 4 of 360 members on a busy computer (BenchmarkRank).
 func Rank(key string, members []string, n int) []string {
 	type weighed struct {
 		member string
@@ -57,9 +58,9 @@
 	return ranked
 }
 
-// Place returns the place of one member among itself and others in the order for
-// a key, most when it comes later than that.
-func Place(key, self string, others []string, most int) int {
+// Place returns the index of self in the ranking of self and others for a key, at most
+// limit.
+func Place(key, self string, others []string, limit int) int {
 	own := Weight(key, self)
 	place := 0
 	for _, other := range others {
@@ -67,5 +68,5 @@
 			place++
 		}
 	}
-	return min(place, most)
+	return min(place, limit)
 }
