--- a/internal/connection/beacon/beacon.go
+++ b/internal/connection/beacon/beacon.go
@@ -152,7 +152,7 @@
 	// not block.
 	OnBehind      func(node string)
 	OnUnreachable func(node string)
-	// OnReachable is called with the first datagram of a node that did not count as
+	// OnReachable is called with the first datagram from a node that did not count as
 	// reachable; it may be nil.
 	OnReachable func(node string)
 }
@@ -173,7 +173,7 @@
 	nodes            map[string]nodeState // reachable nodes, until removeUnreachable removes them
 	unreachableSince map[string]time.Time // unreachable nodes, and when each was last received
 	groupsReceived   map[string]time.Time // other groups: when a report on the group was last received
-	centresReceived  map[string]time.Time // other data centres: when a datagram of one of its nodes was last received
+	centresReceived  map[string]time.Time // other data centres: when a datagram from one of its nodes was last received
 }
 
 // New returns an exchange; Run starts it.
--- a/internal/connection/beacon/receive.go
+++ b/internal/connection/beacon/receive.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// isNewer reports whether a datagram is newer than the last one of its sender, and notes
+// isNewer reports whether a datagram is newer than the last one from its sender, and notes
 // that the sender is reachable.
 func (x *Exchange) isNewer(m *v1.Beacon) bool {
 	group := x.View().groupOf(m.Node)
@@ -108,7 +108,8 @@
 }
 
 // applyMember takes what a datagram reports on a node other than its sender: when it was
-// last received, if it is of a group in this data centre, and the jobs that it holds.
+// last received, if the datagram is on a group of this data centre, and the jobs that it
+// recently became the holder of.
 func (x *Exchange) applyMember(member *v1.Member, m *v1.Beacon) {
 	if member.Node == x.Node {
 		return
--- a/internal/connection/beacon/silence.go
+++ b/internal/connection/beacon/silence.go
@@ -7,15 +7,15 @@
 
 // nodeState is the newest state known of another node.
 type nodeState struct {
-	boot         int64 // of its newest datagram received here; 0: only other nodes reported it
-	sequence     uint64
+	boot         int64     // of its newest datagram received here; 0: only other nodes reported it
+	sequence     uint64    // of the same datagram
 	lastReceived time.Time // of its newest datagram, received here or by a node that reported it
 	near         bool      // in this node's data centre
 	group        int       // in its data centre
 	jobs         []string  // that it recently became the holder of
 }
 
-// reachable reports whether a datagram of a node was received within unreachableAfter.
+// reachable reports whether a datagram from a node was received within unreachableAfter.
 func (x *Exchange) reachable(node string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -54,11 +54,11 @@
 // received within unreachableAfter.
 func (x *Exchange) ReachableGroups() []string { return x.receivedLately(x.groupsReceived) }
 
-// ReachableDataCentres returns the other data centres of which a datagram was received
+// ReachableDataCentres returns the other data centres from which a datagram was received
 // within unreachableAfter.
 func (x *Exchange) ReachableDataCentres() []string { return x.receivedLately(x.centresReceived) }
 
-// DataCentreLastReceived returns when a datagram of another data centre was last received,
+// DataCentreLastReceived returns when a datagram from another data centre was last received,
 // the zero time when it is unreachable.
 func (x *Exchange) DataCentreLastReceived(name string) time.Time {
 	x.mu.Lock()
@@ -92,7 +92,7 @@
 	return reported.Sub(state.lastReceived) > unreachableAfter || sinceLast > 2*unreachableAfter
 }
 
-// UnreachableSince returns when the last datagram of an unreachable node was received;
+// UnreachableSince returns when the last datagram from an unreachable node was received;
 // false: the node is reachable, or is not known.
 func (x *Exchange) UnreachableSince(node string) (time.Time, bool) {
 	x.mu.Lock()
@@ -140,7 +140,7 @@
 	return near
 }
 
-// removeStale removes the groups or data centres of which no datagram was received for
+// removeStale removes the groups or data centres from which nothing was received for
 // longer than unreachableAfter, and returns them.
 func (x *Exchange) removeStale(times map[string]time.Time) []string {
 	x.mu.Lock()
--- a/internal/connection/beacon/view.go
+++ b/internal/connection/beacon/view.go
@@ -106,8 +106,9 @@
 
 // GroupReportReceivers returns the nodes of other groups to which this node sends the
 // report on its group in a round. Each of them has one representative among the reachable
-// members of the group: the first in rendezvous order for the receiver's name. With
-// extraReportShare, drawn by draw, the other members send one too.
+// members of the group: the first in rendezvous order for the receiver's name. The
+// other members send one too in extraReportShare of the rounds; draw returns a random number
+// in [0, 1).
 func (v *View) GroupReportReceivers(reachable []string, draw func() float64) []Peer {
 	if v.groups == 1 {
 		return nil
--- a/internal/connection/lending/lending.go
+++ b/internal/connection/lending/lending.go
@@ -1,7 +1,7 @@
-// Package lending enforces the allowances (rate limits) of workspaces over all nodes. One
-// node owns the token buckets of a workspace; a node that accepts a request borrows tokens
-// from it by datagrams. Package allowance decides which node owns what, how much is
-// lent and which node to ask next.
+// Package lending enforces the allowances (rate limits) of workspaces over all nodes. The
+// tokens of a workspace are lent by one node, its owner; a node that accepts a request
+// borrows tokens from the owner by datagrams. Package allowance decides which node owns
+// what, how much is lent and which node to ask next.
 package lending
 
 import (
@@ -19,11 +19,11 @@
 )
 
 const (
-	// unresponsiveAfter is how much older than the last datagram of its data centre the
-	// last one of a node has to be for the node to count as unresponsive; in a network
-	// partition both stop together. A node that is alive answers a probe each probeInterval
-	// meanwhile: with 30 of 100 datagrams lost, one of eight still arrives in 995 of 1,000
-	// cases.
+	// unresponsiveAfter is how much older than the last datagram from its data centre the
+	// last one from a node has to be for the node to count as unresponsive; in a network
+	// partition both stop together. Meanwhile a node that is alive answers a probe each
+	// probeInterval: with 30 of 100 datagrams lost, one of eight answers still arrives in
+	// 995 of 1,000 cases.
 	unresponsiveAfter = 250 * time.Millisecond
 	probeInterval     = 30 * time.Millisecond
 	// suspectFor is how long an owner that did not answer is skipped.
@@ -40,7 +40,7 @@
 	// Nodes returns how many nodes each data centre has.
 	Nodes() map[string]int
 	// Reachable reports whether another data centre is reachable, and LastReceived returns
-	// when a datagram of it was last received.
+	// when a datagram from it was last received.
 	Reachable(dataCentre string) bool
 	LastReceived(dataCentre string) time.Time
 }
@@ -70,7 +70,7 @@
 	sequence     uint64
 	pending      map[string]*pending  // borrow requests in progress, by workspace
 	waiting      map[string]int       // requests that wait for a token, by workspace
-	lastReceived map[string]time.Time // when a datagram of a node was last received
+	lastReceived map[string]time.Time // when a datagram from a node was last received
 	lastProbed   map[string]time.Time // when a node was last probed
 	suspectUntil map[string]time.Time // until when an owner that did not answer is skipped
 }
@@ -250,7 +250,7 @@
 }
 
 // isResponsive reports whether a node counts as responsive, and probes it. It does until it
-// has had time to answer, and longer while no datagram of its data centre arrives either.
+// has had time to answer, and longer while no datagram from its data centre arrives either.
 // The caller holds x.mu.
 func (x *Exchange) isResponsive(owner Lender) bool {
 	reference := x.Now()
--- a/internal/process/crashes/verdicts.go
+++ b/internal/process/crashes/verdicts.go
@@ -100,8 +100,8 @@
 	return out
 }
 
-// decidedLocally reports whether this node detected the last crash of a verdict. Only nodes
-// that did save the verdict, so that not all nodes write the same.
+// decidedLocally reports whether this node detected the last crash of a verdict. Only
+// such nodes save the verdict, so that not all nodes write the same.
 func (w *Watch) decidedLocally(v quarantine.Verdict) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
