--- a/internal/request/allowance/course.go
+++ b/internal/request/allowance/course.go
@@ -8,34 +8,36 @@
 )
 
 const (
-	// askAgain is how long an answer is awaited before the ask is sent again: five times
-	// what two nodes of neighbouring data centres take. An answer that takes longer still
-	// counts, and costs datagrams only.
-	askAgain = 10 * time.Millisecond
-	// asksEach is how often one owner is asked, and ownersAsked how many are, before a node
-	// lends to itself alone: at the most 0.2 s after the request came, within an objective of
-	// 0.3 s. With 30 of 100 datagrams lost one ask in 30 goes to a second owner; with half of
-	// the nodes just killed one in 16 finds none.
-	asksEach    = 5
-	ownersAsked = 4
+	// resendInterval is the time after which an unanswered request is sent again: five times
+	// the round trip between two nodes of neighbouring data centres. A later answer still
+	// counts, and costs only datagrams.
+	resendInterval = 10 * time.Millisecond
+	// sendsPerOwner is how often a request is sent to one owner, and maxOwners to how many
+	// owners, before a node lends to itself: at most 0.2 s after the caller's request arrived,
+	// within an objective of 0.3 s. With 30 of 100 datagrams lost, one request in 30 goes to a
+	// second owner; with half of the nodes just killed, one in 16 finds no owner.
+	sendsPerOwner = 5
+	maxOwners     = 4
 )
 
-// Owners returns the nodes that are asked for tokens of a workspace, among those that are
-// heard, the first choice first.
-func Owners(name string, heard []string) []string { return rendezvous.Rank(name, heard, ownersAsked) }
+// Owners returns the nodes from which tokens of a workspace are borrowed, among the reachable
+// ones, in rendezvous order.
+func Owners(name string, reachable []string) []string {
+	return rendezvous.Rank(name, reachable, maxOwners)
+}
 
-// PreferredOwner returns the natural owner of a workspace: the first choice among all nodes that
-// are registered.
+// PreferredOwner returns the preferred owner of a workspace: the first of all registered nodes
+// in rendezvous order.
 func PreferredOwner(name string, nodes []string) string { return rendezvous.First(name, nodes) }
 
-// Attempts is the way of one ask: whom to send it to, and how long to wait.
+// Attempts is the sequence of sends of one BorrowRequest.
 type Attempts struct {
 	owners []string
 	sent   int
 }
 
-// NewAttempts returns the way along owners that are heard, at the most to the node itself,
-// which knows no better owner than itself then.
+// NewAttempts returns the sends to the reachable owners. They end with the node itself if it
+// is among the owners, since it then knows no better one.
 func NewAttempts(self string, owners []string) *Attempts {
 	if i := slices.Index(owners, self); i >= 0 {
 		owners = owners[:i+1]
@@ -43,19 +45,19 @@
 	return &Attempts{owners: owners}
 }
 
-// Next returns the node to send the ask to and how long to wait for its answer. false:
-// nobody is left to be asked.
-func (c *Attempts) Next() (owner string, wait time.Duration, ok bool) {
-	i := c.sent / asksEach
-	if i >= len(c.owners) {
+// Next returns the node to which the request is sent next and how long to wait for its
+// answer; ok is false if no owner is left.
+func (a *Attempts) Next() (owner string, wait time.Duration, ok bool) {
+	i := a.sent / sendsPerOwner
+	if i >= len(a.owners) {
 		return "", 0, false
 	}
-	c.sent++
-	return c.owners[i], askAgain, true
+	a.sent++
+	return a.owners[i], resendInterval, true
 }
 
-// Skip gives the present owner up, because it can't tell.
-func (c *Attempts) Skip() { c.sent = (c.sent + asksEach - 1) / asksEach * asksEach }
+// Skip goes on to the next owner, because the current one can't answer.
+func (a *Attempts) Skip() { a.sent = (a.sent + sendsPerOwner - 1) / sendsPerOwner * sendsPerOwner }
 
-// Last reports whether the owner asked last has been asked as often as it is.
-func (c *Attempts) Last() bool { return c.sent%asksEach == 0 }
+// Last reports whether no further sends to the current owner are left.
+func (a *Attempts) Last() bool { return a.sent%sendsPerOwner == 0 }
--- a/internal/request/allowance/ledger.go
+++ b/internal/request/allowance/ledger.go
@@ -6,252 +6,255 @@
 	"github.com/marblepond/marblepond/internal/version/workspace"
 )
 
-// Tolerance says how far an allowance may be exceeded over a window of time. What a
-// deployment tolerates is used for what nodes can't know, and never to serve more in
-// the long run.
+// Tolerance is how far an allowance may be exceeded within a window of time. It covers
+// what nodes can't know of each other, and never raises the rate in the long run.
 type Tolerance struct {
 	Window time.Duration
-	Share  float64 // of what the window allows
-	Slack  float64 // requests on top
+	Share  float64 // of the requests that the window allows
+	Slack  float64 // additional requests
 }
 
-// of returns by how many requests an allowance may be exceeded in one window.
+// of returns the number of requests by which an allowance may be exceeded in one window.
 func (t Tolerance) of(limit workspace.Allowance) float64 {
 	return t.Share*(limit.PerSecond*t.Window.Seconds()+limit.Burst) + t.Slack
 }
 
 const (
-	// creditShare is the share of the tolerance that an account starts with whose owner is a
-	// substitute and does not know what was lent before it. It serves a workspace at its
-	// usual for half a second, until its owner is known to be lost. freshShare is the same for
-	// a natural owner that has just started: while it was away less was lent than allowed,
-	// and where all nodes were, all callers come at once.
-	creditShare = 0.5
-	freshShare  = 0.9
-	// substituteShare is the part of the allowance that a substitute lends while the
-	// natural owner lives: nodes that can't reach that one, or lost its answers, then exceed
-	// the allowance by no more than this and the credit, which the tolerance covers.
-	substituteShare = 0.05
-	// capShare is the share of the tolerance that is added to the burst, for requests that
-	// were sent evenly and arrive in a bunch.
-	capShare = 0.1
-	// aheadLevel is the share of the burst above which tokens are lent ahead of demand. Below
-	// it a lot that lapses unused at one node would be missed at another.
-	aheadLevel = 0.5
-	// demandTime is the time over which the demand of a data centre is averaged: long
-	// against a cut, during which it must not be forgotten.
-	demandTime = 30 * time.Second
-	// priorRequests is how many requests it takes until what was seen of demand counts as
-	// much as the number of nodes: ten tell the part of a data centre to a seventh.
+	// fallbackInitialShare is the share of the tolerance with which a bucket of a fallback
+	// owner starts, which does not know what was lent before. It serves the usual load of a
+	// workspace for half a second, until the owner is known to have failed.
+	// restartInitialShare is the same for a preferred owner that has just started: less than
+	// the allowance was lent while it was down, and if all nodes were down, all callers
+	// return at once.
+	fallbackInitialShare = 0.5
+	restartInitialShare  = 0.9
+	// fallbackPortion is the part of the allowance that a fallback owner lends while the
+	// preferred owner is reachable. Nodes that can't reach the preferred owner, or lost its
+	// answers, then exceed the allowance by no more than this and the initial tokens, which
+	// the tolerance covers.
+	fallbackPortion = 0.05
+	// burstToleranceShare is the share of the tolerance that is added to the burst, for
+	// requests that were sent evenly and arrive bunched.
+	burstToleranceShare = 0.1
+	// prefetchThreshold is the share of the burst above which tokens are lent ahead of
+	// demand. Below it, tokens that expire unused at one node would be missed at another.
+	prefetchThreshold = 0.5
+	// demandTimeConstant is the time over which the demand of a data centre is averaged. It
+	// is long compared with a network partition, which must not erase the demand.
+	demandTimeConstant = 30 * time.Second
+	// priorRequests is the number of requests at which the observed demand counts as much as
+	// the number of nodes: ten requests show the share of a data centre to within a seventh.
 	priorRequests = 10
-	// idleAccount is how long an account is kept that nobody borrows from. It is full by
-	// then and its cost is 0.3 KB.
-	idleAccount = time.Minute
+	// bucketIdleTimeout is how long a bucket is kept from which no node borrows. It is full by
+	// then and takes 0.3 KB.
+	bucketIdleTimeout = time.Minute
 )
 
-// BorrowRequest is a node's wish for tokens.
+// BorrowRequest is a node's request for tokens of one workspace.
 type BorrowRequest struct {
 	Workspace  string
 	Borrower   string // the node
 	Boot       int64  // of the node
-	Sequence   uint64 // of the ask; one that is sent again has the same
+	Sequence   uint64 // of the request; a resent request has the same one
 	DataCentre string // of the node
-	Need       int    // requests that wait for a token
-	Prefetch   int    // requests that are expected while the lot lasts
-	Returned   int    // tokens lent before and not used
-	// Share is what the node's data centre has of the workspace's demand, as an owner
-	// told it last; 0: not known.
+	Need       int    // number of requests that wait for a token
+	Prefetch   int    // further tokens for requests expected until the tokens expire
+	Returned   int    // unused tokens that the node gives back
+	// Share is the share of the node's data centre in the workspace's demand, as an owner
+	// last reported it; 0 if it is not known.
 	Share float64
 }
 
-// Grant answers an ask.
+// Grant is the answer to a BorrowRequest.
 type Grant struct {
-	Lent int
-	// Wait is how long it takes until the next token is there, when not all that was
-	// needed was lent; 0: it was.
+	Lent int // number of tokens
+	// Wait is the time until the next token is available if fewer tokens than needed were
+	// lent, and 0 otherwise.
 	Wait time.Duration
-	// Share is what the borrower's data centre has of the demand; 0: not known.
+	// Share is the share of the borrower's data centre in the demand; 0 if it is not known.
 	Share float64
 }
 
-// Buckets keeps the accounts that this node owns. It is not safe for concurrent use.
+// Buckets holds the token buckets of the workspaces that this node owns. It is not safe for concurrent use.
 type Buckets struct {
-	tolerance Tolerance
-	began     time.Time
-	accounts  map[string]*account
-	swept     time.Time
+	tolerance   Tolerance
+	startedAt   time.Time
+	byWorkspace map[string]*bucket
+	lastSweep   time.Time
 }
 
-// account is the token bucket of one workspace.
-type account struct {
-	level   float64
-	owed    float64   // of the tokens of the time to come, those that were lent already
-	at      time.Time // when level was computed
-	lent    decaying  // over the window
-	refused decaying
-	demand  map[string]*decaying // by data centre
-	told    map[string]float64   // shares that borrowers were told by earlier owners
-	answers map[string]answer    // the last of each borrower
-	limit   workspace.Allowance
-	portion float64 // of the allowance that this node lends
-	// oneSided: some data centre is not heard, so that what is seen of demand says nothing of
-	// how it is spread.
-	oneSided bool
-	// refusedAt is when tokens were last refused, and why.
-	refusedAt time.Time
-	why       Cause
+// bucket is the token bucket of one workspace.
+type bucket struct {
+	tokens         float64
+	debt           float64     // tokens lent in advance, repaid from the next ones
+	updatedAt      time.Time   // when tokens was computed
+	lent           decayingSum // tokens, by usageTimeConstant
+	refused        decayingSum
+	demand         map[string]*decayingSum // by data centre
+	reportedShares map[string]float64      // demand by data centre, as earlier owners reported it to borrowers
+	lastGrants     map[string]lastGrant    // by borrower
+	limit          workspace.Allowance
+	portion        float64 // of the allowance that this node lends
+	// partitioned reports whether a data centre is unreachable. The demand observed meanwhile
+	// does not show how demand is distributed over data centres.
+	partitioned bool
+	// refusedAt is when tokens were last refused, and refusalCause the cause.
+	refusedAt    time.Time
+	refusalCause Cause
 }
 
-// answer is the grant of a borrower's last ask, for the ask that comes again because the
-// answer was lost.
-type answer struct {
+// lastGrant is the grant for a borrower's last request. The borrower resends the request if
+// the answer is lost.
+type lastGrant struct {
 	boot     int64
 	sequence uint64
 	grant    Grant
 }
 
-// NewBuckets returns an empty ledger of a node that starts now.
+// NewBuckets returns the empty Buckets of a node that starts now.
 func NewBuckets(now time.Time, t Tolerance) *Buckets {
-	return &Buckets{tolerance: t, began: now, accounts: map[string]*account{}, swept: now}
+	return &Buckets{tolerance: t, startedAt: now, byWorkspace: map[string]*bucket{}, lastSweep: now}
 }
 
-// Lend answers an ask under the limit that is in force.
-func (l *Buckets) Lend(now time.Time, limit workspace.Allowance, around FleetView, ask BorrowRequest) Grant {
-	l.sweep(now)
-	a := l.account(now, limit, around, ask)
-	if last := a.answers[ask.Borrower]; last.boot == ask.Boot && last.sequence == ask.Sequence && ask.Sequence > 0 {
+// Lend grants tokens for a request under the current limit. A resent request gets the same
+// grant again.
+func (bs *Buckets) Lend(now time.Time, limit workspace.Allowance, view FleetView, req BorrowRequest) Grant {
+	bs.dropIdle(now)
+	b := bs.bucket(now, limit, view, req)
+	if last := b.lastGrants[req.Borrower]; last.boot == req.Boot && last.sequence == req.Sequence && req.Sequence > 0 {
 		return last.grant
 	}
-	l.refill(now, a, limit, around)
-	a.note(now, ask)
-	l.fill(a, float64(max(0, ask.Returned)), limit, around)
-	grant := a.lend(now, ask, limit)
-	if grant.Lent < ask.Need {
-		a.refusedAt, a.why = now, cause(around)
+	bs.refill(now, b, limit, view)
+	b.recordDemand(now, req)
+	bs.addTokens(b, float64(max(0, req.Returned)), limit, view)
+	grant := b.lend(now, req, limit)
+	if grant.Lent < req.Need {
+		b.refusedAt, b.refusalCause = now, refusalCause(view)
 	}
-	if around.Preferred && !a.oneSided { // a substitute may see one side of a cut before it shows
-		grant.Share = a.shareOf(now, ask.DataCentre, around.partOfNodes(ask.DataCentre))
+	if view.Preferred && !b.partitioned { // a fallback owner may see one side of a partition before it is detected
+		grant.Share = b.observedShare(now, req.DataCentre, view.nodeShare(req.DataCentre))
 	}
-	a.answers[ask.Borrower] = answer{ask.Boot, ask.Sequence, grant}
+	b.lastGrants[req.Borrower] = lastGrant{req.Boot, req.Sequence, grant}
 	return grant
 }
 
-// account returns the account of a workspace, a new one if there is none.
-func (l *Buckets) account(now time.Time, limit workspace.Allowance, around FleetView, ask BorrowRequest) *account {
-	a := l.accounts[ask.Workspace]
-	if a != nil {
-		return a
+// bucket returns the bucket of a workspace, a new one if there is none.
+func (bs *Buckets) bucket(now time.Time, limit workspace.Allowance, view FleetView, req BorrowRequest) *bucket {
+	b := bs.byWorkspace[req.Workspace]
+	if b != nil {
+		return b
 	}
-	a = &account{at: now, demand: map[string]*decaying{}, told: map[string]float64{}, answers: map[string]answer{}}
-	l.accounts[ask.Workspace] = a
-	if ask.Share > 0 {
-		a.told[ask.DataCentre] = ask.Share
+	b = &bucket{updatedAt: now, demand: map[string]*decayingSum{}, reportedShares: map[string]float64{}, lastGrants: map[string]lastGrant{}}
+	bs.byWorkspace[req.Workspace] = b
+	if req.Share > 0 {
+		b.reportedShares[req.DataCentre] = req.Share
 	}
-	a.portion = a.portionOf(now, around)
-	if around.Preferred && !l.justStarted(now) {
-		a.level = l.capacity(limit, a.portion) // nobody else lends, and in all of a window nobody has borrowed
-		return a
+	b.portion = b.lendablePortion(now, view)
+	if view.Preferred && !bs.justStarted(now) {
+		b.tokens = bs.capacity(limit, b.portion) // no other node lends, and no tokens were borrowed for a whole window
+		return b
 	}
-	a.level = l.credit(limit, around, a.portion)
-	if !around.Preferred && l.justStarted(now) {
-		// It takes over from one that lent on credit in the same window, as that one did
-		// from the owner before it: the credits of all may not add up.
-		a.owed = a.level
+	b.tokens = bs.initialTokens(limit, view, b.portion)
+	if !view.Preferred && bs.justStarted(now) {
+		// The owner before this one may have lent its own initial tokens in the same window,
+		// and so on; the initial tokens of all of them must not add up.
+		b.debt = b.tokens
 	}
-	return a
+	return b
 }
 
 // justStarted reports whether this node has run for less than a window.
-func (l *Buckets) justStarted(now time.Time) bool { return now.Sub(l.began) < l.tolerance.Window }
+func (bs *Buckets) justStarted(now time.Time) bool {
+	return now.Sub(bs.startedAt) < bs.tolerance.Window
+}
 
-// credit returns what an account starts with whose owner does not know what was lent
-// before. A node that hears no other has its part of that.
-func (l *Buckets) credit(limit workspace.Allowance, around FleetView, portion float64) float64 {
-	credit := creditShare * l.tolerance.of(limit)
+// initialTokens returns the tokens with which a bucket starts if its owner does not know what
+// was lent before. An isolated node starts with its portion of that.
+func (bs *Buckets) initialTokens(limit workspace.Allowance, view FleetView, portion float64) float64 {
+	tokens := fallbackInitialShare * bs.tolerance.of(limit)
 	switch {
-	case around.Isolated:
-		credit *= portion
-	case around.Preferred:
-		credit = freshShare * l.tolerance.of(limit)
+	case view.Isolated:
+		tokens *= portion
+	case view.Preferred:
+		tokens = restartInitialShare * bs.tolerance.of(limit)
 	}
-	return max(1, credit)
+	return max(1, tokens)
 }
 
-// capacity returns up to how many tokens an account fills.
-func (l *Buckets) capacity(limit workspace.Allowance, portion float64) float64 {
-	return max(1, portion*(limit.Burst+capShare*l.tolerance.of(limit)))
+// capacity returns the number of tokens up to which a bucket fills.
+func (bs *Buckets) capacity(limit workspace.Allowance, portion float64) float64 {
+	return max(1, portion*(limit.Burst+burstToleranceShare*bs.tolerance.of(limit)))
 }
 
-// fill adds tokens to an account as far as its capacity goes. What it started with may be
-// more than that, and is not filled up again.
-func (l *Buckets) fill(a *account, tokens float64, limit workspace.Allowance, around FleetView) {
-	most := l.capacity(limit, a.portion)
-	if a.level < most {
-		a.level = min(most, a.level+tokens)
+// addTokens adds tokens to a bucket up to its capacity. The initial tokens may exceed the
+// capacity; the bucket does not fill up to that number again.
+func (bs *Buckets) addTokens(b *bucket, tokens float64, limit workspace.Allowance, view FleetView) {
+	capacity := bs.capacity(limit, b.portion)
+	if b.tokens < capacity {
+		b.tokens = min(capacity, b.tokens+tokens)
 	}
-	a.level = min(a.level, max(most, l.credit(limit, around, a.portion)))
+	b.tokens = min(b.tokens, max(capacity, bs.initialTokens(limit, view, b.portion)))
 }
 
-// refill adds the tokens of the time since the last look.
-func (l *Buckets) refill(now time.Time, a *account, limit workspace.Allowance, around FleetView) {
-	a.limit, a.portion, a.oneSided = limit, a.portionOf(now, around), around.silent()
-	if passed := now.Sub(a.at).Seconds(); passed > 0 {
-		l.fill(a, a.repay(passed*a.portion*limit.PerSecond), limit, around)
-		a.at = now
+// refill adds the tokens for the time since the last update.
+func (bs *Buckets) refill(now time.Time, b *bucket, limit workspace.Allowance, view FleetView) {
+	b.limit, b.portion, b.partitioned = limit, b.lendablePortion(now, view), view.partitioned()
+	if passed := now.Sub(b.updatedAt).Seconds(); passed > 0 {
+		bs.addTokens(b, b.repay(passed*b.portion*limit.PerSecond), limit, view)
+		b.updatedAt = now
 	}
 }
 
-// repay takes what is owed off new tokens, and returns the rest.
-func (a *account) repay(tokens float64) float64 {
-	paid := min(a.owed, tokens)
-	a.owed -= paid
+// repay pays the debt from new tokens and returns the rest.
+func (b *bucket) repay(tokens float64) float64 {
+	paid := min(b.debt, tokens)
+	b.debt -= paid
 	return tokens - paid
 }
 
-// lend takes tokens from the account.
-func (a *account) lend(now time.Time, ask BorrowRequest, limit workspace.Allowance) Grant {
-	need := min(max(0, ask.Need), max(0, int(a.level)))
-	ahead := 0
-	if spare := a.level - float64(need) - aheadLevel*a.portion*limit.Burst; need == ask.Need && spare > 0 {
-		ahead = min(max(0, ask.Prefetch), int(spare))
+// lend takes tokens from the bucket.
+func (b *bucket) lend(now time.Time, req BorrowRequest, limit workspace.Allowance) Grant {
+	need := min(max(0, req.Need), max(0, int(b.tokens)))
+	prefetch := 0
+	if surplus := b.tokens - float64(need) - prefetchThreshold*b.portion*limit.Burst; need == req.Need && surplus > 0 {
+		prefetch = min(max(0, req.Prefetch), int(surplus))
 	}
-	a.level -= float64(need + ahead)
-	a.lent.add(now, float64(need+ahead), windowTime)
-	if need < ask.Need {
-		a.refused.add(now, float64(ask.Need-need), windowTime)
+	b.tokens -= float64(need + prefetch)
+	b.lent.add(now, float64(need+prefetch), usageTimeConstant)
+	if need < req.Need {
+		b.refused.add(now, float64(req.Need-need), usageTimeConstant)
 	}
-	grant := Grant{Lent: need + ahead}
-	if need < ask.Need {
-		grant.Wait = a.untilOne(limit)
+	grant := Grant{Lent: need + prefetch}
+	if need < req.Need {
+		grant.Wait = b.timeToNextToken(limit)
 	}
 	return grant
 }
 
-// untilOne returns how long it takes until a token is there.
-func (a *account) untilOne(limit workspace.Allowance) time.Duration {
-	rate := a.portion * limit.PerSecond
+// timeToNextToken returns the time until the bucket has a token.
+func (b *bucket) timeToNextToken(limit workspace.Allowance) time.Duration {
+	rate := b.portion * limit.PerSecond
 	if rate <= 0 {
-		return longestWait
+		return maxWait
 	}
-	return max(shortestWait, min(longestWait, time.Duration((1-a.level+a.owed)/rate*float64(time.Second))))
+	return max(minWait, min(maxWait, time.Duration((1-b.tokens+b.debt)/rate*float64(time.Second))))
 }
 
-// longestWait and shortestWait bound what a refusal says of when to come back; datagrams
-// carry whole milliseconds.
+// maxWait and minWait limit Grant.Wait; datagrams carry whole milliseconds.
 const (
-	longestWait  = 10 * time.Second
-	shortestWait = time.Millisecond
+	maxWait = 10 * time.Second
+	minWait = time.Millisecond
 )
 
-// sweep drops accounts that nobody borrows from any more.
-func (l *Buckets) sweep(now time.Time) {
-	if now.Sub(l.swept) < idleAccount/6 {
+// dropIdle drops the buckets from which no node borrows any more.
+func (bs *Buckets) dropIdle(now time.Time) {
+	if now.Sub(bs.lastSweep) < bucketIdleTimeout/6 {
 		return
 	}
-	l.swept = now
-	for name, a := range l.accounts {
-		if now.Sub(a.at) > idleAccount {
-			delete(l.accounts, name)
+	bs.lastSweep = now
+	for name, b := range bs.byWorkspace {
+		if now.Sub(b.updatedAt) > bucketIdleTimeout {
+			delete(bs.byWorkspace, name)
 		}
 	}
 }
--- a/internal/request/allowance/portion.go
+++ b/internal/request/allowance/portion.go
@@ -4,65 +4,66 @@
 	"time"
 )
 
-// note takes what an ask says of demand. While some data centres are not heard it says
-// nothing of how demand is spread.
-func (a *account) note(now time.Time, ask BorrowRequest) {
-	if ask.Share > 0 {
-		a.told[ask.DataCentre] = ask.Share
+// recordDemand records the demand that a request shows. While data centres are unreachable,
+// it does not show how demand is distributed, and only the reported share is kept.
+func (b *bucket) recordDemand(now time.Time, req BorrowRequest) {
+	if req.Share > 0 {
+		b.reportedShares[req.DataCentre] = req.Share
 	}
-	if a.oneSided {
+	if b.partitioned {
 		return
 	}
-	d := a.demand[ask.DataCentre]
+	d := b.demand[req.DataCentre]
 	if d == nil {
-		d = &decaying{}
-		a.demand[ask.DataCentre] = d
+		d = &decayingSum{}
+		b.demand[req.DataCentre] = d
 	}
-	d.add(now, float64(max(0, ask.Need)), demandTime)
+	d.add(now, float64(max(0, req.Need)), demandTimeConstant)
 }
 
-// shareOf returns what a data centre has of the demand that came here. The fewer requests
-// came, the more it goes by its part of the nodes.
-func (a *account) shareOf(now time.Time, dataCentre string, byNodes float64) float64 {
+// observedShare returns the share of a data centre in the demand that this node received. The
+// fewer requests it received, the more the data centre's share of the nodes counts.
+func (b *bucket) observedShare(now time.Time, dataCentre string, nodeShare float64) float64 {
 	total, own := 0.0, 0.0
-	for dc, d := range a.demand {
-		value := d.value(now, demandTime)
+	for dc, d := range b.demand {
+		value := d.value(now, demandTimeConstant)
 		total += value
 		if dc == dataCentre {
 			own = value
 		}
 	}
-	return (own + priorRequests*byNodes) / (total + priorRequests)
+	return (own + priorRequests*nodeShare) / (total + priorRequests)
 }
 
-// portionOf returns the part of the allowance that this node lends: all of it while every
-// data centre is heard.
-func (a *account) portionOf(now time.Time, around FleetView) float64 {
+// lendablePortion returns the part of the allowance that this node lends. An owner lends all
+// of it while every data centre is reachable.
+func (b *bucket) lendablePortion(now time.Time, view FleetView) float64 {
 	switch {
-	case len(around.Nodes) == 0:
+	case len(view.Nodes) == 0:
 		return 1
-	case around.Isolated:
-		return 1 / float64(around.nodes())
-	case around.PreferredReachable:
-		return substituteShare
-	case !around.silent():
+	case view.Isolated:
+		return 1 / float64(view.nodes())
+	case view.PreferredReachable:
+		return fallbackPortion
+	case !view.partitioned():
 		return 1
 	}
-	part := 0.0
-	for dc := range around.Nodes {
-		if around.Reachable[dc] {
-			part += a.partOf(now, dc, around)
+	portion := 0.0
+	for dc := range view.Nodes {
+		if view.Reachable[dc] {
+			portion += b.demandShare(now, dc, view)
 		}
 	}
-	return min(1, part)
+	return min(1, portion)
 }
 
-// partOf returns the part of a data centre in the demand. The natural owner has seen that
-// itself; a substitute sees one side of a cut only, and goes by what that owner told
-// those that borrow. A data centre that nobody was told of had no demand then.
-func (a *account) partOf(now time.Time, dc string, around FleetView) float64 {
-	if len(a.told) > 0 && !around.Preferred {
-		return a.told[dc]
+// demandShare returns the share of a data centre in the demand. The preferred owner has
+// observed it. A fallback owner sees only one side of a partition, and uses the shares that
+// the preferred owner reported to borrowers; a data centre without a reported share had no
+// demand.
+func (b *bucket) demandShare(now time.Time, dc string, view FleetView) float64 {
+	if len(b.reportedShares) > 0 && !view.Preferred {
+		return b.reportedShares[dc]
 	}
-	return a.shareOf(now, dc, around.partOfNodes(dc))
+	return b.observedShare(now, dc, view.nodeShare(dc))
 }
--- a/internal/request/allowance/purse.go
+++ b/internal/request/allowance/purse.go
@@ -7,155 +7,159 @@
 )
 
 const (
-	// lotTime is for how long ahead tokens are borrowed, and lapseTime after which they
-	// lapse: a node with ten requests a second of a workspace asks four times, and one
-	// with fewer for each request.
-	lotTime   = 250 * time.Millisecond
-	lapseTime = 2 * lotTime
-	// refusedTime is how long a node refuses by itself after an owner had too little to lend.
-	// The owner's account fills meanwhile, and holds more than that; asks for what is over
-	// the allowance are bounded by it to ten a second and node.
-	refusedTime = 100 * time.Millisecond
-	// arrivalTime is the time over which a node averages how often requests come.
-	arrivalTime = time.Second
-	// backTime is how old tokens may be that are given back.
-	backTime = 2 * time.Second
-	// idleLot is how long a node remembers a workspace that sends it nothing.
-	idleLot = time.Minute
+	// prefetchTime is the time of expected requests for which tokens are borrowed ahead, and
+	// tokenLifetime the time after which they expire. A node that receives ten requests per
+	// second of a workspace borrows four times per second, and one with fewer for each request.
+	prefetchTime  = 250 * time.Millisecond
+	tokenLifetime = 2 * prefetchTime
+	// minRefusalTime is the least time for which a node refuses requests without a request to
+	// the owner after the owner had too few tokens. The owner's bucket has room for the tokens
+	// of that time. It limits the requests for tokens beyond the allowance to ten per second
+	// and node.
+	minRefusalTime = 100 * time.Millisecond
+	// arrivalTimeConstant is the time over which a node averages the arrival rate of requests.
+	arrivalTimeConstant = time.Second
+	// maxReturnAge is the age up to which unused tokens are returned to the owner.
+	maxReturnAge = 2 * time.Second
+	// balanceIdleTimeout is how long a node keeps the balance of a workspace that sends it
+	// no request.
+	balanceIdleTimeout = time.Minute
 )
 
-// Decision says whether a request has its token.
+// Decision is the result of Take.
 type Decision int
 
-// The answers.
+// The decisions.
 const (
-	MustBorrow Decision = iota // the owner is to be asked
+	MustBorrow Decision = iota // a token has to be borrowed from the owner
 	Taken
 	Refused
-	// Unanswered: no owner answered, and the node's own part of the allowance is used up.
+	// Unanswered means that no owner answered, and the node's own part of the allowance is
+	// used up.
 	Unanswered
 )
 
-// Balances keeps the lots that one node has borrowed. It is not safe for concurrent use.
+// Balances holds the tokens that one node has borrowed. It is not safe for concurrent use.
 type Balances struct {
-	lots  map[string]*lot
-	swept time.Time
+	byWorkspace map[string]*balance
+	lastSweep   time.Time
 }
 
-// lot is what a node has of one workspace.
-type lot struct {
-	left     int
-	lapses   time.Time
-	refused  time.Time // until then requests are refused without asking
-	alone    bool      // because no owner answered
-	back     int       // tokens that were not used and are to be given back
-	backAt   time.Time // when the last of them was
-	arrivals decaying
-	share    float64 // of the own data centre in the demand, as an owner told it
+// balance holds the borrowed tokens of one workspace.
+type balance struct {
+	tokens       int
+	expiresAt    time.Time
+	refusedUntil time.Time // until then requests are refused without a request to the owner
+	unanswered   bool      // they are refused because no owner answered
+	returned     int       // unused tokens that are returned with the next request to the owner
+	returnedAt   time.Time // when the last of them was added
+	arrivals     decayingSum
+	demandShare  float64 // of this data centre, as an owner reported it
 }
 
-// NewBalances returns an empty purse.
-func NewBalances() *Balances { return &Balances{lots: map[string]*lot{}} }
+// NewBalances returns empty Balances.
+func NewBalances() *Balances { return &Balances{byWorkspace: map[string]*balance{}} }
 
-// Arrived notes a request of a workspace, before its first Take.
-func (p *Balances) Arrived(now time.Time, name string) {
-	p.sweep(now)
-	p.lot(name).arrivals.add(now, 1, arrivalTime)
+// Arrived records the arrival of a request of a workspace. It is called before Take.
+func (bs *Balances) Arrived(now time.Time, name string) {
+	bs.dropIdle(now)
+	bs.balance(name).arrivals.add(now, 1, arrivalTimeConstant)
 }
 
-// Take takes a token for a request. wait tells, of a refusal, when to come back.
-func (p *Balances) Take(now time.Time, name string) (answer Decision, wait time.Duration) {
-	l := p.lot(name)
-	l.lapse(now)
+// Take takes a token for a request. wait is the time after which a refused caller may retry.
+func (bs *Balances) Take(now time.Time, name string) (decision Decision, wait time.Duration) {
+	b := bs.balance(name)
+	b.expire(now)
 	switch {
-	case l.left > 0:
-		l.left--
+	case b.tokens > 0:
+		b.tokens--
 		return Taken, 0
-	case now.Before(l.refused) && l.alone:
-		return Unanswered, l.refused.Sub(now)
-	case now.Before(l.refused):
-		return Refused, l.refused.Sub(now)
+	case now.Before(b.refusedUntil) && b.unanswered:
+		return Unanswered, b.refusedUntil.Sub(now)
+	case now.Before(b.refusedUntil):
+		return Refused, b.refusedUntil.Sub(now)
 	}
 	return MustBorrow, 0
 }
 
-// Return gives back the token of a request that no target got.
-func (p *Balances) Return(now time.Time, name string) {
-	l := p.lot(name)
-	l.lapse(now)
-	if l.left > 0 {
-		l.left++
+// Return gives back the token of a request that reached no target.
+func (bs *Balances) Return(now time.Time, name string) {
+	b := bs.balance(name)
+	b.expire(now)
+	if b.tokens > 0 {
+		b.tokens++
 		return
 	}
-	l.giveBack(now, 1)
+	b.addReturned(now, 1)
 }
 
-// Request returns what to ask the owner for when so many requests wait. What it gives back
-// is given back once.
-func (p *Balances) Request(now time.Time, name string, waiting int) BorrowRequest {
-	l := p.lot(name)
-	l.lapse(now)
-	ask := BorrowRequest{Workspace: name, Need: waiting, Share: l.share}
-	perSecond := l.arrivals.value(now, arrivalTime) / arrivalTime.Seconds()
-	ask.Prefetch = max(0, int(perSecond*lotTime.Seconds())-waiting)
-	if now.Sub(l.backAt) < backTime {
-		ask.Returned = l.back
+// Request returns the request to the owner for a number of waiting requests. Unused tokens
+// are included in one such request only.
+func (bs *Balances) Request(now time.Time, name string, waiting int) BorrowRequest {
+	b := bs.balance(name)
+	b.expire(now)
+	req := BorrowRequest{Workspace: name, Need: waiting, Share: b.demandShare}
+	perSecond := b.arrivals.value(now, arrivalTimeConstant) / arrivalTimeConstant.Seconds()
+	req.Prefetch = max(0, int(perSecond*prefetchTime.Seconds())-waiting)
+	if now.Sub(b.returnedAt) < maxReturnAge {
+		req.Returned = b.returned
 	}
-	l.back = 0
-	return ask
+	b.returned = 0
+	return req
 }
 
-// Granted takes an owner's answer; alone: none answered, and the node lent to itself.
-func (p *Balances) Granted(now time.Time, name string, g Grant, alone bool) {
-	l := p.lot(name)
-	l.lapse(now)
-	l.left += g.Lent
-	l.lapses = now.Add(lapseTime)
+// Granted records an owner's answer. unanswered is set if no owner answered and the node lent
+// to itself.
+func (bs *Balances) Granted(now time.Time, name string, g Grant, unanswered bool) {
+	b := bs.balance(name)
+	b.expire(now)
+	b.tokens += g.Lent
+	b.expiresAt = now.Add(tokenLifetime)
 	if g.Share > 0 {
-		l.share = g.Share
+		b.demandShare = g.Share
 	}
-	if g.Wait > 0 { // those that got nothing of the lot would wait in vain
-		l.refused, l.alone = now.Add(max(refusedTime, g.Wait)), alone
+	if g.Wait > 0 { // requests that got no token would wait in vain
+		b.refusedUntil, b.unanswered = now.Add(max(minRefusalTime, g.Wait)), unanswered
 	}
 }
 
-// lapse ends a lot whose time is over; what is left of it goes back.
-func (l *lot) lapse(now time.Time) {
-	if l.left > 0 && now.After(l.lapses) {
-		l.giveBack(now, l.left)
-		l.left = 0
+// expire moves expired tokens to those that are returned to the owner.
+func (b *balance) expire(now time.Time) {
+	if b.tokens > 0 && now.After(b.expiresAt) {
+		b.addReturned(now, b.tokens)
+		b.tokens = 0
 	}
 }
 
-func (l *lot) giveBack(now time.Time, n int) {
-	if now.Sub(l.backAt) >= backTime {
-		l.back = 0
+func (b *balance) addReturned(now time.Time, n int) {
+	if now.Sub(b.returnedAt) >= maxReturnAge {
+		b.returned = 0
 	}
-	l.back += n
-	l.backAt = now
+	b.returned += n
+	b.returnedAt = now
 }
 
-func (p *Balances) lot(name string) *lot {
-	l := p.lots[name]
-	if l == nil {
-		l = &lot{}
-		p.lots[name] = l
+func (bs *Balances) balance(name string) *balance {
+	b := bs.byWorkspace[name]
+	if b == nil {
+		b = &balance{}
+		bs.byWorkspace[name] = b
 	}
-	return l
+	return b
 }
 
-// sweep forgets workspaces that send this node nothing any more.
-func (p *Balances) sweep(now time.Time) {
-	if now.Sub(p.swept) < idleLot/6 {
+// dropIdle drops the balances of workspaces that send this node no requests any more.
+func (bs *Balances) dropIdle(now time.Time) {
+	if now.Sub(bs.lastSweep) < balanceIdleTimeout/6 {
 		return
 	}
-	p.swept = now
-	for name, l := range p.lots {
-		if now.Sub(l.arrivals.at) > idleLot {
-			delete(p.lots, name)
+	bs.lastSweep = now
+	for name, b := range bs.byWorkspace {
+		if now.Sub(b.arrivals.updatedAt) > balanceIdleTimeout {
+			delete(bs.byWorkspace, name)
 		}
 	}
 }
 
-// NeedsToken reports whether requests of a workspace need a token at all.
+// NeedsToken reports whether requests of a workspace need a token.
 func NeedsToken(w *workspace.Workspace) bool { return w != nil && w.Allowance.Limited() }
--- a/internal/request/allowance/surroundings.go
+++ b/internal/request/allowance/surroundings.go
@@ -1,40 +1,40 @@
 package allowance
 
-// FleetView are what an owner knows of the fleet as it lends.
+// FleetView is what a lending node knows of the other nodes.
 type FleetView struct {
-	// Preferred: this node is the first in the workspace's order of all nodes that are
-	// registered, heard or not.
+	// Preferred reports whether this node is the preferred owner of the workspace: the first
+	// of all registered nodes, reachable or not, in rendezvous order.
 	Preferred bool
-	// PreferredReachable: the natural owner is another node, which lives.
+	// PreferredReachable reports whether the preferred owner is another node that is reachable.
 	PreferredReachable bool
-	// Isolated: this node hears no other, although there are some.
+	// Isolated reports whether this node can reach no other, although others are registered.
 	Isolated bool
-	// Nodes is how many nodes each data centre has, and Heard which data centres are
-	// heard, the own one included.
+	// Nodes is the number of nodes by data centre, and Reachable the reachable data centres,
+	// including this node's own.
 	Nodes     map[string]int
 	Reachable map[string]bool
 }
 
-// silent reports whether some data centre is not heard.
-func (s *FleetView) silent() bool {
-	for dc := range s.Nodes {
-		if !s.Reachable[dc] {
+// partitioned reports whether a data centre is unreachable.
+func (v *FleetView) partitioned() bool {
+	for dc := range v.Nodes {
+		if !v.Reachable[dc] {
 			return true
 		}
 	}
 	return false
 }
 
-// nodes returns how many nodes there are.
-func (s *FleetView) nodes() int {
+// nodes returns the number of nodes.
+func (v *FleetView) nodes() int {
 	sum := 0
-	for _, n := range s.Nodes {
+	for _, n := range v.Nodes {
 		sum += n
 	}
 	return sum
 }
 
-// partOfNodes returns the part of the nodes that a data centre has.
-func (s *FleetView) partOfNodes(dc string) float64 {
-	return float64(s.Nodes[dc]) / float64(max(1, s.nodes()))
+// nodeShare returns the share of a data centre in the nodes.
+func (v *FleetView) nodeShare(dc string) float64 {
+	return float64(v.Nodes[dc]) / float64(max(1, v.nodes()))
 }
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -53,11 +53,11 @@
 mutant 10 internal/version/workspace/workspace.go 's/x\.byKey\[hash\] = nil/x.byKey[hash] = holder/' internal/version/workspace TestKeysNameOneWorkspace
 mutant 10 platform/workspaces.go 's/h\.Del\(headerAuthorization\)/h.Del(headerWorkspace)/' lab/hosted TestTargetsLearnTheWorkspace
 mutant 10 internal/request/job/record.go 's/if workspace == "" \{/if workspace != "never" {/' lab/hosted TestJobsBelongToTheirWorkspace
-mutant 10 internal/request/allowance/ledger.go 's/last\.sequence == ask\.Sequence &&/last.sequence > ask.Sequence \&\&/' internal/request/allowance TestLedgerKeepsTheAllowance
-mutant 10 internal/request/allowance/ledger.go 's/if around\.Preferred && !l\.justStarted/if !l.justStarted/' internal/request/allowance TestNewOwnerBringsNoNewBurst
-mutant 10 internal/request/allowance/ledger.go 's/if !around\.Preferred && l\.justStarted\(now\) \{/if !around.Preferred \&\& l.justStarted(now) \&\& a.at.IsZero() {/' lab/model/quota TestAllowanceHoldsWhileCutNodesStartAgain
-mutant 10 internal/request/allowance/portion.go 's/case around\.PreferredReachable:\n\t\treturn substituteShare/case around.PreferredReachable:\n\t\treturn 1/' internal/request/allowance TestNewOwnerBringsNoNewBurst
-mutant 10 internal/request/allowance/portion.go 's/case !around\.silent\(\):/case !around.silent() || around.Preferred:/' internal/request/allowance TestBothSidesOfACutShareTheAllowance
+mutant 10 internal/request/allowance/ledger.go 's/last\.sequence == req\.Sequence &&/last.sequence > req.Sequence \&\&/' internal/request/allowance TestBucketsKeepTheAllowance
+mutant 10 internal/request/allowance/ledger.go 's/if view\.Preferred && !bs\.justStarted/if !bs.justStarted/' internal/request/allowance TestNewOwnerBringsNoNewBurst
+mutant 10 internal/request/allowance/ledger.go 's/if !view\.Preferred && bs\.justStarted\(now\) \{/if !view.Preferred \&\& bs.justStarted(now) \&\& b.updatedAt.IsZero() {/' lab/model/quota TestAllowanceHoldsWhileCutNodesStartAgain
+mutant 10 internal/request/allowance/portion.go 's/case view\.PreferredReachable:\n\t\treturn fallbackPortion/case view.PreferredReachable:\n\t\treturn 1/' internal/request/allowance TestNewOwnerBringsNoNewBurst
+mutant 10 internal/request/allowance/portion.go 's/case !view\.partitioned\(\):/case !view.partitioned() || view.Preferred:/' internal/request/allowance TestBothSidesOfACutShareTheAllowance
 mutant 10 platform/front.go 's/f\.node\.Allowances\(\)\.Return\(by\)//' lab/hosted TestUnrunRequestsTakeNothing
 mutant 10 internal/connection/lending/lending.go 's/owner == x\.Node \{/owner != "" {/' lab/hosted TestAllowanceHoldsOverTheFleet
 mutant 10 internal/request/allowance/purse.go 's/if g\.Wait > 0 \{/if g.Lent == 0 {/' lab/model/quota TestManyRequestsShareAnAsk
