--- a/internal/request/homes/convert.go
+++ b/internal/request/homes/convert.go
@@ -14,17 +14,17 @@
 		NonIdempotent: r.NonIdempotent, DeadlineUnixMs: r.Deadline, CreatedUnixS: r.Created, Service: r.Service}
 }
 
-// RequestFromProto converts a held request from its wire form.
+// RequestFromProto converts a request from its wire form.
 func RequestFromProto(r *v1.HoldRequest) hold.Request {
 	return hold.Request{ID: r.RequestId, Workspace: r.Workspace, Key: r.IdempotencyKey, Digest: r.Digest,
 		Owner: r.Owner, OwnerIncarnation: r.OwnerIncarnation, Path: r.Path, Body: r.Body,
 		NonIdempotent: r.NonIdempotent, Deadline: r.DeadlineUnixMs, Created: r.CreatedUnixS, Service: r.Service}
 }
 
-// AnswerToProto converts a home's answer to its wire form.
+// AnswerToProto converts a replica's answer to its wire form.
 func AnswerToProto(a hold.Answer) *v1.HoldResponse {
 	return &v1.HoldResponse{State: v1.HoldState(a.State), RequestId: a.RequestID, Owner: a.Owner,
-		OwnerIncarnation: a.OwnerIncarnation, Result: optional(a.Result)}
+		OwnerIncarnation: a.OwnerIncarnation, Result: optionalResultToProto(a.Result)}
 }
 
 func answerFromProto(a *v1.HoldResponse) hold.Answer {
@@ -32,7 +32,7 @@
 		OwnerIncarnation: a.OwnerIncarnation, Result: resultFromProto(a.Result)}
 }
 
-func optional(r *hold.Result) *v1.Result {
+func optionalResultToProto(r *hold.Result) *v1.Result {
 	if r == nil {
 		return nil
 	}
--- a/internal/request/homes/find_test.go
+++ b/internal/request/homes/find_test.go
@@ -21,26 +21,26 @@
 	"github.com/marblepond/marblepond/internal/request/hold"
 )
 
-// place is another node, with what it says of each request.
-type place struct {
+// fakePeer is another node that gives the same answer to each lookup.
+type fakePeer struct {
 	marblepondv1connect.UnimplementedPeerServiceHandler
 	answer *v1.LookupResponse
 }
 
-func (p place) Lookup(context.Context, *v1.LookupRequest) (*v1.LookupResponse, error) {
+func (p fakePeer) Lookup(context.Context, *v1.LookupRequest) (*v1.LookupResponse, error) {
 	return p.answer, nil
 }
 
-// startPlace returns the address of a node that gives an answer.
-func startPlace(t *testing.T, answer *v1.LookupResponse) string {
+// startFakePeer starts a fakePeer and returns its address.
+func startFakePeer(t *testing.T, answer *v1.LookupResponse) string {
 	mux := http.NewServeMux()
-	mux.Handle(marblepondv1connect.NewPeerServiceHandler(place{answer: answer}, connect.WithInterceptors()))
+	mux.Handle(marblepondv1connect.NewPeerServiceHandler(fakePeer{answer: answer}, connect.WithInterceptors()))
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func newFinder(t *testing.T, view *member.View) *Replicator {
+func newTestReplicator(t *testing.T, view *member.View) *Replicator {
 	empty := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "[]") }))
 	t.Cleanup(empty.Close)
 	store := platform.New(platform.Options{URL: empty.URL, HTTP: http.DefaultClient, Timeout: time.Second, ReadRate: 100, WriteRate: 100, Metrics: tally.NoopScope})
@@ -51,24 +51,23 @@
 	return member.Member{Info: member.Info{ID: id, DataCentre: dataCentre, PeerAddr: addr}, State: state}
 }
 
-// TestWhatIsNotHeardYetIsNotDenied: a node that has just started knows neither all data
-// centres nor all nodes of its own. Of what may be there it does not say that it does not
-// exist; what others know it finds.
+// TestUndiscoveredNodesAreNotTakenForUnknown: a node that has just started has not
+// discovered all data centres, nor all nodes of its own. It must not report a request
+// that those may know as nonexistent, and must find one that other nodes know.
 //
-// What happened: an answer that a node had given was "not_found" at a node of the other
-// data centre, half a second after the start of both (TestFirstSteps). Why: a data centre
-// that was not heard of yet was taken for one that does not exist. What showed it: with the
-// first exchange of a started node put off, each of three plays of TestFirstSteps fails
-// with the same answer.
-func TestWhatIsNotHeardYetIsNotDenied(t *testing.T) {
+// Failure seen in TestFirstSteps: half a second after two nodes of different data centres
+// had started, one returned "not_found" for a result of the other, since it treated a data
+// centre that it had not discovered yet as one that does not exist. Delaying the first
+// exchange of a started node reproduces this in each of three runs of TestFirstSteps.
+func TestUndiscoveredNodesAreNotTakenForUnknown(t *testing.T) {
 	now := time.Now().Unix()
-	unknown, done, unsure := &v1.LookupResponse{State: v1.HoldState(hold.Unknown)}, &v1.LookupResponse{State: v1.HoldState(hold.Done)}, &v1.LookupResponse{State: v1.HoldState(hold.Unknown), Unsure: true}
-	ignorant, knowing, doubting := startPlace(t, unknown), startPlace(t, done), startPlace(t, unsure)
+	unknown, done, unsureResponse := &v1.LookupResponse{State: v1.HoldState(hold.Unknown)}, &v1.LookupResponse{State: v1.HoldState(hold.Done)}, &v1.LookupResponse{State: v1.HoldState(hold.Unknown), Unsure: true}
+	unknownAddr, doneAddr, unsureAddr := startFakePeer(t, unknown), startFakePeer(t, done), startFakePeer(t, unsureResponse)
 	here := member.Info{ID: "n0", DataCentre: "here"}
 	var many []member.Member
 	duty := []string{"n0"}
 	for n := range 8 {
-		many = append(many, node(fmt.Sprint("m", n), "here", ignorant, member.Alive))
+		many = append(many, node(fmt.Sprint("m", n), "here", unknownAddr, member.Alive))
 		duty = append(duty, fmt.Sprint("m", n))
 	}
 	for _, c := range []struct {
@@ -78,21 +77,21 @@
 		want hold.State
 		sure bool
 	}{
-		{"a data centre that is not there", member.View{Self: here, Duty: duty[:1]}, NewID("there", "", now, "w", ""), hold.Unknown, true},
-		{"a data centre that may not be heard yet", member.View{Self: here, Duty: duty[:1], SilentSeeds: true}, NewID("there", "", now, "w", ""), hold.Unknown, false},
-		{"nodes here that are not listed yet", member.View{Self: here, Duty: duty[:1], Unlisted: true}, NewID("here", "", now, "w", ""), hold.Unknown, false},
-		{"a listed node that was not heard yet", member.View{Self: here, Duty: duty[:1], Members: []member.Member{node("m0", "here", knowing, member.Suspect)}}, NewID("here", "", now, "w", ""), hold.Done, true},
-		{"a listed node that does not answer", member.View{Self: here, Duty: duty[:1], Members: []member.Member{node("m0", "here", "127.0.0.1:1", member.Suspect)}}, NewID("here", "", now, "w", ""), hold.Unknown, false},
-		{"many nodes that started since", member.View{Self: here, Duty: duty, Members: append([]member.Member{node("k", "here", knowing, member.Alive)}, many...)}, NewID("here", "", now, "w", ""), hold.Done, true},
-		{"many nodes, none of which knows it", member.View{Self: here, Duty: duty, Members: many}, NewID("here", "", now, "w", ""), hold.Unknown, true},
-		{"a contact that is not sure before one that knows", member.View{Self: here, Duty: duty[:1],
-			Contacts: []member.Member{node("t0", "there", doubting, member.Alive), node("t1", "there", knowing, member.Alive)}}, NewID("there", "", now, "w", ""), hold.Done, true},
-		{"a contact that is not sure alone", member.View{Self: here, Duty: duty[:1], Contacts: []member.Member{node("t0", "there", doubting, member.Alive)}}, NewID("there", "", now, "w", ""), hold.Unknown, false},
-		{"an old ID asks no further", member.View{Self: here, Duty: duty[:1], Unlisted: true}, NewID("here", "", now-3600, "w", ""), hold.Unknown, true},
+		{"a data centre that does not exist", member.View{Self: here, Duty: duty[:1]}, NewID("there", "", now, "w", ""), hold.Unknown, true},
+		{"a data centre that may not be discovered yet", member.View{Self: here, Duty: duty[:1], SilentSeeds: true}, NewID("there", "", now, "w", ""), hold.Unknown, false},
+		{"nodes of this data centre that are not listed yet", member.View{Self: here, Duty: duty[:1], Unlisted: true}, NewID("here", "", now, "w", ""), hold.Unknown, false},
+		{"a listed node that is suspect", member.View{Self: here, Duty: duty[:1], Members: []member.Member{node("m0", "here", doneAddr, member.Suspect)}}, NewID("here", "", now, "w", ""), hold.Done, true},
+		{"a listed node that does not respond", member.View{Self: here, Duty: duty[:1], Members: []member.Member{node("m0", "here", "127.0.0.1:1", member.Suspect)}}, NewID("here", "", now, "w", ""), hold.Unknown, false},
+		{"many nodes that started after the registration", member.View{Self: here, Duty: duty, Members: append([]member.Member{node("k", "here", doneAddr, member.Alive)}, many...)}, NewID("here", "", now, "w", ""), hold.Done, true},
+		{"many nodes, none of which knows the request", member.View{Self: here, Duty: duty, Members: many}, NewID("here", "", now, "w", ""), hold.Unknown, true},
+		{"an unsure contact before one that knows the result", member.View{Self: here, Duty: duty[:1],
+			Contacts: []member.Member{node("t0", "there", unsureAddr, member.Alive), node("t1", "there", doneAddr, member.Alive)}}, NewID("there", "", now, "w", ""), hold.Done, true},
+		{"an unsure contact alone", member.View{Self: here, Duty: duty[:1], Contacts: []member.Member{node("t0", "there", unsureAddr, member.Alive)}}, NewID("there", "", now, "w", ""), hold.Unknown, false},
+		{"an old request is looked up at its replicas only", member.View{Self: here, Duty: duty[:1], Unlisted: true}, NewID("here", "", now-3600, "w", ""), hold.Unknown, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			answer, err := newFinder(t, &c.view).Find(context.Background(), c.id, "w", 0)
+			answer, err := newTestReplicator(t, &c.view).Find(context.Background(), c.id, "w", 0)
 			is.Equal(answer.State, c.want)
 			is.Equal(err == nil, c.sure)
 		})
--- a/internal/request/homes/homes.go
+++ b/internal/request/homes/homes.go
@@ -1,10 +1,11 @@
-// Package homes keeps requests and results at their two home nodes. The first
-// home is the first live member of the request's data centre by rendezvous
-// hashing of its placement: there resends of one key meet. The second home is
-// a node of the first other data centre (by name) that can be reached, else the next
-// member of the same one. Both keep the answer until the first home has
-// written it to the platform in a group with others, so that an accepted
-// request outlives any node and any data centre.
+// Package homes replicates each online request and its result on two nodes.
+// The first replica is the first live member of the request's data centre in
+// the rendezvous order of the request's placement, so that all resends of one
+// idempotency key reach the same node. The second replica is a node of the
+// first other data centre (by name) that is reachable, or the next member of
+// the same data centre if there is none. Both keep the result until the first
+// replica has written it to the platform in a batch with others, so that an
+// accepted request survives the loss of any one node or data centre.
 package homes
 
 import (
@@ -24,92 +25,97 @@
 )
 
 const (
-	// homeCount is how many nodes keep a request.
-	homeCount = 2
-	// candidates is how many nodes are tried for that, so that a node that
-	// just died does not hold a request up.
-	candidates = 4
-	// callTimeout bounds one call to a home.
+	// replicaCount is the number of nodes that keep a request.
+	replicaCount = 2
+	// maxCandidates is the number of nodes that may be tried as replicas, so
+	// that a node that died a moment ago does not delay a request.
+	maxCandidates = 4
+	// callTimeout bounds one call to a replica.
 	callTimeout = 500 * time.Millisecond
 )
 
-// Replicator holds this node's part and talks to the other homes.
+// Replicator keeps the requests that have a replica on this node and calls the
+// replicas on other nodes. A method whose name ends in Local uses this node's
+// table only; one that ends in InDataCentre serves a relayed call from another
+// data centre by calling the replicas of this one.
 type Replicator struct {
 	membership func() *member.View
 	pool       *peer.Pool
 	platform   *platform.Client
 	recorder   *timeline.Recorder
 	rerun      func(hold.Request)
-	name       string // makes names of result objects unique
+	instance   string // node ID and a random part, for unique names of result objects
 
 	mu         sync.Mutex
 	table      *hold.Table
-	seq        int
-	avoidUntil map[string]time.Time // peers of other data centres that did not answer
+	objectSeq  int
+	avoidUntil map[string]time.Time // by address of a node of another data centre that did not respond
 }
 
-// New returns a keeper bounded to limit bytes. rerun is called, once per
-// request, with requests whose owner died and that this node must now run.
+// New returns a replicator whose table is bounded to limit bytes. rerun is
+// called, once per request, with requests whose owner died and that this node
+// must now run.
 func New(limit int, view func() *member.View, pool *peer.Pool, p *platform.Client, r *timeline.Recorder, rerun func(hold.Request)) *Replicator {
 	return &Replicator{membership: view, pool: pool, platform: p, recorder: r, rerun: rerun,
-		name: view().Self.ID + "-" + rand.Text()[:8], table: hold.New(limit), avoidUntil: map[string]time.Time{}}
+		instance: view().Self.ID + "-" + rand.Text()[:8], table: hold.New(limit), avoidUntil: map[string]time.Time{}}
 }
 
-// Register holds a request at its homes. The answer's state is Fresh when the
-// sender is to run it. Errors: Overloaded when no home takes it.
-func (k *Replicator) Register(ctx context.Context, r hold.Request) (hold.Answer, error) {
+// Register stores a request at its replicas. The answer's state is Registered
+// if the caller is to run the request. Errors: Overloaded if no replica accepts
+// it.
+func (rp *Replicator) Register(ctx context.Context, r hold.Request) (hold.Answer, error) {
 	if r.Key == "" {
-		return k.registerUnkeyed(ctx, r)
+		return rp.registerUnkeyed(ctx, r)
 	}
-	held := 0
-	for _, s := range k.seats(r.ID) { // in order: resends meet at the first
+	registered := 0
+	for _, s := range rp.candidates(r.ID) { // in order, so that resends of a key are detected at the first
 		var answer hold.Answer
-		err := k.at(s, func(c peerClient, relay bool) (err error) {
-			answer, err = k.holdAt(ctx, c, relay, r)
+		err := rp.callAt(s, func(c peerClient, relay bool) (err error) {
+			answer, err = rp.holdAt(ctx, c, relay, r)
 			return err
 		})
 		switch {
 		case err != nil || answer.State == hold.Full:
-			continue // the next seat stands in
+			continue // the next candidate replaces it
 		case answer.State == hold.Registered:
-			held++
+			registered++
 		default:
-			if held > 0 {
-				k.Drop(ctx, r.ID) // an earlier home had lost what this one knows
+			if registered > 0 {
+				rp.Drop(ctx, r.ID) // an earlier replica had lost the request that this one knows
 			}
 			return answer, nil
 		}
-		if held == homeCount {
+		if registered == replicaCount {
 			break
 		}
 	}
-	return fresh(r, held)
+	return registeredAnswer(r, registered)
 }
 
-// errFull says that a home has no room.
-var errFull = errors.New("home holds as much as it may")
+// errTableFull means that a replica's table has reached its limit.
+var errTableFull = errors.New("the replica's table of requests is full")
 
-func (k *Replicator) registerUnkeyed(ctx context.Context, r hold.Request) (hold.Answer, error) {
-	held := k.each(r.ID, homeCount, func(c peerClient, relay bool) error {
-		answer, err := k.holdAt(ctx, c, relay, r)
+func (rp *Replicator) registerUnkeyed(ctx context.Context, r hold.Request) (hold.Answer, error) {
+	registered := rp.callEach(r.ID, replicaCount, func(c peerClient, relay bool) error {
+		answer, err := rp.holdAt(ctx, c, relay, r)
 		if err == nil && answer.State == hold.Full {
-			return errFull
+			return errTableFull
 		}
 		return err
 	})
-	return fresh(r, held)
+	return registeredAnswer(r, registered)
 }
 
-func fresh(r hold.Request, held int) (hold.Answer, error) {
-	if held == 0 {
+func registeredAnswer(r hold.Request, replicas int) (hold.Answer, error) {
+	if replicas == 0 {
 		return hold.Answer{}, errkind.Overloaded.New("no node can keep the request")
 	}
 	return hold.Answer{State: hold.Registered, RequestID: r.ID}, nil
 }
 
-func (k *Replicator) holdAt(ctx context.Context, c peerClient, relay bool, r hold.Request) (hold.Answer, error) {
+func (rp *Replicator) holdAt(ctx context.Context, c peerClient, relay bool, r hold.Request) (hold.Answer, error) {
 	if c == nil {
-		return k.HoldLocal(r), nil
+		return rp.HoldLocal(r), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -122,38 +128,40 @@
 	return answerFromProto(resp), nil
 }
 
-// HoldInDataCentre takes a request from another data centre to this one's first home.
-func (k *Replicator) HoldInDataCentre(ctx context.Context, r hold.Request) (hold.Answer, error) {
-	client, local, err := k.client(k.ranked(r.ID)[0])
+// HoldInDataCentre registers a request of another data centre at the first
+// replica of this one.
+func (rp *Replicator) HoldInDataCentre(ctx context.Context, r hold.Request) (hold.Answer, error) {
+	client, local, err := rp.clientFor(rp.rankedNodes(r.ID)[0])
 	if err != nil || local {
-		return k.HoldLocal(r), nil
+		return rp.HoldLocal(r), nil
 	}
-	return k.holdAt(ctx, client, false, r)
+	return rp.holdAt(ctx, client, false, r)
 }
 
-// HoldLocal registers a request in this node's own table.
-func (k *Replicator) HoldLocal(r hold.Request) hold.Answer {
-	k.recorder.Record(timeline.RequestHeld, r.ID, r.Owner, "")
+// HoldLocal registers a request in this node's table.
+func (rp *Replicator) HoldLocal(r hold.Request) hold.Answer {
+	rp.recorder.Record(timeline.RequestHeld, r.ID, r.Owner, "")
 	id, _ := ParseID(r.ID)
 	r.DataCentre = id.DataCentre
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.table.Hold(r)
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
+	return rp.table.Hold(r)
 }
 
-// Finish stores a final answer at the homes; it returns how many have it.
-func (k *Replicator) Finish(ctx context.Context, r hold.Result) int {
-	stored := k.each(r.RequestID, homeCount, func(c peerClient, relay bool) error { return k.finishAt(ctx, c, relay, r) })
-	if stored == 0 {
-		k.FinishLocal(r, false)
-		stored = 1
+// Finish stores a result at the replicas and returns how many have it. If none
+// accepts it, this node keeps it.
+func (rp *Replicator) Finish(ctx context.Context, r hold.Result) int {
+	replicas := rp.callEach(r.RequestID, replicaCount, func(c peerClient, relay bool) error { return rp.finishAt(ctx, c, relay, r) })
+	if replicas == 0 {
+		rp.FinishLocal(r, false)
+		replicas = 1
 	}
-	return stored
+	return replicas
 }
 
-func (k *Replicator) finishAt(ctx context.Context, c peerClient, relay bool, r hold.Result) error {
+func (rp *Replicator) finishAt(ctx context.Context, c peerClient, relay bool, r hold.Result) error {
 	if c == nil {
-		k.FinishLocal(r, false)
+		rp.FinishLocal(r, false)
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -162,37 +170,37 @@
 	return err
 }
 
-// FinishInDataCentre takes a final answer from another data centre to this one's
-// first home.
-func (k *Replicator) FinishInDataCentre(ctx context.Context, r hold.Result) error {
-	client, local, err := k.client(k.ranked(r.RequestID)[0])
+// FinishInDataCentre stores a result of another data centre at the first replica
+// of this one.
+func (rp *Replicator) FinishInDataCentre(ctx context.Context, r hold.Result) error {
+	client, local, err := rp.clientFor(rp.rankedNodes(r.RequestID)[0])
 	if err != nil || local {
-		k.FinishLocal(r, false)
+		rp.FinishLocal(r, false)
 		return nil
 	}
-	return k.finishAt(ctx, client, false, r)
+	return rp.finishAt(ctx, client, false, r)
 }
 
-// FinishLocal stores a final answer in this node's own table. The first
-// answer of a request stands.
-func (k *Replicator) FinishLocal(r hold.Result, durable bool) bool {
-	k.recorder.Record(timeline.ResultHeld, r.RequestID, r.ErrorKind, "")
+// FinishLocal stores a result in this node's table. It returns false if the
+// request has a result already, which is kept.
+func (rp *Replicator) FinishLocal(r hold.Result, durable bool) bool {
+	rp.recorder.Record(timeline.ResultHeld, r.RequestID, r.ErrorKind, "")
 	id, _ := ParseID(r.RequestID)
 	r.Centre = id.DataCentre
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.table.Finish(r, durable)
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
+	return rp.table.Finish(r, durable)
 }
 
-// Drop forgets a request at its homes: it was refused before anything was
-// sent, and a resend is to start anew.
-func (k *Replicator) Drop(ctx context.Context, requestID string) {
-	k.each(requestID, candidates, func(c peerClient, relay bool) error { return k.dropAt(ctx, c, relay, requestID) })
+// Drop removes a request from its replicas. It was refused before anything was
+// sent to a target, and a resend of its key is to be run as a new request.
+func (rp *Replicator) Drop(ctx context.Context, requestID string) {
+	rp.callEach(requestID, maxCandidates, func(c peerClient, relay bool) error { return rp.dropAt(ctx, c, relay, requestID) })
 }
 
-func (k *Replicator) dropAt(ctx context.Context, c peerClient, relay bool, requestID string) error {
+func (rp *Replicator) dropAt(ctx context.Context, c peerClient, relay bool, requestID string) error {
 	if c == nil {
-		k.DropLocal(requestID)
+		rp.DropLocal(requestID)
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -201,39 +209,41 @@
 	return err
 }
 
-// DropInDataCentre forgets a request of another data centre at this one's first home.
-func (k *Replicator) DropInDataCentre(ctx context.Context, requestID string) error {
-	client, local, err := k.client(k.ranked(requestID)[0])
+// DropInDataCentre removes a request of another data centre from the first
+// replica of this one.
+func (rp *Replicator) DropInDataCentre(ctx context.Context, requestID string) error {
+	client, local, err := rp.clientFor(rp.rankedNodes(requestID)[0])
 	if err != nil || local {
-		k.DropLocal(requestID)
+		rp.DropLocal(requestID)
 		return nil
 	}
-	return k.dropAt(ctx, client, false, requestID)
+	return rp.dropAt(ctx, client, false, requestID)
 }
 
-// DropLocal forgets a request in this node's own table.
-func (k *Replicator) DropLocal(requestID string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.table.Drop(requestID)
+// DropLocal removes a request from this node's table.
+func (rp *Replicator) DropLocal(requestID string) {
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
+	rp.table.Drop(requestID)
 }
 
-// MarkFlushedLocal marks results as durable in this node's own table.
-func (k *Replicator) MarkFlushedLocal(requestIDs []string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.table.MarkFlushed(requestIDs)
+// MarkFlushedLocal marks results as durable in this node's table.
+func (rp *Replicator) MarkFlushedLocal(requestIDs []string) {
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
+	rp.table.MarkFlushed(requestIDs)
 }
 
-// LookupLocal reads this node's own table, waiting up to wait for an answer.
-func (k *Replicator) LookupLocal(ctx context.Context, requestID string, wait time.Duration) hold.Answer {
-	k.mu.Lock()
-	answer := k.table.Lookup(requestID)
+// LookupLocal reads this node's table, waiting up to wait for the result of a
+// running request.
+func (rp *Replicator) LookupLocal(ctx context.Context, requestID string, wait time.Duration) hold.Answer {
+	rp.mu.Lock()
+	answer := rp.table.Lookup(requestID)
 	var done <-chan struct{}
 	if answer.State == hold.Running && wait > 0 {
-		done = k.table.Wait(requestID)
+		done = rp.table.Wait(requestID)
 	}
-	k.mu.Unlock()
+	rp.mu.Unlock()
 	if done == nil {
 		return answer
 	}
@@ -242,14 +252,15 @@
 	case <-time.After(wait):
 	case <-ctx.Done():
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.table.Lookup(requestID)
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
+	return rp.table.Lookup(requestID)
 }
 
-// Workspace returns the workspace of a request in this node's own table.
-func (k *Replicator) Workspace(requestID string) string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.table.Workspace(requestID)
+// Workspace returns the workspace of a request in this node's table; empty if
+// it has no such request.
+func (rp *Replicator) Workspace(requestID string) string {
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
+	return rp.table.Workspace(requestID)
 }
--- a/internal/request/homes/homes_test.go
+++ b/internal/request/homes/homes_test.go
@@ -19,19 +19,19 @@
 	"github.com/marblepond/marblepond/internal/request/hold"
 )
 
-// TestRunningRequestsAreLookedAfterAgain: once was not enough when the data
-// centre of a request did not answer the first time.
-func TestRunningRequestsAreLookedAfterAgain(t *testing.T) {
+// TestRunningRequestsAreCheckedRepeatedly: one check was not enough if the data
+// centre of a request did not respond to it.
+func TestRunningRequestsAreCheckedRepeatedly(t *testing.T) {
 	is := is.New(t)
-	l, start := looks{}, time.Unix(1000, 0)
+	schedule, start := checkSchedule{}, time.Unix(1000, 0)
 	r := []hold.Request{{ID: "r", Created: 1000}}
 	seen := 0
 	for s := 4; s <= 40; s++ {
-		seen += len(l.due(start.Add(time.Duration(s)*time.Second), r))
+		seen += len(schedule.due(start.Add(time.Duration(s)*time.Second), r))
 	}
 	is.Equal(seen, 6) // at 4, 6, 9, 14, 21 and 32 seconds
-	l.due(start, nil)
-	is.Equal(len(l), 0)
+	schedule.due(start, nil)
+	is.Equal(len(schedule), 0)
 }
 
 func TestID(t *testing.T) {
@@ -56,7 +56,7 @@
 	f.Add("resp____")
 	f.Fuzz(func(t *testing.T, id string) {
 		if parsed, ok := ParseID(id); !ok && parsed != (ID{}) {
-			t.Fatal("half an ID")
+			t.Fatal("an invalid ID was parsed in part")
 		}
 	})
 }
@@ -68,23 +68,23 @@
 		results = append(results, &hold.Result{RequestID: NewID("dc", "", 1000, "w", ""), Body: make([]byte, 100<<10)})
 	}
 	total := 0
-	for _, g := range groups(results) {
+	for _, g := range groupByBucket(results) {
 		total += len(g)
 		is.True(len(g) <= 6) // 6 times 100 KiB in base64 is below 900 KiB
 	}
 	is.Equal(total, 40)
 }
 
-// TestSilentPlacesAreNotTakenForUnknown: read in the code: calls to homes end after 500 ms,
-// and a home, data centre or store that did not answer counted as one that knows nothing, so
-// that a caller was told that an answer it has does not exist. Proof: without the rule the
-// three silent places say that the request is unknown.
-func TestSilentPlacesAreNotTakenForUnknown(t *testing.T) {
+// TestNoResponseIsNotTakenForUnknown: calls to replicas time out after 500 ms. A replica,
+// data centre or platform that did not respond was treated as one that does not know the
+// request, so that a caller was told that a result it had received does not exist. The
+// three unresponsive cases fail without the rule.
+func TestNoResponseIsNotTakenForUnknown(t *testing.T) {
 	closed := httptest.NewServer(nil)
 	closed.Close()
 	empty := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "[]") }))
 	defer empty.Close()
-	silent := strings.TrimPrefix(closed.URL, "http://")
+	unresponsive := strings.TrimPrefix(closed.URL, "http://")
 	here := member.Info{ID: "n0", DataCentre: "here"}
 	for _, c := range []struct {
 		name, store string
@@ -93,19 +93,19 @@
 		sure        bool
 	}{
 		{"all answered", empty.URL, member.View{Self: here, Duty: []string{"n0"}}, NewID("here", "", 1000, "w", ""), true},
-		{"a data centre that is not there", empty.URL, member.View{Self: here, Duty: []string{"n0"}}, NewID("nowhere", "", 1000, "w", ""), true},
-		{"a home is silent", empty.URL, member.View{Self: here, Duty: []string{"n0", "n1"},
-			Members: []member.Member{{Info: member.Info{ID: "n1", DataCentre: "here", PeerAddr: silent}}}}, NewID("here", "", 1000, "w", ""), false},
-		{"a data centre is silent", empty.URL, member.View{Self: here, Duty: []string{"n0"},
-			Contacts: []member.Member{{Info: member.Info{ID: "m0", DataCentre: "there", PeerAddr: silent}}}}, NewID("there", "here", 1000, "w", ""), false},
-		{"the store is silent", closed.URL, member.View{Self: here, Duty: []string{"n0"}}, NewID("here", "", 1000, "w", ""), false},
+		{"a data centre that does not exist", empty.URL, member.View{Self: here, Duty: []string{"n0"}}, NewID("nowhere", "", 1000, "w", ""), true},
+		{"a replica does not respond", empty.URL, member.View{Self: here, Duty: []string{"n0", "n1"},
+			Members: []member.Member{{Info: member.Info{ID: "n1", DataCentre: "here", PeerAddr: unresponsive}}}}, NewID("here", "", 1000, "w", ""), false},
+		{"a data centre does not respond", empty.URL, member.View{Self: here, Duty: []string{"n0"},
+			Contacts: []member.Member{{Info: member.Info{ID: "m0", DataCentre: "there", PeerAddr: unresponsive}}}}, NewID("there", "here", 1000, "w", ""), false},
+		{"the platform does not respond", closed.URL, member.View{Self: here, Duty: []string{"n0"}}, NewID("here", "", 1000, "w", ""), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			store := platform.New(platform.Options{URL: c.store, HTTP: http.DefaultClient, Timeout: time.Second, ReadRate: 100, WriteRate: 100, Metrics: tally.NoopScope})
-			k := New(1<<20, func() *member.View { return &c.view }, peer.NewPool(http.DefaultClient, ""), store, nil, nil)
-			for range 2 { // the second time finds the silent address avoided
-				answer, err := k.Find(context.Background(), c.id, "w", 0)
+			rp := New(1<<20, func() *member.View { return &c.view }, peer.NewPool(http.DefaultClient, ""), store, nil, nil)
+			for range 2 { // the second time the unresponsive address is avoided
+				answer, err := rp.Find(context.Background(), c.id, "w", 0)
 				is.Equal(answer.State, hold.Unknown)
 				is.Equal(err == nil, c.sure)
 			}
--- a/internal/request/homes/id.go
+++ b/internal/request/homes/id.go
@@ -12,17 +12,18 @@
 // idPrefix starts every request ID.
 const idPrefix = "resp"
 
-// ID names a request: its data centres, creation time and placement are part
-// of it, so that any node finds its homes and, later, its stored result.
+// ID is a parsed request ID. It contains the data centres, the creation time and
+// the placement, so that any node can find the request's replicas and, later,
+// its stored result.
 type ID struct {
 	DataCentre       string
-	SecondDataCentre string // data centre of the second home; empty: the same
+	SecondDataCentre string // data centre of the second replica; empty: the same
 	Created          int64  // Unix seconds
-	Placement        string // ranks the homes; derived from the key when there is one
+	Placement        string // key of the rendezvous hash; derived from the idempotency key if there is one
 }
 
-// NewID returns a new request ID. Requests with the same workspace and key get
-// the same placement.
+// NewID returns a new request ID. Requests with the same workspace and
+// idempotency key get the same placement.
 func NewID(dataCentre, second string, created int64, workspace, key string) string {
 	nonce := rand.Text()[:12]
 	placed := nonce
@@ -32,7 +33,7 @@
 	return fmt.Sprintf("%s_%s_%s_%s_%08x_%s", idPrefix, dataCentre, second, strconv.FormatInt(created, 36), uint32(xxhash.Sum64String(placed)), nonce)
 }
 
-// ParseID reads a request ID; ok is false when it is none.
+// ParseID parses a request ID; it returns false if id is not one.
 func ParseID(id string) (ID, bool) {
 	parts := strings.Split(id, "_")
 	if len(parts) != 6 || parts[0] != idPrefix {
--- a/internal/request/homes/seats.go
+++ b/internal/request/homes/seats.go
@@ -12,42 +12,45 @@
 	"github.com/marblepond/marblepond/internal/process/wait"
 )
 
-func (k *Replicator) ranked(requestID string) []string {
+// rankedNodes returns the nodes of this data centre that may be a replica of a
+// request, in rendezvous order.
+func (rp *Replicator) rankedNodes(requestID string) []string {
 	id, _ := ParseID(requestID)
-	view := k.membership()
+	view := rp.membership()
 	members := view.Duty
-	if len(members) == 0 { // everyone is leaving, this node too
+	if len(members) == 0 { // all nodes are leaving, this node included
 		members = []string{view.Self.ID}
 	}
-	return rendezvous.Rank(id.Placement, members, candidates)
+	return rendezvous.Rank(id.Placement, members, maxCandidates)
 }
 
-// seat is a place that may keep a request.
-type seat struct {
-	node  string // of this data centre; empty: another data centre
-	relay bool   // the receiver passes the call on to its first home
-	addrs []string
+// candidate is a node, or a data centre, that may keep a replica of a request.
+type candidate struct {
+	node  string   // of this data centre; empty: another data centre
+	relay bool     // the receiver forwards the call to the first replica of its data centre
+	addrs []string // of contacts in the other data centre
 }
 
-// seats returns where a request may be kept, in order of preference.
-func (k *Replicator) seats(requestID string) []seat {
-	var seats []seat
-	for _, node := range k.ranked(requestID) {
-		seats = append(seats, seat{node: node})
+// candidates returns where a request may be replicated, in order of preference.
+func (rp *Replicator) candidates(requestID string) []candidate {
+	var list []candidate
+	for _, node := range rp.rankedNodes(requestID) {
+		list = append(list, candidate{node: node})
 	}
 	id, _ := ParseID(requestID)
-	if addrs := k.contacts(id.SecondDataCentre); len(addrs) > 0 && id.DataCentre == k.membership().Self.DataCentre {
-		away := seat{relay: true, addrs: addrs}
-		seats = append(seats[:1:1], append([]seat{away}, seats[1:]...)...)
+	if addrs := rp.contactAddrs(id.SecondDataCentre); len(addrs) > 0 && id.DataCentre == rp.membership().Self.DataCentre {
+		remote := candidate{relay: true, addrs: addrs}
+		list = append(list[:1:1], append([]candidate{remote}, list[1:]...)...)
 	}
-	return seats
+	return list
 }
 
-// contacts returns the addresses of a data centre's reachable contacts.
-func (k *Replicator) contacts(dataCentre string) []string {
+// contactAddrs returns the addresses of a data centre's contacts, without those
+// that are dead or did not respond lately.
+func (rp *Replicator) contactAddrs(dataCentre string) []string {
 	var addrs []string
-	for _, c := range k.membership().Contacts {
-		if c.DataCentre == dataCentre && c.State != member.Dead && !k.avoided(c.PeerAddr) {
+	for _, c := range rp.membership().Contacts {
+		if c.DataCentre == dataCentre && c.State != member.Dead && !rp.avoided(c.PeerAddr) {
 			addrs = append(addrs, c.PeerAddr)
 		}
 	}
@@ -55,83 +58,83 @@
 }
 
 const (
-	// unheardWait is how long a look-up waits for the first word of a data centre that
-	// this node, just started, may not know yet: one that is there answers within
-	// some ten milliseconds.
-	unheardWait = 300 * time.Millisecond
-	unheardLook = 10 * time.Millisecond
+	// discoveryWait is how long a lookup waits for the first message of a data centre
+	// that this node, which has just started, may not have discovered yet. An existing
+	// data centre responds within some ten milliseconds.
+	discoveryWait = 300 * time.Millisecond
+	discoveryPoll = 10 * time.Millisecond
 )
 
-// known reports whether there is such a data centre, silent or not. While there may be
-// some that are not known it waits for a short time.
-func (k *Replicator) known(ctx context.Context, dataCentre string) bool {
-	ctx, cancel := context.WithTimeout(ctx, unheardWait)
+// isKnown reports whether a data centre has been discovered, reachable or not. While
+// there may be undiscovered ones it waits for up to discoveryWait.
+func (rp *Replicator) isKnown(ctx context.Context, dataCentre string) bool {
+	ctx, cancel := context.WithTimeout(ctx, discoveryWait)
 	defer cancel()
 	for {
-		view := k.membership()
+		view := rp.membership()
 		known := slices.ContainsFunc(view.Contacts, func(c member.Member) bool { return c.DataCentre == dataCentre })
-		if known || !view.SilentSeeds || !wait.For(ctx, unheardLook) {
+		if known || !view.SilentSeeds || !wait.For(ctx, discoveryPoll) {
 			return known
 		}
 	}
 }
 
-// avoidTime is how long an address that did not answer is not asked again.
+// avoidTime is how long an address that did not respond is not called again.
 const avoidTime = 2 * time.Second
 
-func (k *Replicator) avoid(addr string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.avoidUntil[addr] = time.Now().Add(avoidTime)
+func (rp *Replicator) avoid(addr string) {
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
+	rp.avoidUntil[addr] = time.Now().Add(avoidTime)
 }
 
-func (k *Replicator) avoided(addr string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return time.Now().Before(k.avoidUntil[addr])
+func (rp *Replicator) avoided(addr string) bool {
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
+	return time.Now().Before(rp.avoidUntil[addr])
 }
 
-// SecondDataCentre returns the data centre for the second home of a new request:
-// the one with a reachable contact that was named first; empty when there is
-// none.
-func (k *Replicator) SecondDataCentre() string {
-	for _, c := range k.membership().Contacts {
-		if c.State != member.Dead && !c.Leaving && !k.avoided(c.PeerAddr) {
+// SecondDataCentre returns the data centre for the second replica of a new
+// request: the first by name with a reachable contact that is not leaving; empty
+// if there is none.
+func (rp *Replicator) SecondDataCentre() string {
+	for _, c := range rp.membership().Contacts {
+		if c.State != member.Dead && !c.Leaving && !rp.avoided(c.PeerAddr) {
 			return c.DataCentre
 		}
 	}
 	return ""
 }
 
-// each calls f at the first seats at the same time, as many as are wanted, and
-// at the following ones in place of those that fail. It returns how many have
-// taken the call.
-func (k *Replicator) each(requestID string, wanted int, f func(c peerClient, relay bool) error) (taken int) {
-	seats := k.seats(requestID)
-	first := seats[:min(wanted, len(seats))]
+// callEach calls f concurrently at as many candidates as replicas are wanted, and
+// then at the following candidates in place of those that failed. It returns the
+// number of successful calls.
+func (rp *Replicator) callEach(requestID string, replicas int, f func(c peerClient, relay bool) error) (succeeded int) {
+	list := rp.candidates(requestID)
+	first := list[:min(replicas, len(list))]
 	failed := make([]bool, len(first))
 	var wg sync.WaitGroup
 	for i, s := range first {
-		wg.Go(func() { failed[i] = k.at(s, f) != nil })
+		wg.Go(func() { failed[i] = rp.callAt(s, f) != nil })
 	}
 	wg.Wait()
-	for _, bad := range failed {
-		if !bad {
-			taken++
+	for _, isFailed := range failed {
+		if !isFailed {
+			succeeded++
 		}
 	}
-	for _, s := range seats[len(first):] {
-		if taken < wanted && k.at(s, f) == nil {
-			taken++
+	for _, s := range list[len(first):] {
+		if succeeded < replicas && rp.callAt(s, f) == nil {
+			succeeded++
 		}
 	}
-	return taken
+	return succeeded
 }
 
-// at calls f at one seat. A nil client means this node itself.
-func (k *Replicator) at(s seat, f func(c peerClient, relay bool) error) error {
+// callAt calls f for one candidate. A nil client means this node itself.
+func (rp *Replicator) callAt(s candidate, f func(c peerClient, relay bool) error) error {
 	if !s.relay {
-		client, local, err := k.client(s.node)
+		client, local, err := rp.clientFor(s.node)
 		if err != nil {
 			return err
 		}
@@ -142,18 +145,20 @@
 	}
 	err := errNotMember
 	for _, addr := range s.addrs {
-		if err = f(k.pool.Client(addr), true); err == nil {
+		if err = f(rp.pool.Client(addr), true); err == nil {
 			return nil
 		}
-		k.avoid(addr)
+		rp.avoid(addr)
 	}
 	return err
 }
 
+// errNotMember means that a node is not in the membership of this data centre, or
+// that another data centre has no contact to call.
 var errNotMember = errors.New("node is not a member")
 
-func (k *Replicator) client(node string) (c peerClient, local bool, err error) {
-	view := k.membership()
+func (rp *Replicator) clientFor(node string) (c peerClient, local bool, err error) {
+	view := rp.membership()
 	if node == view.Self.ID {
 		return nil, true, nil
 	}
@@ -161,5 +166,5 @@
 	if !ok {
 		return nil, false, errNotMember
 	}
-	return k.pool.Client(m.PeerAddr), false, nil
+	return rp.pool.Client(m.PeerAddr), false, nil
 }
--- a/internal/request/homes/watch.go
+++ b/internal/request/homes/watch.go
@@ -12,148 +12,157 @@
 	"github.com/marblepond/marblepond/internal/request/hold"
 )
 
-// TakeOverOrphans hands on, for rerun, the requests whose owner is gone and whose
-// first home is now this node.
-func (k *Replicator) TakeOverOrphans(view *member.View) {
-	for _, r := range k.orphans(view) {
-		if k.first(r.ID, view) {
-			k.takeOver(r, "owner is gone")
+// TakeOverOrphans reruns the requests whose owner has ended and whose first
+// replica is now this node.
+func (rp *Replicator) TakeOverOrphans(view *member.View) {
+	for _, r := range rp.orphans(view) {
+		if rp.isFirstReplica(r.ID, view) {
+			rp.takeOver(r, "the owner has ended")
 		}
 	}
 }
 
-// orphans returns the running requests of this data centre whose owner is gone.
-func (k *Replicator) orphans(view *member.View) []hold.Request {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.DeleteFunc(k.table.Orphans(view.Gone), func(r hold.Request) bool {
+// orphans returns the running requests of this data centre whose owner has ended.
+func (rp *Replicator) orphans(view *member.View) []hold.Request {
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
+	return slices.DeleteFunc(rp.table.Orphans(view.Gone), func(r hold.Request) bool {
 		id, _ := ParseID(r.ID)
 		return id.DataCentre != view.Self.DataCentre
 	})
 }
 
-// sweep takes over orphans that were left for more than a round: their first
-// home restarted and knows nothing of them, or they came after their owner's
-// death was seen. It returns the orphans seen.
-func (k *Replicator) sweep(before map[string]bool) map[string]bool {
+// sweepOrphans takes over the orphans that were already found by the previous
+// sweep: their first replica restarted and does not know them, or they were
+// registered after their owner's death was detected. It returns the IDs of all
+// orphans found.
+func (rp *Replicator) sweepOrphans(previous map[string]bool) map[string]bool {
 	seen := map[string]bool{}
-	for _, r := range k.orphans(k.membership()) {
+	for _, r := range rp.orphans(rp.membership()) {
 		seen[r.ID] = true
-		if before[r.ID] {
-			k.takeOver(r, "owner is gone and the first home does not know it")
+		if previous[r.ID] {
+			rp.takeOver(r, "the owner has ended and the first replica does not know the request")
 		}
 	}
 	return seen
 }
 
-func (k *Replicator) takeOver(r hold.Request, cause string) {
-	self := k.membership().Self
-	k.mu.Lock()
-	k.table.SetOwner(r.ID, self.ID, self.Incarnation)
-	k.mu.Unlock()
+// takeOver makes this node the owner of a request and reruns it. cause is
+// recorded with the event.
+func (rp *Replicator) takeOver(r hold.Request, cause string) {
+	self := rp.membership().Self
+	rp.mu.Lock()
+	rp.table.SetOwner(r.ID, self.ID, self.Incarnation)
+	rp.mu.Unlock()
 	r.Owner, r.OwnerIncarnation = self.ID, self.Incarnation
-	k.recorder.Record(timeline.RequestTakenOver, r.ID, "", cause)
-	go k.rerun(r)
+	rp.recorder.Record(timeline.RequestTakenOver, r.ID, "", cause)
+	go rp.rerun(r)
 }
 
-// watchAway is the time between looks at requests kept for other data centres.
-const watchAway = time.Second
-
-// lostAfter is how long the data centre of a request must not answer before
-// its second home runs the request.
-const lostAfter = 20 * time.Second
-
-// Watch takes over requests that nobody runs any more, of this data centre and
-// of others, until ctx ends. A data centre that answers and does not know a
-// request has lost both its owner and its first home; one that does not answer
-// for long is taken for lost: a request that both then run gets one answer, for
-// the first one stands.
-func (k *Replicator) Watch(ctx context.Context) {
-	silent := map[string]time.Time{} // by data centre: since when
-	looked := looks{}
-	left := map[string]bool{} // orphans of this data centre seen in the last round
+// watchInterval is the time between two rounds of Watch.
+const watchInterval = time.Second
+
+// dataCentreLostAfter is how long the data centre of a request must be unreachable
+// before the second replica runs the request.
+const dataCentreLostAfter = 20 * time.Second
+
+// Watch takes over requests that no node runs any more, of this data centre and
+// of others, until ctx ends. A data centre that responds and does not know a
+// request has lost both its owner and its first replica. One that has not
+// responded for dataCentreLostAfter is treated as lost. If both data centres then
+// run a request, it still gets one result: the first one is kept.
+func (rp *Replicator) Watch(ctx context.Context) {
+	unreachableSince := map[string]time.Time{} // by data centre
+	schedule := checkSchedule{}
+	orphans := map[string]bool{} // IDs found by the last sweep
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(watchAway):
+		case <-time.After(watchInterval):
 		}
-		left = k.sweep(left)
-		for _, r := range looked.due(time.Now(), k.away()) {
-			k.lookAway(ctx, r, silent)
+		orphans = rp.sweepOrphans(orphans)
+		for _, r := range schedule.due(time.Now(), rp.remoteRequests()) {
+			rp.checkRemote(ctx, r, unreachableSince)
 		}
 	}
 }
 
-// looks holds, by request, when it is looked after next.
-type looks map[string]time.Time
+// checkSchedule maps the ID of a request to the time of its next check.
+type checkSchedule map[string]time.Time
 
-// due returns the requests to be looked after now. A request that goes on is
-// looked after again when it is half as old again, so that a long one costs
-// few looks; requests that no longer run are forgotten.
-func (l looks) due(now time.Time, running []hold.Request) []hold.Request {
+// due returns the requests to check now. Each is due again after half of its
+// present age, so that a long request costs few checks. Requests that no longer
+// run are removed from the schedule.
+func (s checkSchedule) due(now time.Time, running []hold.Request) []hold.Request {
 	var due []hold.Request
-	still := map[string]bool{}
+	isRunning := map[string]bool{}
 	for _, r := range running {
-		still[r.ID] = true
-		if now.Before(l[r.ID]) {
+		isRunning[r.ID] = true
+		if now.Before(s[r.ID]) {
 			continue
 		}
 		due = append(due, r)
-		l[r.ID] = now.Add(now.Sub(time.Unix(r.Created, 0)) / 2)
+		s[r.ID] = now.Add(now.Sub(time.Unix(r.Created, 0)) / 2)
 	}
-	maps.DeleteFunc(l, func(id string, _ time.Time) bool { return !still[id] })
+	maps.DeleteFunc(s, func(id string, _ time.Time) bool { return !isRunning[id] })
 	return due
 }
 
-// away returns the running requests of other data centres that are due for a
-// look: older than a look's time, so that their owners have had time to end.
-func (k *Replicator) away() []hold.Request {
-	self := k.membership().Self
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// remoteRequests returns the running requests of other data centres that have
+// reached checkAgeSeconds, so that their owners have had time to finish.
+func (rp *Replicator) remoteRequests() []hold.Request {
+	self := rp.membership().Self
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
 	var out []hold.Request
-	for _, r := range k.table.Orphans(func(node string, incarnation uint64) bool { return node != self.ID || incarnation != self.Incarnation }) {
+	for _, r := range rp.table.Orphans(func(node string, incarnation uint64) bool { return node != self.ID || incarnation != self.Incarnation }) {
 		id, _ := ParseID(r.ID)
-		if id.DataCentre != self.DataCentre && time.Now().Unix()-r.Created >= lookAfter {
+		if id.DataCentre != self.DataCentre && time.Now().Unix()-r.Created >= checkAgeSeconds {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// lookAfter is the age in seconds from which a kept request is looked after.
-const lookAfter = 4
+// checkAgeSeconds is the age in seconds from which a request of another data
+// centre is checked.
+const checkAgeSeconds = 4
 
-func (k *Replicator) lookAway(ctx context.Context, r hold.Request, silent map[string]time.Time) {
+// checkRemote asks the data centre of a request for its state. It stores the
+// result if there is one, and takes the request over if the data centre is lost
+// or does not know the request.
+func (rp *Replicator) checkRemote(ctx context.Context, r hold.Request, unreachableSince map[string]time.Time) {
 	id, _ := ParseID(r.ID)
-	answer, err := k.askThere(ctx, id.DataCentre, r.ID, r.Workspace, 0)
+	answer, err := rp.lookupInRemoteCentre(ctx, id.DataCentre, r.ID, r.Workspace, 0)
 	if err != nil {
-		if silent[id.DataCentre].IsZero() {
-			silent[id.DataCentre] = time.Now()
+		if unreachableSince[id.DataCentre].IsZero() {
+			unreachableSince[id.DataCentre] = time.Now()
 		}
-		if time.Since(silent[id.DataCentre]) > lostAfter {
-			k.takeOver(r, "data centre "+id.DataCentre+" is lost")
+		if time.Since(unreachableSince[id.DataCentre]) > dataCentreLostAfter {
+			rp.takeOver(r, "data centre "+id.DataCentre+" is unreachable")
 		}
 		return
 	}
-	delete(silent, id.DataCentre)
+	delete(unreachableSince, id.DataCentre)
 	switch answer.State {
 	case hold.Done:
-		k.FinishLocal(*answer.Result, true)
+		rp.FinishLocal(*answer.Result, true)
 	case hold.Unknown:
-		k.takeOver(r, "data centre "+id.DataCentre+" has lost it")
+		rp.takeOver(r, "data centre "+id.DataCentre+" does not know the request")
 	}
 }
 
-func (k *Replicator) first(requestID string, view *member.View) bool {
+// isFirstReplica reports whether this node is the first replica of a request, or
+// all nodes of its data centre are leaving.
+func (rp *Replicator) isFirstReplica(requestID string, view *member.View) bool {
 	id, _ := ParseID(requestID)
 	return rendezvous.First(id.Placement, view.Duty) == view.Self.ID || len(view.Duty) == 0
 }
 
-// Size returns the number of entries held and their bytes.
-func (k *Replicator) Size() (entries, bytes int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.table.Size()
+// Size returns the number of entries of this node's table and their bytes.
+func (rp *Replicator) Size() (entries, bytes int) {
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
+	return rp.table.Size()
 }
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -22,8 +22,8 @@
 mutant 1 internal/record/record.go 's/c\.Phase != ChunkLeased \|\| c\.Holder != h \|\| c\.Epoch != epoch/c.Epoch < 0 \&\& epoch < 0/' internal/record TestFormerHolderIsFenced
 mutant 1 internal/record/record.go 's/if finished\[item\] \{/if finished[item] \&\& item < 0 {/' internal/record TestItemsCommitOnce
 mutant 1 internal/request/hold/hold.go 's/(t\.add\(e, overhead\)\n\t\}\n\tif e\.result != nil) \{/$1 \&\& durable {/' internal/request/hold TestResendJoinsAndConflicts
-mutant 1 internal/request/homes/durable.go 's/silent = errSilent/silent = nil/' internal/request/homes TestSilentPlacesAreNotTakenForUnknown
-mutant 1 internal/request/homes/watch.go 's/if now\.Before\(l\[r\.ID\]\)/if !l[r.ID].IsZero()/' internal/request/homes TestRunningRequestsAreLookedAfterAgain
+mutant 1 internal/request/homes/durable.go 's/unanswered = errNoResponse/unanswered = nil/' internal/request/homes TestNoResponseIsNotTakenForUnknown
+mutant 1 internal/request/homes/watch.go 's/if now\.Before\(s\[r\.ID\]\)/if !s[r.ID].IsZero()/' internal/request/homes TestRunningRequestsAreCheckedRepeatedly
 mutant 3 internal/request/pace/pace.go 's/-online-p\.cfg\.Reserve/-p.cfg.Reserve-0*online/' internal/request/pace TestBatchStaysWithinItsShare
 mutant 4 internal/request/assemble/assemble.go 's/p\.Attempt != a\.attempt \|\| //' internal/request/assemble TestGivenUpAttemptIsDropped
 mutant 4 internal/request/assemble/assemble.go 's/p\.RequestID != a\.requestID/p.RequestID == ""/' internal/request/assemble TestAnswerIsWhole
@@ -115,7 +115,7 @@
 mutant 3 internal/request/choose/room.go 's/e\.full = now/e.saturated = now/' internal/request/choose TestRefusedItemStopsNoOther
 mutant 3 internal/request/forward/place.go 's/f\.Targets\.RoomExpected\(req\.Service\)/f.Targets == nil/' internal/request/forward TestRoomOfItemsIsWaitedFor
 mutant 3 internal/process/hosted/peers.go 's/\]\.Boot != n\.boot \{/].Boot != n.boot \&\& n.boot < 0 {/' internal/process/hosted TestNodeJoinsOnceItIsKnown
-mutant 1 internal/request/homes/durable.go 's/case k\.membership\(\)\.SilentSeeds:/case k.membership().SilentSeeds \&\& centre == requestID:/' internal/request/homes TestWhatIsNotHeardYetIsNotDenied
+mutant 1 internal/request/homes/durable.go 's/case rp\.membership\(\)\.SilentSeeds:/case rp.membership().SilentSeeds \&\& centre == requestID:/' internal/request/homes TestUndiscoveredNodesAreNotTakenForUnknown
 mutant 1 internal/process/membership/membership.go 's/!m\.beat\(ctx, seed, ""\);/!m.beat(ctx, seed, "") \&\& pause < 0;/' internal/process/membership TestEverySeedIsAskedUntilItAnswers
 mutant 11 internal/request/choose/eligible.go 's/case t\.evacuated\[e\.DataCentre\]:/case t.evacuated[e.DataCentre] \&\& need.Batch:/' internal/request/choose TestEvacuatedTargetsGetNothing
 mutant 11 internal/request/choose/eligible.go 's/t\.warmUp\(now, e, t\.warmUpOf\(e\.Service\)\.Time\)/_ = e/' internal/request/choose TestReturnedTargetsWarmUp
