--- a/internal/request/hold/hold.go
+++ b/internal/request/hold/hold.go
@@ -1,9 +1,9 @@
-// Package hold keeps requests and results at their home nodes: a resend joins
-// the running request or reads its result, and the work of a node that died
-// is found again. It is pure.
+// Package hold keeps the table of requests and results of one replica node.
+// With it, a resend joins the running request or reads its result, and the
+// requests of a node that died can be found and run again. It does no I/O and
+// reads no clock.
 //
-// State: one entry per request of the last minutes whose key or ID ranks this
-// node first or second in its data centre.
+// State: one entry per recent request for which this node is a replica.
 package hold
 
 import (
@@ -11,27 +11,27 @@
 	"container/list"
 )
 
-// State of a request at its home.
+// State is the state of a request at a replica, or the outcome of its registration.
 type State int
 
-// The states, as in the peer protocol.
+// The states, with the values of HoldState in the peer protocol.
 const (
-	Registered State = iota + 1
-	Running
-	Done
-	Conflict
-	Full
-	Unknown
+	Registered State = iota + 1 // the sender may run the request
+	Running                     // the request runs already
+	Done                        // the request has its result
+	Conflict                    // the key was used with another digest
+	Full                        // the table has reached its limit
+	Unknown                     // the table has no such request
 )
 
-// Request is what a home keeps so that another node can run the request.
+// Request is what a replica keeps of a request, so that another node can run it.
 type Request struct {
 	ID               string
-	DataCentre       string // data centre it was taken in; keys are told apart by it
+	DataCentre       string // that accepted the request; keys are scoped by it
 	Workspace        string
 	Key              string
-	Digest           []byte
-	Owner            string
+	Digest           []byte // of method, path and body
+	Owner            string // node that runs the request
 	OwnerIncarnation uint64
 	Service          string
 	Path             string
@@ -41,10 +41,11 @@
 	Created          int64 // Unix seconds
 }
 
-// Result is the final answer of a request.
+// Result is the final result of a request. It is stored as JSON under its field
+// names.
 type Result struct {
 	RequestID   string
-	Centre      string
+	Centre      string // data centre that accepted the request
 	Workspace   string
 	Key         string
 	Digest      []byte
@@ -56,36 +57,38 @@
 }
 
 type entry struct {
-	request Request
-	result  *Result
-	durable bool // the result is in the platform
-	waiters []chan struct{}
-	place   *list.Element // in Table.order
-	pending *list.Element // in Table.pending, nil when durable or not finished
+	request        Request
+	result         *Result
+	durable        bool // the result is in the platform
+	waiters        []chan struct{}
+	orderElement   *list.Element // in Table.order
+	pendingElement *list.Element // in Table.pending, nil if durable or not finished
 }
 
 // Table holds the entries. It is not safe for concurrent use.
 type Table struct {
-	limit int // bytes
-	used  int
-	byID  map[string]*entry
-	byKey map[string]*entry
-	order *list.List // oldest first
+	limitBytes int
+	usedBytes  int
+	byID       map[string]*entry
+	byKey      map[string]*entry
+	order      *list.List // oldest first
 	// pending holds the finished entries that are not yet durable.
 	pending *list.List
 }
 
 // New returns a table bounded to limit bytes.
 func New(limit int) *Table {
-	return &Table{limit: limit, byID: map[string]*entry{}, byKey: map[string]*entry{}, order: list.New(), pending: list.New()}
+	return &Table{limitBytes: limit, byID: map[string]*entry{}, byKey: map[string]*entry{}, order: list.New(), pending: list.New()}
 }
 
-// overhead is the memory of an entry besides its contents, in bytes.
-const overhead = 400
+// entryOverheadBytes is the memory of an entry without the bodies of its request
+// and result.
+const entryOverheadBytes = 400
 
 func keyOf(r Request) string { return r.DataCentre + "\x00" + r.Workspace + "\x00" + r.Key }
 
-// Answer is the outcome of Hold and Lookup.
+// Answer is what Hold and Lookup return: the state of a request and, depending on
+// it, the node that runs the request or the result.
 type Answer struct {
 	State            State
 	RequestID        string
@@ -94,21 +97,22 @@
 	Result           *Result
 }
 
-// Hold registers a request. With a key that is known it answers what became
-// of that key's request instead.
+// Hold registers a request. If there is a request with its key or ID already,
+// Hold returns the state of that one instead. A running request with the same ID
+// is registered again, with r's owner.
 func (t *Table) Hold(r Request) Answer {
-	if known := t.find(r); known != nil {
-		if r.Key != "" && !bytes.Equal(known.request.Digest, r.Digest) {
-			return Answer{State: Conflict, RequestID: known.request.ID}
+	if existing := t.find(r); existing != nil {
+		if r.Key != "" && !bytes.Equal(existing.request.Digest, r.Digest) {
+			return Answer{State: Conflict, RequestID: existing.request.ID}
 		}
-		if known.request.ID == r.ID && known.result == nil {
-			known.request.Owner, known.request.OwnerIncarnation = r.Owner, r.OwnerIncarnation
+		if existing.request.ID == r.ID && existing.result == nil {
+			existing.request.Owner, existing.request.OwnerIncarnation = r.Owner, r.OwnerIncarnation
 			return Answer{State: Registered, RequestID: r.ID}
 		}
-		return known.answer()
+		return existing.answer()
 	}
-	size := overhead + len(r.Body)
-	if !t.makeRoom(size) {
+	size := entryOverheadBytes + len(r.Body)
+	if !t.evictFor(size) {
 		return Answer{State: Full}
 	}
 	e := &entry{request: r}
@@ -126,12 +130,12 @@
 }
 
 func (t *Table) add(e *entry, size int) {
-	e.place = t.order.PushBack(e)
+	e.orderElement = t.order.PushBack(e)
 	t.byID[e.request.ID] = e
 	if e.request.Key != "" {
 		t.byKey[keyOf(e.request)] = e
 	}
-	t.used += size
+	t.usedBytes += size
 }
 
 func (e *entry) answer() Answer {
@@ -142,51 +146,52 @@
 	return a
 }
 
-// makeRoom evicts the oldest durable results until size bytes fit.
-func (t *Table) makeRoom(size int) bool {
-	for place := t.order.Front(); place != nil && t.used+size > t.limit; {
-		next := place.Next()
-		if e := place.Value.(*entry); e.result != nil && e.durable {
+// evictFor evicts the oldest durable results until size bytes fit, and reports
+// whether they do.
+func (t *Table) evictFor(size int) bool {
+	for element := t.order.Front(); element != nil && t.usedBytes+size > t.limitBytes; {
+		next := element.Next()
+		if e := element.Value.(*entry); e.result != nil && e.durable {
 			t.remove(e)
 		}
-		place = next
+		element = next
 	}
-	return t.used+size <= t.limit
+	return t.usedBytes+size <= t.limitBytes
 }
 
 func (t *Table) remove(e *entry) {
-	t.order.Remove(e.place)
-	t.settle(e)
+	t.order.Remove(e.orderElement)
+	t.removePending(e)
 	delete(t.byID, e.request.ID)
 	if k := keyOf(e.request); t.byKey[k] == e {
 		delete(t.byKey, k)
 	}
-	t.used -= overhead + len(e.request.Body)
+	t.usedBytes -= entryOverheadBytes + len(e.request.Body)
 	if e.result != nil {
-		t.used -= len(e.result.Body)
+		t.usedBytes -= len(e.result.Body)
 	}
 }
 
-// Finish stores the final answer. The first answer of a request wins; stored
-// is false when there was one already. A result that arrives without an entry
-// gets one.
+// Finish stores the result of a request. The first result is kept: stored is
+// false if there was one already. A result of a request that has no entry gets a
+// new one, even beyond the limit.
 func (t *Table) Finish(r Result, durable bool) (stored bool) {
 	e := t.byID[r.RequestID]
 	if e == nil {
 		e = &entry{request: Request{ID: r.RequestID, DataCentre: r.Centre, Workspace: r.Workspace, Key: r.Key, Digest: r.Digest, Created: r.Created}}
-		t.makeRoom(overhead + len(r.Body))
-		t.add(e, overhead)
+		t.evictFor(entryOverheadBytes + len(r.Body))
+		t.add(e, entryOverheadBytes)
 	}
 	if e.result != nil {
 		return false
 	}
-	t.used -= len(e.request.Body)
-	e.request.Body = nil // no longer needed: nobody will run it again
+	t.usedBytes -= len(e.request.Body)
+	e.request.Body = nil // no longer needed: no node will run it again
 	e.result, e.durable = &r, durable
 	if !durable {
-		e.pending = t.pending.PushBack(e)
+		e.pendingElement = t.pending.PushBack(e)
 	}
-	t.used += len(r.Body)
+	t.usedBytes += len(r.Body)
 	for _, w := range e.waiters {
 		close(w)
 	}
@@ -194,8 +199,8 @@
 	return true
 }
 
-// Drop forgets a request that was refused before anything was sent, so that a
-// resend of its key starts anew.
+// Drop removes a request that was refused before anything was sent to a target,
+// so that a resend of its key is run as a new request.
 func (t *Table) Drop(requestID string) {
 	if e := t.byID[requestID]; e != nil && e.result == nil {
 		for _, w := range e.waiters {
@@ -205,7 +210,7 @@
 	}
 }
 
-// Lookup returns what is known of a request.
+// Lookup returns the state of a request.
 func (t *Table) Lookup(requestID string) Answer {
 	if e := t.byID[requestID]; e != nil {
 		return e.answer()
@@ -213,7 +218,7 @@
 	return Answer{State: Unknown}
 }
 
-// Workspace returns the workspace a held request belongs to.
+// Workspace returns the workspace of a request; empty if there is no such request.
 func (t *Table) Workspace(requestID string) string {
 	if e := t.byID[requestID]; e != nil {
 		return e.request.Workspace
@@ -221,8 +226,8 @@
 	return ""
 }
 
-// Wait returns a channel closed when the request has its answer or is
-// dropped; nil when it is not running here.
+// Wait returns a channel that is closed when the request has its result or is
+// dropped; nil if the table has no such running request.
 func (t *Table) Wait(requestID string) <-chan struct{} {
 	e := t.byID[requestID]
 	if e == nil || e.result != nil {
@@ -233,13 +238,13 @@
 	return w
 }
 
-// Unflushed returns up to n results that are not yet in the platform and that
-// this node is to write there, oldest first.
-func (t *Table) Unflushed(n int, mine func(requestID string) bool) []*Result {
+// Unflushed returns up to n results that are not yet in the platform and whose
+// request include selects, in the order in which they finished.
+func (t *Table) Unflushed(n int, include func(requestID string) bool) []*Result {
 	var out []*Result
-	for place := t.pending.Front(); place != nil && len(out) < n; place = place.Next() {
-		e := place.Value.(*entry)
-		if mine(e.request.ID) {
+	for element := t.pending.Front(); element != nil && len(out) < n; element = element.Next() {
+		e := element.Value.(*entry)
+		if include(e.request.ID) {
 			out = append(out, e.result)
 		}
 	}
@@ -251,24 +256,25 @@
 	for _, id := range requestIDs {
 		if e := t.byID[id]; e != nil {
 			e.durable = true
-			t.settle(e)
+			t.removePending(e)
 		}
 	}
 }
 
-func (t *Table) settle(e *entry) {
-	if e.pending != nil {
-		t.pending.Remove(e.pending)
-		e.pending = nil
+// removePending takes an entry off the list of results that are not yet durable.
+func (t *Table) removePending(e *entry) {
+	if e.pendingElement != nil {
+		t.pending.Remove(e.pendingElement)
+		e.pendingElement = nil
 	}
 }
 
-// Orphans returns the running requests whose owner is gone.
-func (t *Table) Orphans(gone func(node string, incarnation uint64) bool) []Request {
+// Orphans returns the running requests whose owner has ended.
+func (t *Table) Orphans(hasEnded func(node string, incarnation uint64) bool) []Request {
 	var out []Request
-	for place := t.order.Front(); place != nil; place = place.Next() {
-		e := place.Value.(*entry)
-		if e.result == nil && gone(e.request.Owner, e.request.OwnerIncarnation) {
+	for element := t.order.Front(); element != nil; element = element.Next() {
+		e := element.Value.(*entry)
+		if e.result == nil && hasEnded(e.request.Owner, e.request.OwnerIncarnation) {
 			out = append(out, e.request)
 		}
 	}
@@ -282,5 +288,5 @@
 	}
 }
 
-// Size returns the number of entries and the bytes they take.
-func (t *Table) Size() (entries, bytes int) { return len(t.byID), t.used }
+// Size returns the number of entries and the memory they take, in bytes.
+func (t *Table) Size() (entries, bytes int) { return len(t.byID), t.usedBytes }
--- a/internal/request/hold/hold_test.go
+++ b/internal/request/hold/hold_test.go
@@ -21,15 +21,15 @@
 	is.Equal(second.RequestID, "r1")
 	is.Equal(tab.Hold(request("r3", "k", "other")).State, Conflict)
 	is.True(tab.Finish(Result{RequestID: "r1", Body: []byte("a")}, false))
-	is.True(!tab.Finish(Result{RequestID: "r1", Body: []byte("b")}, false)) // the first answer stands
+	is.True(!tab.Finish(Result{RequestID: "r1", Body: []byte("b")}, false)) // the first result is kept
 	done := tab.Hold(request("r4", "k", "d"))
 	is.Equal(done.State, Done)
 	is.Equal(string(done.Result.Body), "a")
 }
 
-// TestKeysOfCentresAreApart: two data centres that took the same key at the
-// same time must not wait for each other.
-func TestKeysOfCentresAreApart(t *testing.T) {
+// TestKeysAreScopedByDataCentre: two data centres that accepted the same key at
+// the same time must not wait for each other.
+func TestKeysAreScopedByDataCentre(t *testing.T) {
 	is := is.New(t)
 	tab := New(1 << 20)
 	here, there := request("r1", "k", "d"), request("r2", "k", "d")
@@ -42,51 +42,51 @@
 	is := is.New(t)
 	tab := New(1 << 20)
 	tab.Hold(request("r1", "k", "d"))
-	waiting := tab.Wait("r1")
+	done := tab.Wait("r1")
 	tab.Drop("r1")
-	<-waiting // a joined caller is told
+	<-done // a caller that joined the request is woken
 	is.Equal(tab.Hold(request("r2", "k", "d")).State, Registered)
 }
 
-func TestOrphansAreThoseOfTheGone(t *testing.T) {
+func TestOrphansAreRequestsOfEndedOwners(t *testing.T) {
 	is := is.New(t)
 	tab := New(1 << 20)
 	tab.Hold(request("r1", "", "d"))
 	tab.Hold(request("r2", "", "d"))
 	tab.Finish(Result{RequestID: "r2"}, false)
-	gone := func(node string, incarnation uint64) bool { return node == "n" && incarnation == 1 }
-	is.Equal(len(tab.Orphans(gone)), 1)
+	hasEnded := func(node string, incarnation uint64) bool { return node == "n" && incarnation == 1 }
+	is.Equal(len(tab.Orphans(hasEnded)), 1)
 	tab.SetOwner("r1", "m", 1)
-	is.Equal(len(tab.Orphans(gone)), 0)
+	is.Equal(len(tab.Orphans(hasEnded)), 0)
 }
 
-// TestMemoryIsBounded: whatever comes, the table stays within its limit, and
-// never forgets a running request or a result that is not yet durable.
+// TestMemoryIsBounded: after any sequence of calls the table is within its limit
+// and still has all running requests and all results that are not yet durable.
 func TestMemoryIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 5000
 		tab := New(limit)
-		kept := map[string]bool{}
+		required := map[string]bool{}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := fmt.Sprintf("r%d", n)
 			if tab.Hold(request(id, id, "d")).State == Registered {
-				kept[id] = true
+				required[id] = true
 			}
-			for known := range kept {
+			for known := range required {
 				switch rapid.IntRange(0, 3).Draw(t, "then") {
 				case 0:
 					tab.Finish(Result{RequestID: known, Body: []byte("x")}, false)
 				case 1:
 					if tab.Lookup(known).State == Done {
 						tab.MarkFlushed([]string{known})
-						delete(kept, known)
+						delete(required, known)
 					}
 				}
 			}
 			if _, used := tab.Size(); used > limit {
 				t.Fatalf("%d bytes used", used)
 			}
-			for known := range kept {
+			for known := range required {
 				if tab.Lookup(known).State == Unknown {
 					t.Fatalf("%s was forgotten", known)
 				}
