--- a/internal/request/checkpoint/checkpoint.go
+++ b/internal/request/checkpoint/checkpoint.go
@@ -1,10 +1,11 @@
-// Package checkpoint keeps how far the items of batch jobs have come, for the
-// nodes that hold the jobs. A node that takes a job over asks for it and lets
-// items go on from there in place of from their start.
+// Package checkpoint stores the progress of the items of batch jobs for the
+// nodes that hold the jobs. A node that takes a job over loads the checkpoint and
+// resumes the items from there instead of from their start.
 //
-// Nothing depends on what is kept: it may be old, or lost with its keeper. An
-// item's text up to an event is the same whichever run made it, so that old text
-// only means that some events are made again.
+// Correctness does not depend on checkpoints: one may be old, or lost with its
+// keeper (the node that stores it). The text of an item up to a given event is the
+// same in every run of the item, so that with an old checkpoint only some events
+// are generated again.
 package checkpoint
 
 import (
@@ -17,7 +18,7 @@
 
 // Limits of a store.
 type Limits struct {
-	MaxBytes  int           // of text kept; the jobs saved longest ago are dropped first
+	MaxBytes  int           // of text; the least recently saved jobs are dropped first
 	Retention time.Duration // how long a job is kept after it was last saved
 }
 
@@ -33,15 +34,15 @@
 }
 
 type jobState struct {
-	epoch uint32
-	saved time.Time
-	items map[uint32]*itemState
+	epoch   uint32
+	savedAt time.Time
+	items   map[uint32]*itemState
 }
 
 type itemState struct {
-	text  []byte
-	held  int64
-	whole bool
+	text      []byte
+	lastEvent int64 // ID of the last event in text
+	complete  bool  // text is the whole output of the item
 }
 
 // NewStore returns an empty store.
@@ -49,39 +50,40 @@
 	return &Store{limits: limits, now: now, jobs: map[string]*jobState{}}
 }
 
-// Save takes what the holder of jobs sends, and returns the jobs of which text
-// before the parts sent is missing here: their holder has to send them whole.
-func (s *Store) Save(jobs []*v1.JobCheckpoint, forget []string) (lacking []string) {
+// Save stores the progress that the holder of jobs sends and removes the finished
+// jobs. It returns the jobs of which the text before a sent offset is missing:
+// their holder has to send the whole text.
+func (s *Store) Save(jobs []*v1.JobCheckpoint, finished []string) (incomplete []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.changed = s.changed || len(jobs)+len(forget) > 0
-	for _, id := range forget {
+	s.changed = s.changed || len(jobs)+len(finished) > 0
+	for _, id := range finished {
 		s.drop(id)
 	}
 	for _, saved := range jobs {
 		if !s.saveJob(saved) {
-			lacking = append(lacking, saved.Job)
+			incomplete = append(incomplete, saved.Job)
 		}
 	}
 	s.evict()
-	return lacking
+	return incomplete
 }
 
-// saveJob returns false when text is missing.
+// saveJob stores the progress of one job. It returns false if text is missing.
 func (s *Store) saveJob(saved *v1.JobCheckpoint) bool {
 	state := s.jobs[saved.Job]
 	if state != nil && saved.Epoch < state.epoch {
-		return true // of a former holder, which will find out
+		return true // from a former holder, which will notice that it lost the job
 	}
 	if state == nil || saved.Epoch > state.epoch {
 		s.drop(saved.Job)
 		state = &jobState{epoch: saved.Epoch, items: map[uint32]*itemState{}}
 		s.jobs[saved.Job] = state
 	}
-	state.saved = s.now()
-	whole := true
+	state.savedAt = s.now()
+	complete := true
 	for _, item := range saved.Items {
-		whole = s.saveItem(state, item) && whole
+		complete = s.saveItem(state, item) && complete
 	}
 	for i, item := range state.items {
 		if !slices.Contains(saved.Open, i) {
@@ -89,9 +91,11 @@
 			delete(state.items, i)
 		}
 	}
-	return whole
+	return complete
 }
 
+// saveItem stores the text of an item from an offset on. It returns false if text
+// before the offset is missing.
 func (s *Store) saveItem(state *jobState, saved *v1.ItemCheckpoint) bool {
 	item := state.items[saved.Item]
 	if item == nil {
@@ -103,8 +107,8 @@
 	}
 	s.bytes += int(saved.Offset) + len(saved.Text) - len(item.text)
 	item.text = append(item.text[:saved.Offset:saved.Offset], saved.Text...)
-	item.held = saved.Held
-	item.whole = saved.Whole
+	item.lastEvent = saved.Held
+	item.complete = saved.Whole
 	return true
 }
 
@@ -119,18 +123,18 @@
 	delete(s.jobs, id)
 }
 
-// evict drops jobs that were not saved for long, and the oldest ones while there
-// is too much text.
+// evict drops the jobs whose retention has ended, and then the least recently
+// saved ones while there is too much text.
 func (s *Store) evict() {
 	for id, state := range s.jobs {
-		if s.now().Sub(state.saved) > s.limits.Retention {
+		if s.now().Sub(state.savedAt) > s.limits.Retention {
 			s.drop(id)
 		}
 	}
 	for s.bytes > s.limits.MaxBytes {
 		oldest := ""
 		for id, state := range s.jobs {
-			if oldest == "" || state.saved.Before(s.jobs[oldest].saved) {
+			if oldest == "" || state.savedAt.Before(s.jobs[oldest].savedAt) {
 				oldest = id
 			}
 		}
@@ -138,7 +142,7 @@
 	}
 }
 
-// Load returns what is kept of a job, nil when nothing is.
+// Load returns the checkpoint of a job, nil if there is none.
 func (s *Store) Load(id string) *v1.JobCheckpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,13 +157,12 @@
 	out := &v1.JobCheckpoint{Job: id, Epoch: j.epoch}
 	for i, item := range j.items {
 		out.Open = append(out.Open, i)
-		out.Items = append(out.Items, &v1.ItemCheckpoint{Item: i, Text: slices.Clone(item.text), Held: item.held, Whole: item.whole})
+		out.Items = append(out.Items, &v1.ItemCheckpoint{Item: i, Text: slices.Clone(item.text), Held: item.lastEvent, Whole: item.complete})
 	}
 	return out
 }
 
-// Dump returns all that is kept; changed tells whether it differs from the last
-// dump.
+// Dump returns all checkpoints if they have changed since the last Dump.
 func (s *Store) Dump() (all *v1.CheckpointFile, changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/request/checkpoint/disk.go
+++ b/internal/request/checkpoint/disk.go
@@ -18,32 +18,33 @@
 
 const (
 	fileName = "checkpoints"
-	// writeInterval is the time between looks whether there is something to
-	// write. A loss of power of the whole deployment loses what was made in this
-	// time and in the interval of the holders.
+	// writeInterval is the time between two checks for changes to write. A power
+	// failure of the whole deployment loses the progress of this interval and of
+	// the interval at which holders send checkpoints.
 	writeInterval = 500 * time.Millisecond
 )
 
-// Disk keeps a store on a disk, so that items go on after all nodes lost power.
+// Disk persists a store in a file, so that items can resume after a power failure
+// of all nodes.
 type Disk struct {
 	Dir   string
 	Store *Store
-	// OnError is told what could not be written.
+	// OnError is called with the error of a failed write.
 	OnError func(error)
 }
 
-// Load puts what the disk holds into the store.
+// Load reads the file into the store.
 func (d *Disk) Load() error {
 	data, err := os.ReadFile(filepath.Join(d.Dir, fileName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
 	if err != nil {
-		return fmt.Errorf("checkpoints: %w", err)
+		return fmt.Errorf("read the checkpoint file: %w", err)
 	}
 	var file v1.CheckpointFile
 	if err := proto.Unmarshal(data, &file); err != nil {
-		return fmt.Errorf("checkpoints: %w", err)
+		return fmt.Errorf("decode the checkpoint file: %w", err)
 	}
 	d.Store.Save(file.Jobs, nil)
 	return nil
@@ -66,10 +67,10 @@
 	}
 	data, err := proto.Marshal(all)
 	if err != nil {
-		return fmt.Errorf("checkpoints: %w", err)
+		return fmt.Errorf("encode the checkpoints: %w", err)
 	}
 	if err := durable.Replace(d.Dir, fileName, data); err != nil {
-		return fmt.Errorf("checkpoints: %w", err)
+		return fmt.Errorf("write the checkpoint file: %w", err)
 	}
 	return nil
 }
--- a/internal/request/checkpoint/service.go
+++ b/internal/request/checkpoint/service.go
@@ -6,7 +6,7 @@
 	v1 "github.com/marblepond/marblepond/api/marblepond/v1"
 )
 
-// Service answers other nodes from a store.
+// Service serves a store to other nodes.
 type Service struct{ Store *Store }
 
 // Save implements the checkpoint service.
