--- a/internal/request/assemble/assemble.go
+++ b/internal/request/assemble/assemble.go
@@ -1,73 +1,73 @@
-// Package assemble puts the pieces of one answer together by offset. Pieces
-// that are late, repeated, out of order, or of an attempt that was given up
-// change nothing. It is pure.
+// Package assemble joins the pieces of one streamed answer by their offset.
+// Pieces that are late, repeated, out of order, or of an abandoned attempt do
+// not change the answer. It does no I/O.
 package assemble
 
-// Piece is a part of a target's answer.
+// Piece is a chunk of a target's streamed answer.
 type Piece struct {
 	RequestID    string
 	Attempt      int
-	Offset       int // index of the piece's first token in the whole answer
+	Offset       int // index of the piece's first token in the complete answer
 	Tokens       int
 	Text         string
 	FinishReason string // reason the answer ended, on its last piece
 }
 
-// Assembler holds the answer of one request as far as it is known.
+// Assembler assembles the answer of one request. It is not safe for concurrent use.
 type Assembler struct {
-	requestID string
-	attempt   int
-	next      int // tokens held without a gap
-	early     map[int]Piece
-	text      []byte
-	finish    string
-	foreign   int
+	requestID    string
+	attempt      int
+	nextOffset   int           // tokens received without a gap
+	buffered     map[int]Piece // by offset; received before a piece with a smaller offset
+	text         []byte        // of the tokens before nextOffset
+	finishReason string
+	foreign      int // pieces of other requests
 }
 
 // New returns an assembler for a request.
 func New(requestID string) *Assembler {
-	return &Assembler{requestID: requestID, early: map[int]Piece{}}
+	return &Assembler{requestID: requestID, buffered: map[int]Piece{}}
 }
 
-// Continue returns an assembler for a request of which another node holds the
-// first tokens.
-func Continue(requestID string, held int, text string) *Assembler {
+// Continue returns an assembler for a request of which another node has already
+// received the first tokens, with the given text.
+func Continue(requestID string, tokens int, text string) *Assembler {
 	a := New(requestID)
-	a.next, a.text = held, []byte(text)
+	a.nextOffset, a.text = tokens, []byte(text)
 	return a
 }
 
-// BeginAttempt starts the next attempt and returns its number. Pieces of earlier
-// attempts that were not yet in order are dropped: another target's
-// continuation starts at Held.
+// BeginAttempt starts the next attempt and returns its number. It drops the
+// buffered pieces of earlier attempts, since the target of the next attempt
+// continues at TokenCount.
 func (a *Assembler) BeginAttempt() int {
 	a.attempt++
-	clear(a.early)
+	clear(a.buffered)
 	return a.attempt
 }
 
-// Add takes a piece and returns the pieces that became ready, in order.
+// Add adds a piece and returns the pieces that now follow without a gap, in order.
 func (a *Assembler) Add(p Piece) []Piece {
 	if p.RequestID != a.requestID {
 		a.foreign++
 		return nil
 	}
-	if p.Attempt != a.attempt || a.finish != "" || p.Offset < a.next {
+	if p.Attempt != a.attempt || a.finishReason != "" || p.Offset < a.nextOffset {
 		return nil
 	}
-	if _, repeated := a.early[p.Offset]; !repeated {
-		a.early[p.Offset] = p
+	if _, repeated := a.buffered[p.Offset]; !repeated {
+		a.buffered[p.Offset] = p
 	}
 	var ready []Piece
 	for {
-		piece, ok := a.early[a.next]
+		piece, ok := a.buffered[a.nextOffset]
 		if !ok {
 			return ready
 		}
-		delete(a.early, a.next)
-		a.next += piece.Tokens
+		delete(a.buffered, a.nextOffset)
+		a.nextOffset += piece.Tokens
 		a.text = append(a.text, piece.Text...)
-		a.finish = piece.FinishReason
+		a.finishReason = piece.FinishReason
 		ready = append(ready, piece)
 		if piece.FinishReason != "" || piece.Tokens == 0 {
 			return ready
@@ -75,17 +75,17 @@
 	}
 }
 
-// TokenCount returns the number of tokens held without a gap.
-func (a *Assembler) TokenCount() int { return a.next }
+// TokenCount returns the number of tokens received without a gap.
+func (a *Assembler) TokenCount() int { return a.nextOffset }
 
-// Text returns the answer's text held without a gap.
+// Text returns the text of the tokens received without a gap.
 func (a *Assembler) Text() string { return string(a.text) }
 
-// FinishReason returns why the answer ended; empty while it has not.
-func (a *Assembler) FinishReason() string { return a.finish }
+// FinishReason returns why the answer ended; empty if it has not ended.
+func (a *Assembler) FinishReason() string { return a.finishReason }
 
-// Complete reports whether the answer has ended without a gap.
-func (a *Assembler) Complete() bool { return a.finish != "" }
+// Complete reports whether all pieces up to the last one were received.
+func (a *Assembler) Complete() bool { return a.finishReason != "" }
 
-// Foreign returns how many pieces of other requests were turned away.
+// Foreign returns the number of rejected pieces of other requests.
 func (a *Assembler) Foreign() int { return a.foreign }
--- a/internal/request/assemble/assemble_test.go
+++ b/internal/request/assemble/assemble_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestAnswerIsWhole delivers pieces late, repeated, out of order and mixed
-// with those of other requests, over several attempts that each go on from
-// what was held.
-func TestAnswerIsWhole(t *testing.T) {
+// TestAnswerIsComplete delivers pieces late, repeated, out of order and mixed
+// with those of other requests, over several attempts that each continue at
+// TokenCount.
+func TestAnswerIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 20).Draw(t, "tokens")
 		piece := func(attempt, i int) Piece {
@@ -58,7 +58,7 @@
 	})
 }
 
-func TestGivenUpAttemptIsDropped(t *testing.T) {
+func TestAbandonedAttemptIsDropped(t *testing.T) {
 	is := is.New(t)
 	a := New("r")
 	first := a.BeginAttempt()
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -25,8 +25,8 @@
 mutant 1 internal/request/homes/durable.go 's/unanswered = errNoResponse/unanswered = nil/' internal/request/homes TestNoResponseIsNotTakenForUnknown
 mutant 1 internal/request/homes/watch.go 's/if now\.Before\(s\[r\.ID\]\)/if !s[r.ID].IsZero()/' internal/request/homes TestRunningRequestsAreCheckedRepeatedly
 mutant 3 internal/request/pace/pace.go 's/-online-p\.cfg\.Reserve/-p.cfg.Reserve-0*online/' internal/request/pace TestBatchStaysWithinItsShare
-mutant 4 internal/request/assemble/assemble.go 's/p\.Attempt != a\.attempt \|\| //' internal/request/assemble TestGivenUpAttemptIsDropped
-mutant 4 internal/request/assemble/assemble.go 's/p\.RequestID != a\.requestID/p.RequestID == ""/' internal/request/assemble TestAnswerIsWhole
+mutant 4 internal/request/assemble/assemble.go 's/p\.Attempt != a\.attempt \|\| //' internal/request/assemble TestAbandonedAttemptIsDropped
+mutant 4 internal/request/assemble/assemble.go 's/p\.RequestID != a\.requestID/p.RequestID == ""/' internal/request/assemble TestAnswerIsComplete
 mutant 5 internal/request/serve/complete.go 's/joined != nil \|\| !e\.request\.NonIdempotent/joined != nil || e.created != 0/' lab/e2e TestNoClaimNoCall
 mutant 6 internal/request/run/run.go 's/case req\.NonIdempotent && !notSent:/case req.NonIdempotent \&\& !notSent \&\& a == nil:/' lab/e2e TestLostTargetAfterTheCall
 mutant 6 lab/platform/server.go 's/return func\(version int64\) bool \{ return version == 0 \}/return func(version int64) bool { return version >= 0 }/' lab/e2e TestResendsToAllNodesAtOnce
