--- a/internal/request/budget/budget.go
+++ b/internal/request/budget/budget.go
@@ -1,24 +1,28 @@
-// Package budget bounds retries to a share of accepted traffic, so that a
-// failing target cannot multiply the load on the others. It is pure.
+// Package budget limits retries to a share of the accepted requests, so that a
+// failing target cannot multiply the load on the others. It does no I/O and
+// reads no clock.
 package budget
 
-// maxSaved is how many retries a quiet period can save up.
-const maxSaved = 20
+// maxBalance is the number of retries that accepted requests can accumulate.
+const maxBalance = 20
 
-// Budget is the balance of retries. It is not safe for concurrent use.
+// Budget is a token bucket of retries that accepted requests refill. It is not
+// safe for concurrent use.
 type Budget struct {
-	share   float64
-	balance float64
+	retriesPerRequest float64
+	balance           float64
 }
 
-// New returns a budget of share retries per accepted request, with the saved
-// maximum at hand.
-func New(share float64) *Budget { return &Budget{share: share, balance: maxSaved} }
+// New returns a full budget that each accepted request refills by
+// retriesPerRequest.
+func New(retriesPerRequest float64) *Budget {
+	return &Budget{retriesPerRequest: retriesPerRequest, balance: maxBalance}
+}
 
-// RecordAccepted adds what one accepted request earns.
-func (b *Budget) RecordAccepted() { b.balance = min(maxSaved, b.balance+b.share) }
+// RecordAccepted refills the budget for one accepted request.
+func (b *Budget) RecordAccepted() { b.balance = min(maxBalance, b.balance+b.retriesPerRequest) }
 
-// Take spends one retry; false when none is left.
+// Take takes one retry from the budget; it returns false if none is left.
 func (b *Budget) Take() bool {
 	if b.balance < 1 {
 		return false
