--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,7 +1,8 @@
-// Package record defines the objects kept in the platform and the pure
-// transitions between their states. Whoever stores a transition does so by a
-// conditional write on the version it was computed from, which makes each
-// transition atomic over all nodes.
+// Package record defines the objects stored in the platform and the pure
+// transitions between their states. A node stores a transition by a conditional
+// write on the version from which it was computed, which makes each transition
+// atomic over all nodes. Records are stored as JSON under the names of their
+// fields.
 package record
 
 import (
@@ -12,7 +13,7 @@
 	"strings"
 )
 
-// JobState is the life of a batch job.
+// JobState is the state of a batch job.
 type JobState string
 
 // The states of a job. Completed and Cancelled are final.
@@ -98,12 +99,12 @@
 	return ""
 }
 
-// ChunkPhase is the life of a chunk. A chunk without a stored state is open.
+// ChunkPhase is the phase of a chunk. A chunk without a stored state is open.
 type ChunkPhase string
 
 // The phases of a chunk. Done and Stopped are final.
 const (
-	ChunkOpen    ChunkPhase = "open" // given back; anyone may lease it
+	ChunkOpen    ChunkPhase = "open" // released by its holder; any node may lease it
 	ChunkLeased  ChunkPhase = "leased"
 	ChunkDone    ChunkPhase = "done"
 	ChunkStopped ChunkPhase = "stopped" // the job was cancelled
@@ -121,9 +122,9 @@
 	N         int
 	Phase     ChunkPhase
 	Holder    Holder
-	Epoch     int64  // counts leases; the fence of a commit
-	Renewals  int64  // counts writes of one holder; a change proves life
-	Token     string // of the writer, to recognise its own write after a lost answer
+	Epoch     int64  // counts leases; the fencing token of a commit
+	Renewals  int64  // counts writes under one lease; a change shows that the holder is alive
+	Token     string // of the writer, to recognise its own write after a lost response
 	Items     int    // items in the chunk, known from the first commit on
 	Segments  []Segment
 	Started   []int // non-idempotent items that may have been dispatched
@@ -131,7 +132,8 @@
 	Failed    int
 }
 
-// Segment names a results object and the item indexes whose results it holds.
+// Segment names a results object and the indexes of the items whose results it
+// contains.
 type Segment struct {
 	Object string
 	Items  []int
@@ -144,8 +146,8 @@
 	ErrFinal  = errors.New("chunk has ended")
 )
 
-// Acquire returns the state with a new lease. expired says that the lease in
-// force was judged expired or its holder's incarnation ended.
+// Acquire returns the state with a new lease for h. expired means that the
+// present lease has expired or its holder's incarnation has ended.
 func (c ChunkState) Acquire(h Holder, token string, expired bool) (ChunkState, error) {
 	switch {
 	case c.Phase == ChunkDone || c.Phase == ChunkStopped:
@@ -159,20 +161,20 @@
 	return c, nil
 }
 
-// Progress is what a holder adds with one commit.
+// Progress is what a holder adds to a chunk's state with one commit.
 type Progress struct {
-	Segment   *Segment // results written since the last commit; nil: none
-	Started   []int    // non-idempotent items about to be dispatched
-	Returned  []int    // items of Started that were not dispatched after all
-	Completed int      // items of the segment with an answer
-	Failed    int      // items of the segment with a final error
-	Items     int
+	Segment   *Segment   // results written since the last commit; nil: none
+	Started   []int      // non-idempotent items about to be dispatched
+	Returned  []int      // items of Started that were not dispatched after all
+	Completed int        // items of the segment with an answer
+	Failed    int        // items of the segment with a final error
+	Items     int        // items in the chunk
 	Phase     ChunkPhase // phase after the commit
 }
 
 // Commit returns the state with progress added and the lease renewed. It fails
-// unless the lease is still the holder's, at the epoch it was given. An item
-// already in a segment is never added twice.
+// unless h still has the lease of the given epoch. It also fails if an item of
+// the new segment is already in a segment.
 func (c ChunkState) Commit(h Holder, epoch int64, token string, p Progress) (ChunkState, error) {
 	if c.Phase == ChunkDone || c.Phase == ChunkStopped {
 		return c, ErrFinal
@@ -181,9 +183,9 @@
 		return c, ErrFenced
 	}
 	if p.Segment != nil {
-		finished := c.CommittedItems()
+		committed := c.CommittedItems()
 		for _, item := range p.Segment.Items {
-			if finished[item] {
+			if committed[item] {
 				return c, fmt.Errorf("item %d of chunk %d committed twice", item, c.N)
 			}
 		}
@@ -198,12 +200,13 @@
 	return c, nil
 }
 
+// without returns items without those in removed. It overwrites items.
 func without(items, removed []int) []int {
 	return slices.DeleteFunc(items, func(i int) bool { return slices.Contains(removed, i) })
 }
 
-// Stop returns the state ended by cancellation, with the epoch raised so that
-// the former holder's commits fail.
+// Stop returns the state of a cancelled chunk, with a higher epoch so that
+// commits of the former holder fail.
 func (c ChunkState) Stop(token string) (ChunkState, error) {
 	if c.Phase == ChunkDone || c.Phase == ChunkStopped {
 		return c, ErrFinal
@@ -215,25 +218,25 @@
 
 // CommittedItems returns the set of items whose results are committed.
 func (c ChunkState) CommittedItems() map[int]bool {
-	done := map[int]bool{}
+	committed := map[int]bool{}
 	for _, s := range c.Segments {
 		for _, item := range s.Items {
-			done[item] = true
+			committed[item] = true
 		}
 	}
-	return done
+	return committed
 }
 
-// ClaimState is the life of a claim on a non-idempotent request.
+// ClaimState is the state of a claim on a non-idempotent request.
 type ClaimState string
 
 // The states of a claim.
 const (
-	Claimed   ClaimState = "claimed"   // it may have been dispatched
-	Abandoned ClaimState = "abandoned" // proved not dispatched; may be claimed again
+	Claimed   ClaimState = "claimed"   // the request may have been dispatched
+	Abandoned ClaimState = "abandoned" // the request was certainly not dispatched; its key may be claimed again
 )
 
-// Claim is the right to dispatch a non-idempotent request once.
+// Claim is a node's right to dispatch a non-idempotent request once.
 type Claim struct {
 	Workspace string
 	Key       string
@@ -245,7 +248,7 @@
 	Created   int64 // Unix seconds
 }
 
-// Names of objects.
+// Prefixes of object names, and the name of the configuration's head.
 const (
 	JobPrefix    = "job/"
 	StatePrefix  = "state/"
@@ -270,19 +273,21 @@
 func JobStatePrefix(job string) string { return StatePrefix + job + "/" }
 
 // SegmentName returns the object name of a results segment. The token makes it
-// unique, so that a segment of a fenced holder never replaces another's.
+// unique, so that a fenced holder cannot replace a segment of its successor.
 func SegmentName(job string, n int, epoch int64, token string) string {
 	return fmt.Sprintf("segment/%s/%06d/%d-%s", job, n, epoch, token)
 }
 
-// ClaimName returns the object name of a claim; hash is of workspace and key.
+// ClaimName returns the object name of a claim; hash identifies the workspace and
+// the key.
 func ClaimName(hash string) string { return "claim/" + hash }
 
-// SectionName returns the object name of a configuration section.
+// SectionName returns the object name of a configuration section; hash
+// identifies its content.
 func SectionName(hash string) string { return "config/section/" + hash }
 
-// ResultBucket returns the prefix of online results of one data centre whose
-// requests were created in the given minute (Unix minutes).
+// ResultBucket returns the prefix of the objects with the online results of one
+// data centre whose requests were created in the given minute (Unix minutes).
 func ResultBucket(dataCentre string, minute int64) string {
 	return fmt.Sprintf("%s%s/%d/", ResultPrefix, dataCentre, minute)
 }
@@ -291,7 +296,7 @@
 func Encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // records hold only plain fields
+		panic(err) // cannot happen: records have only fields that JSON can encode
 	}
 	return data
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -9,36 +9,36 @@
 )
 
 // TestItemsCommitOnce lets two holders acquire and commit in any order, with
-// stale copies of the state, as paused holders have them. The store takes a
-// write only on the version it was computed from.
+// stale states as a paused holder has them. The platform accepts a write only
+// on the version from which it was computed.
 func TestItemsCommitOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stored, version := ChunkState{Job: "j"}, 0
-		type copyOf struct {
+		type cachedState struct {
 			state   ChunkState
 			version int
 			epoch   int64
 		}
 		holders := []Holder{{"a", 1}, {"b", 1}}
-		copies := make([]copyOf, len(holders))
+		cached := make([]cachedState, len(holders))
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			n := rapid.IntRange(0, 1).Draw(t, "holder")
-			h, c := holders[n], &copies[n]
+			h, c := holders[n], &cached[n]
 			if rapid.Bool().Draw(t, "acquire") {
 				next, err := stored.Acquire(h, "t", rapid.Bool().Draw(t, "expired"))
 				if err == nil {
 					stored, version = next, version+1
-					*c = copyOf{stored, version, next.Epoch}
+					*c = cachedState{stored, version, next.Epoch}
 				}
 				continue
 			}
 			item := rapid.IntRange(0, 5).Draw(t, "item")
 			next, err := c.state.Commit(h, c.epoch, "t", Progress{Segment: &Segment{Object: "s", Items: []int{item}}, Completed: 1, Phase: ChunkLeased})
 			if err != nil || c.version != version {
-				continue // refused here, or by the store's condition
+				continue // refused by Commit, or by the conditional write
 			}
 			stored, version = next, version+1
-			*c = copyOf{stored, version, c.epoch}
+			*c = cachedState{stored, version, c.epoch}
 		}
 		seen := map[int]bool{}
 		for _, s := range stored.Segments {
@@ -69,7 +69,7 @@
 	stopped, err := second.Stop("4")
 	is.NoErr(err)
 	_, err = stopped.Commit(b, second.Epoch, "5", Progress{Phase: ChunkDone})
-	is.True(errors.Is(err, ErrFinal)) // a cancelled chunk takes no results
+	is.True(errors.Is(err, ErrFinal)) // a cancelled chunk accepts no results
 }
 
 func TestReturnedStartsAreTakenBack(t *testing.T) {
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -20,7 +20,7 @@
   mv "$copy/saved" "$copy/$2"
 }
 mutant 1 internal/record/record.go 's/c\.Phase != ChunkLeased \|\| c\.Holder != h \|\| c\.Epoch != epoch/c.Epoch < 0 \&\& epoch < 0/' internal/record TestFormerHolderIsFenced
-mutant 1 internal/record/record.go 's/if finished\[item\] \{/if finished[item] \&\& item < 0 {/' internal/record TestItemsCommitOnce
+mutant 1 internal/record/record.go 's/if committed\[item\] \{/if committed[item] \&\& item < 0 {/' internal/record TestItemsCommitOnce
 mutant 1 internal/request/hold/hold.go 's/(t\.add\(e, entryOverheadBytes\)\n\t\}\n\tif e\.result != nil) \{/$1 \&\& durable {/' internal/request/hold TestResendJoinsAndConflicts
 mutant 1 internal/request/homes/durable.go 's/unanswered = errNoResponse/unanswered = nil/' internal/request/homes TestNoResponseIsNotTakenForUnknown
 mutant 1 internal/request/homes/watch.go 's/if now\.Before\(s\[r\.ID\]\)/if !s[r.ID].IsZero()/' internal/request/homes TestRunningRequestsAreCheckedRepeatedly
