--- a/internal/request/homes/durable.go
+++ b/internal/request/homes/durable.go
@@ -186,8 +186,8 @@
 	return err
 }
 
-// MarkFlushedInDataCentre marks results of another data centre as durable at the
-// replicas in this one.
+// MarkFlushedInDataCentre marks results of another data centre as durable on this
+// node and at the first replica of this data centre.
 func (rp *Replicator) MarkFlushedInDataCentre(ctx context.Context, ids []string) {
 	rp.MarkFlushedLocal(ids)
 	byNode := map[string][]string{}
