--- a/internal/request/quarantine/doc.go
+++ b/internal/request/quarantine/doc.go
@@ -1,42 +1,41 @@
-// Package quarantine finds the work under which targets crash, so that it is not
-// run again. It is pure: time comes from outside, and nothing here reaches a
-// network.
+// Package quarantine finds the work that crashes the targets that run it, so that it is
+// not run again. It is pure: the time is passed in, and nothing here uses the network.
 //
-// A request that crashes the process that runs it takes everything else that runs
-// there with it, comes again under another ID at another node, and looks like bad
-// luck each time (a "query of death", Beyer et al., Site Reliability Engineering,
-// 2016). What is known of it are crashes: the end of one incarnation of a target,
-// with the work that was in flight there. No node sees all of that, and none has to:
-// crashes are merged as sets, so that order, loss and repetition of news do not
-// matter (a grow-only set and marks that are set once; Shapiro et al., 2011), and
-// every node derives its verdicts from the same crashes. Of their times each node has
-// its own, some milliseconds apart, and of the number of targets what it heard first:
-// whether targets ended together may be decided differently near its bounds.
+// Work is what a request asks for; package fingerprint identifies it independently of the
+// request's ID. A request that crashes the process that runs it takes all other requests in
+// that process with it, and is sent again under another ID to another node, where the crash
+// looks like an unrelated failure (a "query of death", Beyer et al., Site Reliability
+// Engineering, 2016). The evidence is a set of crashes: each is the end of one incarnation
+// of a target, with the work that was in flight there. No node sees all crashes, and none
+// has to: crashes are merged as sets, so that their order, loss and repetition do not
+// matter (a grow-only set, with flags that are only ever set; Shapiro et al., 2011), and
+// every node derives its verdicts from the same crashes. The times of crashes differ
+// between nodes by some milliseconds, and each node has the number of targets as it first
+// received it. So nodes may disagree on whether targets were killed together if that is close
+// to the limits.
 //
-// # Who is to blame
+// # Which work is the cause
 //
-// A connection that breaks says little: it also breaks by a cut, a reset, a spoiled
-// answer, a node's own time limit. So a loss is only put down to a crash when the
-// incarnation is proved to have ended: it refuses connections, another one has its
-// address, or it is registered as started anew. Until then the loss counts for
-// nothing.
+// A broken connection is weak evidence: connections also break by a network partition, a
+// reset, a malformed answer or a node's own timeout. A loss is therefore attributed to a
+// crash only with proof that the incarnation has ended: it refuses connections, another
+// incarnation has its address, or the target is registered as restarted. Until then the
+// loss does not count.
 //
-// Of the work in flight at a crash any piece may be the cause. A whole answer clears
-// its work of all crashes known, which is how nearly all bystanders leave the list
-// within a second. Work is refused once it was in flight at Limit crashes that
-// nothing else explains:
+// All work in flight at a crash is suspect. A complete answer clears work of all known
+// crashes; this clears nearly all concurrent requests that did not cause a crash within a
+// second. Work is refused once it is a suspect of Limit crashes that nothing else explains:
 //
-//   - crashes of work that is refused already explain those beside it;
-//   - targets that end together, more of them than requests could end one by one,
+//   - a crash of work that is already refused is explained by that work;
+//   - targets that end together, in greater number than requests could crash one by one,
 //     were killed by something else;
-//   - where other work was at several of the same crashes, it waits for more of them,
-//     since either may be the cause.
+//   - if other work was in flight at several of the same crashes, either may be the cause,
+//     and more crashes are needed.
 //
-// # How it ends
+// # Expiry
 //
-// A crash is kept for Config.Keep and then forgotten by all nodes at the same age, so
-// that work that was refused is one crash short of being refused again when the
-// oldest is gone. Memory is bounded: of more crashes than mostCrashes the oldest one
-// that refuses nothing is dropped first, which lets work that crashed once or twice
-// among many others crash as many again.
+// All nodes drop a crash when it reaches the age Config.Retention. Work that was refused is
+// then one crash short of being refused again once its oldest crash is dropped. Memory is
+// bounded: beyond maxCrashes the oldest crash that causes no refusal is dropped first, so
+// work that crashed targets once or twice among many other crashes may crash as many again.
 package quarantine
--- a/internal/request/quarantine/exchange.go
+++ b/internal/request/quarantine/exchange.go
@@ -11,8 +11,8 @@
 	"github.com/marblepond/marblepond/internal/request/fingerprint"
 )
 
-// Crash is what nodes tell each other of a crash. Clocks differ between nodes, ages
-// do not.
+// Crash is a crash as nodes report it to each other. It has an age rather than a time,
+// because the clocks of nodes differ.
 type Crash struct {
 	Target   Target
 	Age      time.Duration
@@ -21,34 +21,34 @@
 	Cleared  []fingerprint.ID
 }
 
-// Digest stands for all that is known: two nodes with the same digest know the same,
-// and 0 stands for nothing.
+// Digest returns a hash of all known crashes: two nodes with the same digest have the same
+// crashes, and 0 means none.
 func (t *Table) Digest(now time.Time) uint64 {
 	t.Expire(now)
 	digest := uint64(0)
 	for _, c := range t.crashes {
-		digest ^= c.content
+		digest ^= c.contentHash
 	}
 	return digest
 }
 
-// Hashes returns a mark of each crash that is known, with what is known of it.
+// Hashes returns a hash of each known crash and its work.
 func (t *Table) Hashes(now time.Time) []uint64 {
 	t.Expire(now)
-	marks := make([]uint64, 0, len(t.crashes))
+	hashes := make([]uint64, 0, len(t.crashes))
 	for _, c := range t.crashes {
-		marks = append(marks, c.content)
+		hashes = append(hashes, c.contentHash)
 	}
-	return marks
+	return hashes
 }
 
-// Missing returns the crashes that are not among those that another node has.
+// Missing returns the crashes that another node lacks; known are the hashes of those it has.
 func (t *Table) Missing(now time.Time, known []uint64) []Crash {
 	t.Expire(now)
 	var out []Crash
 	for _, c := range t.inOrder() {
-		if !slices.Contains(known, c.content) {
-			out = append(out, c.told(now))
+		if !slices.Contains(known, c.contentHash) {
+			out = append(out, c.export(now))
 		}
 	}
 	return out
@@ -57,19 +57,19 @@
 // All returns all crashes.
 func (t *Table) All(now time.Time) []Crash { return t.Missing(now, nil) }
 
-// Describe says in a few words what is known of a crash: when it was, how much work it
-// is put down to, and how many other targets ended with it.
+// Describe returns a short description of a crash: its age, the number of suspects, and how
+// many other targets ended at the same time.
 func (t *Table) Describe(now time.Time, target Target) string {
 	order := t.inOrder()
 	i := slices.IndexFunc(order, func(c *crash) bool { return c.target == target })
 	if i < 0 {
-		return target.ID + ": not known any more"
+		return target.ID + ": no longer known"
 	}
 	c := order[i]
-	return fmt.Sprintf("%s: %d ms ago, %d accused, %d others ended within %v", target.ID, now.Sub(c.at).Milliseconds(), len(c.accused()), len(around(order, i)), togetherWithin)
+	return fmt.Sprintf("%s: %d ms ago, %d suspects, %d others ended within %v", target.ID, now.Sub(c.at).Milliseconds(), len(c.suspects()), len(crashesNear(order, i)), togetherWithin)
 }
 
-func (c *crash) told(now time.Time) Crash {
+func (c *crash) export(now time.Time) Crash {
 	out := Crash{Target: c.target, Age: now.Sub(c.at), Targets: c.targets}
 	for work, s := range c.work {
 		if s == cleared {
@@ -81,38 +81,38 @@
 	return out
 }
 
-// Merge takes what another node knows. It reports whether any of it is news.
-func (t *Table) Merge(now time.Time, crashes []Crash) (news bool) {
-	for _, told := range crashes {
-		if told.Age < 0 || told.Age >= t.cfg.Retention {
+// Merge adds the crashes of another node. It reports whether that changed the table.
+func (t *Table) Merge(now time.Time, crashes []Crash) (changed bool) {
+	for _, received := range crashes {
+		if received.Age < 0 || received.Age >= t.cfg.Retention {
 			continue
 		}
-		news = t.merge(now, told) || news
+		changed = t.merge(now, received) || changed
 	}
-	return news
+	return changed
 }
 
-func (t *Table) merge(now time.Time, told Crash) (news bool) {
-	c := t.crashes[told.Target]
+func (t *Table) merge(now time.Time, received Crash) (changed bool) {
+	c := t.crashes[received.Target]
 	if c == nil {
-		c = &crash{target: told.Target, at: now.Add(-told.Age), known: now, work: map[fingerprint.ID]state{}}
-		if l := t.unproved[told.Target]; l != nil { // another node's proof holds here too
-			delete(t.unproved, told.Target)
-			told.Suspects = append(slices.Clone(told.Suspects), l.accused()...)
+		c = &crash{target: received.Target, at: now.Add(-received.Age), learnedAt: now, work: map[fingerprint.ID]state{}}
+		if l := t.unproved[received.Target]; l != nil { // another node's proof also counts for the losses seen here
+			delete(t.unproved, received.Target)
+			received.Suspects = append(slices.Clone(received.Suspects), l.suspects()...)
 		}
 		t.add(c)
-		news = true
+		changed = true
 	}
-	c.targets = max(c.targets, told.Targets)
-	news = c.raise(told.Suspects, accused) || news
-	news = c.raise(told.Cleared, cleared) || news
-	if news {
-		t.changed(c)
+	c.targets = max(c.targets, received.Targets)
+	changed = c.raiseTo(received.Suspects, suspect) || changed
+	changed = c.raiseTo(received.Cleared, cleared) || changed
+	if changed {
+		t.markChanged(c)
 	}
-	return news
+	return changed
 }
 
-func (l *losses) accused() []fingerprint.ID {
+func (l *unprovedLosses) suspects() []fingerprint.ID {
 	var out []fingerprint.ID
 	for work := range l.work {
 		out = append(out, work)
@@ -120,28 +120,28 @@
 	return out
 }
 
-// raise notes work that was in flight, in a state at least as high as given.
-func (c *crash) raise(work []fingerprint.ID, to state) (news bool) {
+// raiseTo records work that was in flight, with its state raised to at least the one given.
+func (c *crash) raiseTo(work []fingerprint.ID, to state) (changed bool) {
 	for _, id := range work {
 		s, known := c.work[id]
-		if (known && s >= to) || (!known && len(c.work) >= mostWork) {
+		if (known && s >= to) || (!known && len(c.work) >= maxWorkPerCrash) {
 			continue
 		}
 		c.work[id] = to
-		news = true
+		changed = true
 	}
-	return news
+	return changed
 }
 
-// contentOf returns a hash of what is told of a crash, but for its age.
-func contentOf(c *crash) uint64 {
+// hashOf returns a hash of what is reported of a crash, except its age and number of targets.
+func hashOf(c *crash) uint64 {
 	h := xxhash.New()
 	var number [8]byte
 	binary.BigEndian.PutUint64(number[:], c.target.Incarnation)
 	h.Write(number[:])
 	h.WriteString(c.target.ID)
 	sum := h.Sum64()
-	for work, s := range c.work { // added up, so that their order does not matter
+	for work, s := range c.work { // summed, so that the order of the map does not matter
 		sum += xxhash.Sum64(append(work[:], byte(s)))
 	}
 	return sum
--- a/internal/request/quarantine/storm_test.go
+++ b/internal/request/quarantine/storm_test.go
@@ -12,107 +12,111 @@
 	"github.com/marblepond/marblepond/internal/request/fingerprint"
 )
 
-// storm plays a fleet in virtual time: proper requests run for some 0.8 s each, bad
-// ones end the target that runs them 50 ms after their start, and targets are back 3 s
-// after. What was in flight is sent again at once, as far as its attempts go, and then
-// by its caller. The figures are those of the deployment on which the pattern was
-// seen: 12 targets, 60 requests a second in a rush, two runs a try and two tries.
-type storm struct {
-	table  *Table
-	draw   *rand.Rand
-	now    time.Time
-	queue  events
-	at     [fleetSize][]*request
-	up     [fleetSize]bool
-	starts [fleetSize]int
-	bad    map[fingerprint.ID]int       // crashes by bad work
-	last   time.Time                    // of the last crash
-	third  map[fingerprint.ID]time.Time // when bad work had crashed three targets
-	late   map[fingerprint.ID]int       // sends of bad work later than knownWithin after that
-	asked  int
-	wrong  map[fingerprint.ID]bool // proper work that was refused
+// simulation runs a fleet in virtual time. Harmless requests run for about 0.8 s each.
+// Crashing ones end the target that runs them 50 ms after their start, and the target is
+// back 3 s later. Requests in flight are retried at once while attempts are left, and then
+// by their callers. The figures are those of the deployment where the pattern was observed:
+// 12 targets, 60 requests per second at peak, two attempts by the node for each of two by
+// the caller.
+type simulation struct {
+	table          *Table
+	random         *rand.Rand
+	now            time.Time
+	queue          callQueue
+	running        [fleetSize][]*request
+	up             [fleetSize]bool
+	starts         [fleetSize]int
+	crashCount     map[fingerprint.ID]int       // by crashing work
+	lastCrash      time.Time                    // of the last crash
+	thirdCrash     map[fingerprint.ID]time.Time // when crashing work had ended three targets
+	lateSends      map[fingerprint.ID]int       // sends of crashing work later than detectionTime after that
+	arrived        int
+	wronglyRefused map[fingerprint.ID]bool // harmless work that was refused
 }
 
 type request struct {
-	work   fingerprint.ID
-	bad    bool
-	runs   int
-	target int
-	run    int // counts the starts of runs, so that an old end is known
+	work     fingerprint.ID
+	crashing bool
+	runs     int
+	target   int
+	run      int // number of the current run, to ignore the scheduled end of an earlier one
 }
 
 const (
-	properRate = 60 // requests a second
-	properRun  = 800 * time.Millisecond
-	badRun     = 50 * time.Millisecond
-	downFor    = 3 * time.Second
-	// knownWithin is how soon after the third crash no bad work may be sent any more.
-	knownWithin = 3 * time.Second
-	// allowedLate is how often it may be sent later.
-	allowedLate = 3
-	seeds       = 100
-	mostRuns    = 4
+	harmlessRate    = 60 // requests per second
+	harmlessRunTime = 800 * time.Millisecond
+	crashingRunTime = 50 * time.Millisecond
+	restartTime     = 3 * time.Second
+	// detectionTime is the time after its third crash from which crashing work should not be
+	// sent any more.
+	detectionTime = 3 * time.Second
+	// maxLateSends is how often it may still be sent later.
+	maxLateSends = 3
+	seeds        = 100
+	maxRuns      = 4
 )
 
-type due struct {
+type scheduledCall struct {
 	at time.Time
 	f  func()
 }
 
-type events []due
+type callQueue []scheduledCall
 
-func (e events) Len() int           { return len(e) }
-func (e events) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e events) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)        { *e = append(*e, x.(due)) }
-func (e *events) Pop() any {
+func (e callQueue) Len() int           { return len(e) }
+func (e callQueue) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
+func (e callQueue) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *callQueue) Push(x any)        { *e = append(*e, x.(scheduledCall)) }
+func (e *callQueue) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-func (s *storm) after(d time.Duration, f func()) { heap.Push(&s.queue, due{s.now.Add(d), f}) }
+func (s *simulation) schedule(d time.Duration, f func()) {
+	heap.Push(&s.queue, scheduledCall{s.now.Add(d), f})
+}
 
-func (s *storm) run(length time.Duration) {
+func (s *simulation) run(length time.Duration) {
 	for end := s.now.Add(length); len(s.queue) > 0 && s.queue[0].at.Before(end); {
-		next := heap.Pop(&s.queue).(due)
+		next := heap.Pop(&s.queue).(scheduledCall)
 		s.now = next.at
 		next.f()
 	}
 }
 
-func newStorm(seed uint64, bad int) *storm {
-	s := &storm{table: New(testConfig), draw: rand.New(rand.NewPCG(seed, 7)), now: start, bad: map[fingerprint.ID]int{}, third: map[fingerprint.ID]time.Time{}, late: map[fingerprint.ID]int{}, wrong: map[fingerprint.ID]bool{}}
+func newSimulation(seed uint64, crashing int) *simulation {
+	s := &simulation{table: New(testConfig), random: rand.New(rand.NewPCG(seed, 7)), now: start, crashCount: map[fingerprint.ID]int{}, thirdCrash: map[fingerprint.ID]time.Time{}, lateSends: map[fingerprint.ID]int{}, wronglyRefused: map[fingerprint.ID]bool{}}
 	for t := range fleetSize {
 		s.up[t] = true
 	}
-	for n := range bad {
-		s.after(time.Duration(s.draw.IntN(2000))*time.Millisecond, func() { s.repeat(work(n)) })
+	for n := range crashing {
+		s.schedule(time.Duration(s.random.IntN(2000))*time.Millisecond, func() { s.repeat(work(n)) })
 	}
 	s.arrive()
 	return s
 }
 
-func (s *storm) arrive() {
-	s.asked++
-	s.send(&request{work: work(1000 + s.asked)})
-	s.after(time.Duration(s.draw.ExpFloat64()*float64(time.Second)/properRate), s.arrive)
+func (s *simulation) arrive() {
+	s.arrived++
+	s.send(&request{work: work(1000 + s.arrived)})
+	s.schedule(time.Duration(s.random.ExpFloat64()*float64(time.Second)/harmlessRate), s.arrive)
 }
 
-// repeat sends bad work again and again.
-func (s *storm) repeat(w fingerprint.ID) {
-	s.send(&request{work: w, bad: true})
-	s.after(time.Duration(100+s.draw.IntN(400))*time.Millisecond, func() { s.repeat(w) })
+// repeat sends crashing work again and again.
+func (s *simulation) repeat(w fingerprint.ID) {
+	s.send(&request{work: w, crashing: true})
+	s.schedule(time.Duration(100+s.random.IntN(400))*time.Millisecond, func() { s.repeat(w) })
 }
 
-// usable returns the targets that are up; for suspected work those where no other such
-// work runs.
-func (s *storm) usable(w fingerprint.ID) []int {
+// usable returns the targets that are up; for suspected work only those where no other
+// suspected work runs.
+func (s *simulation) usable(w fingerprint.ID) []int {
 	suspected := func(r *request) bool { return s.table.Suspected(s.now, r.work) }
-	apart := s.table.Suspected(s.now, w)
+	selfSuspected := s.table.Suspected(s.now, w)
 	var out []int
 	for t := range fleetSize {
-		if s.up[t] && !(apart && slices.ContainsFunc(s.at[t], suspected)) {
+		if s.up[t] && !(selfSuspected && slices.ContainsFunc(s.running[t], suspected)) {
 			out = append(out, t)
 		}
 	}
@@ -120,7 +124,7 @@
 }
 
 // send runs a request at the least loaded of three targets.
-func (s *storm) send(r *request) {
+func (s *simulation) send(r *request) {
 	if _, refused := s.table.Refused(s.now, r.work); refused {
 		return
 	}
@@ -128,103 +132,103 @@
 	if len(usable) == 0 {
 		return
 	}
-	best := usable[s.draw.IntN(len(usable))]
+	best := usable[s.random.IntN(len(usable))]
 	for range 2 {
-		if t := usable[s.draw.IntN(len(usable))]; len(s.at[t]) < len(s.at[best]) {
+		if t := usable[s.random.IntN(len(usable))]; len(s.running[t]) < len(s.running[best]) {
 			best = t
 		}
 	}
-	if third, crashed := s.third[r.work]; crashed && s.now.Sub(third) > knownWithin {
-		s.late[r.work]++
+	if thirdCrash, crashed := s.thirdCrash[r.work]; crashed && s.now.Sub(thirdCrash) > detectionTime {
+		s.lateSends[r.work]++
 	}
 	r.target = best
 	r.runs++
 	r.run++
 	run := r.run
-	s.at[best] = append(s.at[best], r)
-	if r.bad {
-		s.after(badRun, func() { s.crash(r, run) })
+	s.running[best] = append(s.running[best], r)
+	if r.crashing {
+		s.schedule(crashingRunTime, func() { s.crash(r, run) })
 		return
 	}
-	s.after(time.Duration((0.5+s.draw.Float64())*float64(properRun)), func() { s.finish(r, run) })
+	s.schedule(time.Duration((0.5+s.random.Float64())*float64(harmlessRunTime)), func() { s.finish(r, run) })
 }
 
-// look notes proper work that is refused, also where it does not come again.
-func (s *storm) look() {
+// recordWronglyRefused records harmless work that is refused, even if it is not sent again.
+func (s *simulation) recordWronglyRefused() {
 	for w := range s.table.Verdicts(s.now) {
-		if _, bad := s.bad[w]; !bad {
-			s.wrong[w] = true
+		if _, crashing := s.crashCount[w]; !crashing {
+			s.wronglyRefused[w] = true
 		}
 	}
 }
 
-func (s *storm) finish(r *request, run int) {
+func (s *simulation) finish(r *request, run int) {
 	if r.run == run {
-		s.at[r.target] = slices.DeleteFunc(s.at[r.target], func(o *request) bool { return o == r })
+		s.running[r.target] = slices.DeleteFunc(s.running[r.target], func(o *request) bool { return o == r })
 		s.table.Clear(r.work)
 	}
 }
 
-func (s *storm) crash(r *request, run int) {
+func (s *simulation) crash(r *request, run int) {
 	t := r.target
 	if r.run != run {
 		return
 	}
-	s.bad[r.work]++
-	if s.bad[r.work] == 3 {
-		s.third[r.work] = s.now
+	s.crashCount[r.work]++
+	if s.crashCount[r.work] == 3 {
+		s.thirdCrash[r.work] = s.now
 	}
-	s.last = s.now
-	lost := s.at[t]
-	s.at[t], s.up[t] = nil, false
+	s.lastCrash = s.now
+	lost := s.running[t]
+	s.running[t], s.up[t] = nil, false
 	s.starts[t]++
 	var works []fingerprint.ID
 	for _, l := range lost {
 		works = append(works, l.work)
 	}
 	s.table.crashAt(s.now, incarnation(s.starts[t]*fleetSize+t), works...)
-	s.after(downFor, func() { s.up[t] = true })
-	s.after(settle, s.look)
+	s.schedule(restartTime, func() { s.up[t] = true })
+	s.schedule(settleTime, s.recordWronglyRefused)
 	for _, l := range lost {
 		l.run++
 		switch {
-		case l.bad || l.runs >= mostRuns:
-		case l.runs%2 == 1: // tried elsewhere at once
-			s.after(0, func() { s.send(l) })
-		default: // the caller tries again
-			s.after(100*time.Millisecond, func() { s.send(l) })
+		case l.crashing || l.runs >= maxRuns:
+		case l.runs%2 == 1: // retried by the node at once
+			s.schedule(0, func() { s.send(l) })
+		default: // retried by the caller
+			s.schedule(100*time.Millisecond, func() { s.send(l) })
 		}
 	}
 }
 
-// TestBystandersAreNotRefused: one to six requests that end targets, repeated several
-// times a second in a rush. Each of them is found after a few crashes, and at most one
-// proper request in 10,000 is taken for one. With six there are moments in which most
-// of the targets are down and the others crash under several of them.
+// TestBystandersAreNotRefused: one to six requests that crash targets are repeated several
+// times per second at peak load. Each is found after a few crashes, and at most one harmless
+// request in 10,000 is refused. With six there are moments in which most targets are down
+// and the others run several crashing requests at once.
 func TestBystandersAreNotRefused(t *testing.T) {
 	is := is.New(t)
-	for _, bad := range []int{1, 3, 6} {
-		asked, wrong, most, crashes := 0, 0, 0, 0
+	for _, crashing := range []int{1, 3, 6} {
+		arrived, wronglyRefused, most, crashes := 0, 0, 0, 0
 		latest, late := time.Duration(0), 0
 		for seed := range uint64(seeds) {
-			s := newStorm(seed, bad)
+			s := newSimulation(seed, crashing)
 			s.run(30 * time.Second)
-			asked += s.asked
-			wrong += len(s.wrong)
-			for _, n := range s.bad {
+			arrived += s.arrived
+			wronglyRefused += len(s.wronglyRefused)
+			for _, n := range s.crashCount {
 				most = max(most, n)
 				crashes += n
 			}
-			latest = max(latest, s.last.Sub(start))
-			for _, n := range s.late {
-				if n > allowedLate {
+			latest = max(latest, s.lastCrash.Sub(start))
+			for _, n := range s.lateSends {
+				if n > maxLateSends {
 					late++
 				}
 			}
 		}
-		t.Logf("%d bad: of %d proper requests %d refused, %d crashes each at the most, %.1f in the mean, the last after %v, %d of %d sent too often after that", bad, asked, wrong, most, float64(crashes)/float64(seeds*bad), latest, late, seeds*bad)
-		is.True(wrong*10_000 <= asked)
-		is.True(late*200 <= seeds*bad)
+		t.Logf("%d crashing: of %d harmless requests %d refused, at most %d crashes each, %.1f on average, the last after %v, %d of %d sent too often after that", crashing, arrived, wronglyRefused, most, float64(crashes)/float64(seeds*crashing), latest, late, seeds*crashing)
+		is.True(wronglyRefused*10_000 <= arrived)
+		is.True(late*200 <= seeds*crashing)
 		is.True(most <= 4*testConfig.Limit)
 	}
 }
--- a/internal/request/quarantine/table.go
+++ b/internal/request/quarantine/table.go
@@ -12,143 +12,144 @@
 	Incarnation uint64
 }
 
-// Proof says how an incarnation of a target is known to have ended.
+// Proof is how an incarnation of a target is known to have ended.
 type Proof string
 
 // The proofs.
 const (
 	RefusesConnections Proof = "it refuses connections"
 	AnotherAtAddress   Proof = "another target has its address"
-	Restarted          Proof = "it has started again"
+	Restarted          Proof = "it has restarted"
 )
 
-// Config of a table.
+// Config is the configuration of a Table.
 type Config struct {
-	// Limit is after how many crashes work is refused.
+	// Limit is the number of crashes after which work is refused.
 	Limit int
-	// Retention is how long a crash is remembered.
+	// Retention is how long a crash is kept.
 	Retention time.Duration
 }
 
 const (
-	// provedWithin is how long after a loss the proof that the target has ended may
-	// come: targets are back 2 to 5 s after a crash, and another one at the address
-	// or a new start is then the first proof of one that fell silent.
-	provedWithin = 6 * time.Second
-	// mostCrashes and mostWork bound the memory: 256 crashes with 64 pieces of work
-	// each take 0.4 MB. A target serves some ten requests at once.
-	mostCrashes = 256
-	mostWork    = 64
+	// proofTimeout is how long after a loss the proof that the target has ended may
+	// arrive. Targets are back 2 to 5 s after a crash; for a target that stopped responding,
+	// another one at its address or its restart is then the first proof.
+	proofTimeout = 6 * time.Second
+	// maxCrashes and maxWorkPerCrash bound the memory: 256 crashes with the fingerprints of
+	// 64 requests each take 0.4 MB. A target serves about ten requests at once.
+	maxCrashes      = 256
+	maxWorkPerCrash = 64
 )
 
 // crash is the end of one incarnation of a target.
 type crash struct {
-	target  Target
-	at      time.Time // of the first loss that was noticed
-	known   time.Time // when this node learned that the target has ended
-	targets int       // that served the same service, this one included
-	work    map[fingerprint.ID]state
-	content uint64 // hash of what is told of it
+	target      Target
+	at          time.Time // of the first loss
+	learnedAt   time.Time // when this node learned that the target has ended
+	targets     int       // that served the same service, this one included
+	work        map[fingerprint.ID]state
+	contentHash uint64 // see hashOf
 }
 
-// state is what is held of work that was in flight at a crash. It only goes up.
+// state is the state of work that was in flight at a crash. It only increases.
 type state int
 
 const (
-	accused state = iota
-	cleared
+	suspect state = iota // it may have caused the crash
+	cleared              // it was answered completely since, or released by an operator
 )
 
-// losses are attempts that broke off at a target of which it is not proved that it
-// has ended.
-type losses struct {
-	since   time.Time
-	targets int
-	work    map[fingerprint.ID]bool
+// unprovedLosses are attempts that lost their connection to a target whose end is not proved.
+type unprovedLosses struct {
+	firstLoss time.Time
+	targets   int
+	work      map[fingerprint.ID]bool
 }
 
-// Table is what one node knows. It is not safe for concurrent use.
+// Table holds the crashes known to one node, and the verdicts on work. It is not safe for
+// concurrent use.
 type Table struct {
 	cfg      Config
-	unproved map[Target]*losses
+	unproved map[Target]*unprovedLosses
 	crashes  map[Target]*crash
 
-	verdicts map[fingerprint.ID]Verdict
-	suspects map[fingerprint.ID]bool // at crashes that nothing else explains
-	stale    bool                    // the crashes have changed since the verdicts were derived
-	until    time.Time               // when they have to be derived again though nothing has changed
+	verdicts      map[fingerprint.ID]Verdict
+	suspectedWork map[fingerprint.ID]bool // suspects of crashes that nothing else explains
+	verdictsStale bool                    // the crashes have changed since the verdicts were derived
+	validUntil    time.Time               // when they have to be derived again even without changes
 }
 
 // New returns an empty table.
 func New(cfg Config) *Table {
-	return &Table{cfg: cfg, unproved: map[Target]*losses{}, crashes: map[Target]*crash{}, verdicts: map[fingerprint.ID]Verdict{}}
+	return &Table{cfg: cfg, unproved: map[Target]*unprovedLosses{}, crashes: map[Target]*crash{}, verdicts: map[fingerprint.ID]Verdict{}}
 }
 
-// Empty reports whether nothing is known that any work would have to be compared
-// with.
+// Empty reports whether there are no losses and crashes with which work would have to be
+// compared.
 func (t *Table) Empty() bool { return len(t.unproved)+len(t.crashes) == 0 }
 
-// Lost takes work whose attempt broke off at a target, one of so many that serve
-// its service. It reports whether the crash that this belongs to is proved.
-func (t *Table) Lost(now time.Time, target Target, work fingerprint.ID, targets int) (news bool) {
+// Lost records that an attempt at work lost its connection to a target; targets is the number
+// of targets of its service. It reports whether that changed a known crash.
+func (t *Table) Lost(now time.Time, target Target, work fingerprint.ID, targets int) (changed bool) {
 	if c := t.crashes[target]; c != nil {
-		if _, known := c.work[work]; known || len(c.work) >= mostWork {
+		if _, known := c.work[work]; known || len(c.work) >= maxWorkPerCrash {
 			return false
 		}
-		c.work[work] = accused
-		t.changed(c)
+		c.work[work] = suspect
+		t.markChanged(c)
 		return true
 	}
 	l := t.unproved[target]
 	if l == nil {
-		t.forgetUnproved(now)
-		if len(t.unproved) >= mostCrashes {
+		t.expireUnproved(now)
+		if len(t.unproved) >= maxCrashes {
 			return false
 		}
-		l = &losses{since: now, work: map[fingerprint.ID]bool{}}
+		l = &unprovedLosses{firstLoss: now, work: map[fingerprint.ID]bool{}}
 		t.unproved[target] = l
 	}
 	l.targets = max(l.targets, targets)
-	if len(l.work) < mostWork {
+	if len(l.work) < maxWorkPerCrash {
 		l.work[work] = true
 	}
 	return false
 }
 
-// EndedBefore reports whether an incarnation of a target was known to have ended before
-// a time. What was sent there later has met the next one, of which no list tells yet.
+// EndedBefore reports whether an incarnation of a target was known to have ended before a
+// request was sent. The request then reached the next incarnation, which no list of targets
+// may show yet.
 func (t *Table) EndedBefore(target Target, sent time.Time) bool {
 	c := t.crashes[target]
-	return c != nil && c.known.Before(sent)
+	return c != nil && c.learnedAt.Before(sent)
 }
 
-// Ended takes proof that an incarnation of a target has ended. It reports whether
-// work was lost there of which that was not known.
-func (t *Table) Ended(now time.Time, target Target) (news bool) {
+// Ended records proof that an incarnation of a target has ended. It reports whether that
+// added a crash.
+func (t *Table) Ended(now time.Time, target Target) (changed bool) {
 	l := t.unproved[target]
 	delete(t.unproved, target)
-	if l == nil || now.Sub(l.since) > provedWithin || len(l.work) == 0 {
+	if l == nil || now.Sub(l.firstLoss) > proofTimeout || len(l.work) == 0 {
 		return false
 	}
-	c := &crash{target: target, at: l.since, known: now, targets: l.targets, work: map[fingerprint.ID]state{}}
+	c := &crash{target: target, at: l.firstLoss, learnedAt: now, targets: l.targets, work: map[fingerprint.ID]state{}}
 	for work := range l.work {
-		c.work[work] = accused
+		c.work[work] = suspect
 	}
 	t.add(c)
 	return true
 }
 
-// Alive takes proof that an incarnation of a target lived at a time: what was lost
-// there before was not lost by a crash.
+// Alive records proof that an incarnation of a target was alive at a time: earlier losses
+// there were not caused by a crash.
 func (t *Table) Alive(target Target, at time.Time) {
-	if l := t.unproved[target]; l != nil && !l.since.After(at) {
+	if l := t.unproved[target]; l != nil && !l.firstLoss.After(at) {
 		delete(t.unproved, target)
 	}
 }
 
-// Clear takes work that was answered whole, or that an operator lets go: no crash
-// that is known was its fault. It reports whether that is news.
-func (t *Table) Clear(work fingerprint.ID) (news bool) {
+// Clear clears work of all known crashes, because it was answered completely or released by
+// an operator. It reports whether that changed the table.
+func (t *Table) Clear(work fingerprint.ID) (changed bool) {
 	for target, l := range t.unproved {
 		delete(l.work, work)
 		if len(l.work) == 0 {
@@ -156,62 +157,62 @@
 		}
 	}
 	for _, c := range t.crashes {
-		if s, known := c.work[work]; known && s == accused {
+		if s, known := c.work[work]; known && s == suspect {
 			c.work[work] = cleared
-			t.changed(c)
-			news = true
+			t.markChanged(c)
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
 
-// Expire drops what is too old to count.
+// Expire drops losses and crashes that are too old to count.
 func (t *Table) Expire(now time.Time) {
-	t.forgetUnproved(now)
+	t.expireUnproved(now)
 	for target, c := range t.crashes {
 		if now.Sub(c.at) >= t.cfg.Retention {
 			delete(t.crashes, target)
-			t.stale = true
+			t.verdictsStale = true
 		}
 	}
 }
 
-func (t *Table) forgetUnproved(now time.Time) {
+func (t *Table) expireUnproved(now time.Time) {
 	for target, l := range t.unproved {
-		if now.Sub(l.since) > provedWithin {
+		if now.Sub(l.firstLoss) > proofTimeout {
 			delete(t.unproved, target)
 		}
 	}
 }
 
-// add takes a crash that is not known, and makes room for it.
+// add adds a new crash, and evicts others if the table is full.
 func (t *Table) add(c *crash) {
-	for len(t.crashes) >= mostCrashes {
-		delete(t.crashes, t.leastUseful())
+	for len(t.crashes) >= maxCrashes {
+		delete(t.crashes, t.evictionCandidate())
 	}
 	t.crashes[c.target] = c
-	t.changed(c)
+	t.markChanged(c)
 }
 
-// leastUseful returns the oldest crash that refuses nothing, or else the oldest.
-func (t *Table) leastUseful() Target {
-	var oldest, idle *crash
+// evictionCandidate returns the oldest crash that causes no refusal, or else the oldest crash.
+func (t *Table) evictionCandidate() Target {
+	var oldest, oldestUnused *crash
 	for _, c := range t.crashes {
 		if oldest == nil || c.at.Before(oldest.at) {
 			oldest = c
 		}
-		if !t.refusesBy(c) && (idle == nil || c.at.Before(idle.at)) {
-			idle = c
+		if !t.causesRefusal(c) && (oldestUnused == nil || c.at.Before(oldestUnused.at)) {
+			oldestUnused = c
 		}
 	}
-	if idle != nil {
-		return idle.target
+	if oldestUnused != nil {
+		return oldestUnused.target
 	}
 	return oldest.target
 }
 
-// refusesBy reports whether work is refused that was in flight at a crash.
-func (t *Table) refusesBy(c *crash) bool {
+// causesRefusal reports whether work that was in flight at a crash is refused.
+func (t *Table) causesRefusal(c *crash) bool {
 	for work := range c.work {
 		if _, refused := t.verdicts[work]; refused {
 			return true
@@ -220,7 +221,7 @@
 	return false
 }
 
-func (t *Table) changed(c *crash) {
-	c.content = contentOf(c)
-	t.stale = true
+func (t *Table) markChanged(c *crash) {
+	c.contentHash = hashOf(c)
+	t.verdictsStale = true
 }
--- a/internal/request/quarantine/table_test.go
+++ b/internal/request/quarantine/table_test.go
@@ -28,7 +28,7 @@
 
 func incarnation(n int) Target { return Target{fmt.Sprint("t", n%fleetSize), uint64(n)} }
 
-// crashAt has an incarnation of a target crash with work in flight, and proves it.
+// crashAt records a proved crash of an incarnation of a target with work in flight.
 func (t *Table) crashAt(at time.Time, target Target, works ...fingerprint.ID) {
 	for _, w := range works {
 		t.Lost(at, target, w, fleetSize)
@@ -41,9 +41,9 @@
 	return is
 }
 
-// TestThreeCrashesRefuse: work is refused after three crashes of different
-// incarnations, a moment after the third, and let go when the first is forgotten; one
-// more refuses it again.
+// TestThreeCrashesRefuse: work is refused settleTime after the third crash of different
+// incarnations, and no longer once the first crash has expired. One more crash then refuses
+// it again.
 func TestThreeCrashesRefuse(t *testing.T) {
 	is := is.New(t)
 	table := New(testConfig)
@@ -51,34 +51,35 @@
 	for n := range 3 {
 		at := start.Add(time.Duration(n) * time.Second)
 		table.crashAt(at, incarnation(n), work(1), work(100+n))
-		table.crashAt(at, incarnation(n), work(1)) // noticed once more
-		is.True(!refused(table, at.Add(settle-time.Millisecond), work(1)))
-		is.Equal(refused(table, at.Add(settle), work(1)), n == 2)
-		is.True(!refused(table, at.Add(settle), work(100+n)))
+		table.crashAt(at, incarnation(n), work(1)) // reported twice
+		is.True(!refused(table, at.Add(settleTime-time.Millisecond), work(1)))
+		is.Equal(refused(table, at.Add(settleTime), work(1)), n == 2)
+		is.True(!refused(table, at.Add(settleTime), work(100+n)))
 	}
 	third := start.Add(2 * time.Second)
-	v, _ := table.Refused(third.Add(settle), work(1))
+	v, _ := table.Refused(third.Add(settleTime), work(1))
 	is.Equal(v, Verdict{Targets: []Target{incarnation(0), incarnation(1), incarnation(2)}, Since: third, Until: start.Add(time.Hour)})
 	is.True(refused(table, start.Add(time.Hour-1), work(1)))
 	is.True(!refused(table, start.Add(time.Hour), work(1)))
 	table.crashAt(start.Add(time.Hour), incarnation(4), work(1))
-	is.True(refused(table, start.Add(time.Hour+settle), work(1)))
+	is.True(refused(table, start.Add(time.Hour+settleTime), work(1)))
 }
 
-// TestLossWithoutProofCountsNothing: connections also break by cuts, resets and
-// spoiled answers, however often.
+// TestLossWithoutProofCountsNothing: lost connections do not count without proof that the
+// target has ended, however many they are. They also break by network partitions, resets and
+// malformed answers.
 func TestLossWithoutProofCountsNothing(t *testing.T) {
 	is := is.New(t)
 	table := New(testConfig)
 	for n := range 20 {
 		at := start.Add(time.Duration(n) * time.Second)
 		table.Lost(at, incarnation(n), work(1), fleetSize)
-		is.True(!table.Suspected(at.Add(settle), work(1)))
-		is.True(!table.Ended(at.Add(provedWithin+1), incarnation(n))) // too late to be its cause
+		is.True(!table.Suspected(at.Add(settleTime), work(1)))
+		is.True(!table.Ended(at.Add(proofTimeout+1), incarnation(n))) // the proof arrives too late
 	}
 	is.True(!refused(table, start.Add(time.Minute), work(1)))
 	late := start.Add(time.Minute)
-	for n := range 3 { // it is seen to live, and crashes afterwards
+	for n := range 3 { // the target is seen alive after the loss, and ends later
 		table.Lost(late, incarnation(n), work(1), fleetSize)
 		table.Alive(incarnation(n), late)
 		is.True(!table.Ended(late.Add(time.Second), incarnation(n)))
@@ -88,8 +89,8 @@
 	is.Equal(table.Digest(start.Add(time.Minute)), uint64(0))
 }
 
-// TestWholeAnswerClears: what was answered whole did not cause the crashes before,
-// and is judged by later ones only.
+// TestWholeAnswerClears: a complete answer clears work of earlier crashes, and only later
+// ones count.
 func TestWholeAnswerClears(t *testing.T) {
 	is := is.New(t)
 	table := New(testConfig)
@@ -101,30 +102,31 @@
 		}
 		at := start.Add(time.Duration(n) * time.Second)
 		table.crashAt(at, incarnation(n), work(1))
-		is.Equal(refused(table, at.Add(settle), work(1)), n >= 4)
+		is.Equal(refused(table, at.Add(settleTime), work(1)), n >= 4)
 	}
-	is.True(table.Clear(work(1))) // an operator lets it go
+	is.True(table.Clear(work(1))) // released by an operator
 	is.True(!refused(table, start.Add(time.Minute), work(1)))
 	is.True(!table.Clear(work(1)))
 }
 
-// TestTargetsKilledTogether: three times in a row seven of twelve targets are killed
-// at once. A request that was in flight at one of them each time is not refused.
+// TestTargetsKilledTogether: seven of twelve targets are killed at once, three times. A
+// request that was in flight at one of them each time is not refused.
 func TestTargetsKilledTogether(t *testing.T) {
 	is := is.New(t)
 	table := New(testConfig)
 	for kill := range 3 {
 		for n := range 7 {
 			at := start.Add(time.Duration(kill)*time.Second + time.Duration(n)*5*time.Millisecond)
-			beside := work(100 + kill*fleetSize + n)
-			table.crashAt(at, incarnation(kill*fleetSize+n), work(n), beside)
+			concurrent := work(100 + kill*fleetSize + n)
+			table.crashAt(at, incarnation(kill*fleetSize+n), work(n), concurrent)
 		}
 	}
 	is.Equal(len(table.Verdicts(start.Add(time.Minute))), 0)
 }
 
-// TestOneRequestAtManyTargetsAtOnce: a request that is sent on within a millisecond of
-// each crash ends all targets of a small fleet in a moment. That is no kill of many.
+// TestOneRequestAtManyTargetsAtOnce: a request that is retried within a millisecond of each
+// crash ends all targets of a small fleet within a moment. They do not count as killed
+// together.
 func TestOneRequestAtManyTargetsAtOnce(t *testing.T) {
 	is := is.New(t)
 	table := New(testConfig)
@@ -138,9 +140,9 @@
 	is.Equal(len(table.Verdicts(start.Add(time.Second))), 1)
 }
 
-// TestSeveralInStep: five requests that end targets come in step, so that five targets
-// of twelve end at one moment again and again. Once some of them are suspected, the
-// others' crashes are no kill of many any more.
+// TestSeveralInStep: five crashing requests arrive in step, so that five of twelve targets
+// end at one moment repeatedly. Once some of the requests are suspected, the crashes of the
+// others do not count as killed together any more.
 func TestSeveralInStep(t *testing.T) {
 	is := is.New(t)
 	table := New(testConfig)
@@ -151,7 +153,7 @@
 			crashes++
 		}
 	}
-	crash(start, 0, 1) // the first come a little ahead
+	crash(start, 0, 1) // the first two arrive earlier
 	for step := 1; step <= 6; step++ {
 		crash(start.Add(time.Duration(step)*200*time.Millisecond), 0, 1, 2, 3, 4)
 	}
@@ -161,28 +163,28 @@
 	is.Equal(len(table.Verdicts(start.Add(3*time.Second))), 5)
 }
 
-// TestSharedCrashesWaitForMore: two pieces of work at the same three crashes can't be
-// told apart. The one that goes on to crash targets is refused, and the other let be;
-// if they always come together, both are in the end.
+// TestSharedCrashesWaitForMore: either of two requests that were in flight at the same three
+// crashes may be the cause. Only the one that crashes further targets is refused. If both are
+// in flight at every crash, one is refused in the end.
 func TestSharedCrashesWaitForMore(t *testing.T) {
 	is := is.New(t)
 	table, inseparable := New(testConfig), New(testConfig)
 	now := func(n int) time.Time { return start.Add(time.Duration(n) * time.Second) }
 	for n := range 8 {
-		beside := work(2) // three times, and others after that
+		concurrent := work(2) // at the first three crashes
 		if n >= 3 {
-			beside = work(10 + n)
+			concurrent = work(10 + n)
 		}
-		table.crashAt(now(n), incarnation(n), work(1), beside)
+		table.crashAt(now(n), incarnation(n), work(1), concurrent)
 		inseparable.crashAt(now(n), incarnation(n), work(1), work(2))
-		is.Equal(refused(table, now(n).Add(settle), work(1)), n >= 3)
-		is.True(!refused(table, now(n).Add(settle), work(2)))
+		is.Equal(refused(table, now(n).Add(settleTime), work(1)), n >= 3)
+		is.True(!refused(table, now(n).Add(settleTime), work(2)))
 	}
 	is.True(refused(inseparable, now(9), work(1)) || refused(inseparable, now(9), work(2)))
 }
 
-// TestMergeInAnyOrder: whatever order crashes are told in, how often, and in which
-// parts, tables that have told each other all they know agree on what is refused.
+// TestMergeInAnyOrder: tables that have exchanged all crashes agree on what is refused, in
+// whatever order, how often and in which parts crashes were exchanged.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{New(testConfig), New(testConfig), New(testConfig)}
@@ -198,7 +200,7 @@
 			if rapid.IntRange(0, 4).Draw(t, "answered") == 0 {
 				tables[rapid.IntRange(0, 2).Draw(t, "by")].Clear(work(rapid.IntRange(0, 5).Draw(t, "cleared")))
 			}
-			if rapid.Bool().Draw(t, "told") {
+			if rapid.Bool().Draw(t, "exchange") {
 				from, to := tables[rapid.IntRange(0, 2).Draw(t, "from")], tables[rapid.IntRange(0, 2).Draw(t, "to")]
 				to.Merge(at, from.Missing(at, to.Hashes(at)))
 			}
@@ -210,7 +212,7 @@
 				}
 			}
 		}
-		now := at.Add(settle)
+		now := at.Add(settleTime)
 		for _, table := range tables[1:] {
 			if table.Digest(now) != tables[0].Digest(now) {
 				t.Fatal("digests differ")
@@ -222,27 +224,27 @@
 			}
 		}
 		if tables[0].Merge(now, tables[1].All(now)) {
-			t.Fatal("what was told is told again as news")
+			t.Fatal("a repeated merge changed the table")
 		}
 	})
 }
 
-// TestForgottenCrashesStayForgotten: a node that has not yet forgotten a crash does
-// not bring it back.
+// TestForgottenCrashesStayForgotten: a node that has not yet dropped an expired crash does
+// not add it again at other nodes.
 func TestForgottenCrashesStayForgotten(t *testing.T) {
 	is := is.New(t)
 	a, b := New(testConfig), New(testConfig)
 	a.crashAt(start, incarnation(1), work(1))
-	told := a.All(start)
+	crashes := a.All(start)
 	end := start.Add(testConfig.Retention)
-	told[0].Age = testConfig.Retention
-	is.True(!b.Merge(end, told))
+	crashes[0].Age = testConfig.Retention
+	is.True(!b.Merge(end, crashes))
 	is.True(b.Empty())
 	is.Equal(len(a.All(end)), 0)
 }
 
-// TestMemoryIsBounded: a flood of work that crashes a target each leaves what is
-// refused refused.
+// TestMemoryIsBounded: many crashes of other work neither exceed the memory bounds nor end
+// an earlier refusal.
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	table := New(testConfig)
@@ -251,27 +253,27 @@
 	}
 	is.True(refused(table, start.Add(3*time.Second), work(0)))
 	at := start.Add(10 * time.Second)
-	for n := range 4 * mostCrashes {
+	for n := range 4 * maxCrashes {
 		at = at.Add(200 * time.Millisecond)
-		for w := range 2 * mostWork {
+		for w := range 2 * maxWorkPerCrash {
 			table.Lost(at, incarnation(100+n), work(1000+n*1000+w), fleetSize)
 		}
 		table.Ended(at, incarnation(100+n))
 	}
-	is.Equal(len(table.crashes), mostCrashes)
-	is.True(len(table.All(at)[mostCrashes-1].Suspects) <= mostWork)
+	is.Equal(len(table.crashes), maxCrashes)
+	is.True(len(table.All(at)[maxCrashes-1].Suspects) <= maxWorkPerCrash)
 	is.True(refused(table, at, work(0)))
-	for n := range 2 * mostCrashes {
+	for n := range 2 * maxCrashes {
 		table.Lost(at, Target{"silent", uint64(n)}, work(n), fleetSize)
 	}
-	is.True(len(table.unproved) <= mostCrashes)
+	is.True(len(table.unproved) <= maxCrashes)
 }
 
-// BenchmarkDerive gives what a new crash costs beside a full table.
+// BenchmarkDerive measures what a new crash costs with a full table.
 func BenchmarkDerive(b *testing.B) {
 	table := New(testConfig)
 	at := start
-	for n := range mostCrashes {
+	for n := range maxCrashes {
 		at = at.Add(time.Second)
 		for i := range 8 {
 			table.Lost(at, incarnation(n), work(n*8+i%7), fleetSize)
@@ -279,7 +281,7 @@
 		table.Ended(at, incarnation(n))
 	}
 	for range b.N {
-		table.stale = true
+		table.verdictsStale = true
 		table.derive(at.Add(time.Second))
 	}
 }
--- a/internal/request/quarantine/verdict.go
+++ b/internal/request/quarantine/verdict.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// settle is how old a crash must be to count: by then what other nodes lost at
-	// the same moment is known here too. News takes two rounds of 0.1 s to reach
+	// settleTime is the age from which a crash counts: by then the simultaneous losses of
+	// other nodes are known here too. Reports take two gossip rounds of 0.1 s to reach
 	// other data centres.
-	settle = 300 * time.Millisecond
-	// togetherWithin is how close the ends of targets that were killed at once are
-	// noticed, and togetherShare the share of a service's targets, and togetherLeast
-	// the number, that count as killed at once. One request runs at one target at a
-	// time, so that several that end targets do not come to that many at a moment by
-	// chance; where they come in step, see together.
+	settleTime = 300 * time.Millisecond
+	// Targets count as killed together, by something other than a request, if their ends are
+	// noticed within togetherWithin and they are at least togetherShare of the targets of a
+	// service, and at least minTogether. A request runs at one target at a time, so several
+	// crashing requests do not end that many targets at one moment by chance; killedTogether
+	// handles those that arrive in step.
 	togetherWithin = 50 * time.Millisecond
 	togetherShare  = 1.0 / 3
-	togetherLeast  = 3
-	// aloneLeast is at how many of its crashes no other work may have been that was
-	// at several: it keeps proper requests clear that are often beside several bad ones.
-	aloneLeast = 1
-	// certainFactor times the limit is enough whoever else was there: work that
-	// always comes together would never be told apart.
+	minTogether    = 3
+	// minSoleSuspect is at how many of its crashes work must be the only suspect of several
+	// crashes. It protects harmless requests that often run beside crashing ones.
+	minSoleSuspect = 1
+	// certainFactor times the limit of crashes is enough whatever other work was in flight:
+	// work that always runs together could otherwise never be refused.
 	certainFactor = 2
 )
 
-// Verdict says why work is refused.
+// Verdict is the decision that work is refused.
 type Verdict struct {
-	Targets []Target  // whose crashes decided it, oldest first
+	Targets []Target  // whose crashes led to it, oldest first
 	Since   time.Time // of the last of them
-	Until   time.Time // when it is let go, unless targets crash under it again
+	Until   time.Time // when it expires, unless the work crashes targets again
 }
 
-// Refused returns the verdict on work; false: it is not refused.
+// Refused returns the verdict on work, and whether it is refused.
 func (t *Table) Refused(now time.Time, work fingerprint.ID) (Verdict, bool) {
 	t.derive(now)
 	v, refused := t.verdicts[work]
@@ -45,10 +45,10 @@
 }
 
 // Suspected reports whether work was in flight at a crash that nothing else explains and
-// was not answered whole since.
+// has not been answered completely since.
 func (t *Table) Suspected(now time.Time, work fingerprint.ID) bool {
 	t.derive(now)
-	return t.suspects[work]
+	return t.suspectedWork[work]
 }
 
 // Verdicts returns all verdicts.
@@ -57,26 +57,26 @@
 	return maps.Clone(t.verdicts)
 }
 
-// derive brings the verdicts up to date.
+// derive updates the verdicts.
 func (t *Table) derive(now time.Time) {
-	if !t.stale && now.Before(t.until) {
+	if !t.verdictsStale && now.Before(t.validUntil) {
 		return
 	}
 	t.Expire(now)
-	t.stale = false
-	t.until = now.Add(t.cfg.Retention)
-	trial := newTrial(t.cfg)
+	t.verdictsStale = false
+	t.validUntil = now.Add(t.cfg.Retention)
+	eval := newEvaluation(t.cfg)
 	order := t.inOrder()
 	for i, c := range order {
-		if age := now.Sub(c.at); age < settle {
-			t.until = earlier(t.until, c.at.Add(settle))
+		if age := now.Sub(c.at); age < settleTime {
+			t.validUntil = earlier(t.validUntil, c.at.Add(settleTime))
 			continue
 		}
-		t.until = earlier(t.until, c.at.Add(t.cfg.Retention))
-		near := around(order, i)
-		trial.hear(c, slices.DeleteFunc(c.accused(), func(work fingerprint.ID) bool { return trial.together(c, work, near) }))
+		t.validUntil = earlier(t.validUntil, c.at.Add(t.cfg.Retention))
+		near := crashesNear(order, i)
+		eval.add(c, slices.DeleteFunc(c.suspects(), func(work fingerprint.ID) bool { return eval.killedTogether(c, work, near) }))
 	}
-	t.verdicts, t.suspects = trial.verdicts, trial.suspects()
+	t.verdicts, t.suspectedWork = eval.verdicts, eval.suspectedWork()
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -93,36 +93,37 @@
 	})
 }
 
-// trial goes through crashes in their order. A verdict depends on what came before
-// it only, so that later crashes don't overturn it.
-type trial struct {
-	cfg      Config
-	history  map[fingerprint.ID][]*crash // that nothing else explains, by work
-	verdicts map[fingerprint.ID]Verdict
+// evaluation derives verdicts from crashes in their order. A verdict depends on earlier
+// crashes only, so later ones don't overturn it.
+type evaluation struct {
+	cfg         Config
+	unexplained map[fingerprint.ID][]*crash // crashes that nothing else explains, by suspect
+	verdicts    map[fingerprint.ID]Verdict
 }
 
-func newTrial(cfg Config) *trial {
-	return &trial{cfg: cfg, history: map[fingerprint.ID][]*crash{}, verdicts: map[fingerprint.ID]Verdict{}}
+func newEvaluation(cfg Config) *evaluation {
+	return &evaluation{cfg: cfg, unexplained: map[fingerprint.ID][]*crash{}, verdicts: map[fingerprint.ID]Verdict{}}
 }
 
-// hear takes the next crash, with the work that may have caused it.
-func (t *trial) hear(c *crash, suspects []fingerprint.ID) {
-	if slices.ContainsFunc(c.accused(), t.refused) {
+// add evaluates the next crash, with the suspects that may have caused it.
+func (e *evaluation) add(c *crash, suspects []fingerprint.ID) {
+	if slices.ContainsFunc(c.suspects(), e.refused) {
 		return
 	}
 	for _, work := range suspects {
-		t.history[work] = append(t.history[work], c)
+		e.unexplained[work] = append(e.unexplained[work], c)
 	}
 	for _, work := range suspects {
-		if t.guilty(work) {
-			t.refuse(work)
+		if e.isLikelyCause(work) {
+			e.refuse(work)
 			return
 		}
 	}
 }
 
-// around returns the other crashes within togetherWithin of one, of all in their order.
-func around(order []*crash, i int) []*crash {
+// crashesNear returns the other crashes within togetherWithin of crash i; order is sorted by
+// time.
+func crashesNear(order []*crash, i int) []*crash {
 	at := order[i].at
 	from, to := i, i+1
 	for from > 0 && at.Sub(order[from-1].at) <= togetherWithin {
@@ -134,35 +135,35 @@
 	return slices.Concat(order[from:i], order[i+1:to])
 }
 
-// together reports whether a crash is one of many at the same moment that work did not
-// cause: those at which it was not in flight, and this one. Work that is sent on at
-// once can crash several targets within a moment, one after the other. Nor do those
-// count at which other work was that is suspected already: several that end targets may
-// come in step.
-func (t *trial) together(c *crash, work fingerprint.ID, near []*crash) bool {
+// killedTogether reports whether a crash of work is one of many near it that were killed
+// together. Of the crashes near it those do not count at which the work itself is a suspect,
+// since work that is retried at once can crash several targets one after the other within a
+// moment. Nor do those count that other suspected or refused work explains, since several
+// crashing requests may arrive in step.
+func (e *evaluation) killedTogether(c *crash, work fingerprint.ID, near []*crash) bool {
 	ended := 1
 	for _, other := range near {
-		if s, there := other.work[work]; !(there && s == accused) && !t.explains(other) {
+		if s, there := other.work[work]; !(there && s == suspect) && !e.explained(other) {
 			ended++
 		}
 	}
-	return ended >= togetherLeast && float64(ended) >= togetherShare*float64(c.targets)
+	return ended >= minTogether && float64(ended) >= togetherShare*float64(c.targets)
 }
 
-// explains reports whether suspected or refused work was at a crash.
-func (t *trial) explains(c *crash) bool {
+// explained reports whether a suspect of a crash is already suspected or refused.
+func (e *evaluation) explained(c *crash) bool {
 	for work, s := range c.work {
-		if s == accused && (len(t.history[work]) > 0 || t.refused(work)) {
+		if s == suspect && (len(e.unexplained[work]) > 0 || e.refused(work)) {
 			return true
 		}
 	}
 	return false
 }
 
-// suspects returns the work at crashes that nothing else explains.
-func (t *trial) suspects() map[fingerprint.ID]bool {
+// suspectedWork returns the suspects of crashes that nothing else explains.
+func (e *evaluation) suspectedWork() map[fingerprint.ID]bool {
 	out := map[fingerprint.ID]bool{}
-	for work, crashes := range t.history {
+	for work, crashes := range e.unexplained {
 		if len(crashes) > 0 {
 			out[work] = true
 		}
@@ -170,47 +171,49 @@
 	return out
 }
 
-func (t *trial) refused(work fingerprint.ID) bool {
-	_, refused := t.verdicts[work]
+func (e *evaluation) refused(work fingerprint.ID) bool {
+	_, refused := e.verdicts[work]
 	return refused
 }
 
-// guilty reports whether work is the likely cause of its crashes.
-func (t *trial) guilty(work fingerprint.ID) bool {
-	crashes := len(t.history[work])
-	return crashes >= certainFactor*t.cfg.Limit || (crashes >= t.cfg.Limit && t.alone(work) >= aloneLeast)
+// isLikelyCause reports whether work is to be refused as the likely cause of its crashes.
+func (e *evaluation) isLikelyCause(work fingerprint.ID) bool {
+	crashes := len(e.unexplained[work])
+	return crashes >= certainFactor*e.cfg.Limit || (crashes >= e.cfg.Limit && e.soleSuspectCrashes(work) >= minSoleSuspect)
 }
 
-// alone returns at how many of its crashes no other work was that was at several.
-func (t *trial) alone(work fingerprint.ID) int {
+// soleSuspectCrashes returns at how many of its crashes work is the only suspect of several
+// crashes.
+func (e *evaluation) soleSuspectCrashes(work fingerprint.ID) int {
 	n := 0
-	for _, c := range t.history[work] {
-		if !slices.ContainsFunc(c.accused(), func(other fingerprint.ID) bool { return other != work && len(t.history[other]) > 1 }) {
+	for _, c := range e.unexplained[work] {
+		if !slices.ContainsFunc(c.suspects(), func(other fingerprint.ID) bool { return other != work && len(e.unexplained[other]) > 1 }) {
 			n++
 		}
 	}
 	return n
 }
 
-// refuse gives a verdict. What was beside the work is excused.
-func (t *trial) refuse(work fingerprint.ID) {
-	crashes := t.history[work]
-	v := Verdict{Since: crashes[len(crashes)-1].at, Until: crashes[len(crashes)-t.cfg.Limit].at.Add(t.cfg.Retention)}
+// refuse adds the verdict on work. It explains the crashes of the work, so other suspects of
+// them are no longer suspected for these.
+func (e *evaluation) refuse(work fingerprint.ID) {
+	crashes := e.unexplained[work]
+	v := Verdict{Since: crashes[len(crashes)-1].at, Until: crashes[len(crashes)-e.cfg.Limit].at.Add(e.cfg.Retention)}
 	for _, c := range crashes {
 		v.Targets = append(v.Targets, c.target)
 	}
-	t.verdicts[work] = v
-	delete(t.history, work)
-	for other, history := range t.history {
-		t.history[other] = slices.DeleteFunc(history, func(c *crash) bool { return slices.Contains(crashes, c) })
+	e.verdicts[work] = v
+	delete(e.unexplained, work)
+	for other, otherCrashes := range e.unexplained {
+		e.unexplained[other] = slices.DeleteFunc(otherCrashes, func(c *crash) bool { return slices.Contains(crashes, c) })
 	}
 }
 
-// accused returns the work that may be the cause, in a fixed order.
-func (c *crash) accused() []fingerprint.ID {
+// suspects returns the work that may have caused the crash, in a fixed order.
+func (c *crash) suspects() []fingerprint.ID {
 	var out []fingerprint.ID
 	for work, s := range c.work {
-		if s == accused {
+		if s == suspect {
 			out = append(out, work)
 		}
 	}
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -93,20 +93,20 @@
 mutant 1 internal/request/job/run.go 's/m\.Clock\.Since\(started\)/time.Since(started)/' internal/request/job TestSuspendedHolderAsksTheStore
 mutant 1 internal/connection/beacon/send.go 's/state\.lastReceived\.After\(x\.resumedAt\) && //' internal/connection/beacon TestSuspendedNodeReportsNothingOld
 mutant 1 internal/request/batch/lease.go 's/w\.clock\.Since\(l\.renewed\)/time.Since(l.renewed)/' internal/request/batch TestLeaseRunsOutDuringASuspension
-mutant 5 internal/request/quarantine/verdict.go 's/return trial\.together\(c, work, near\)/return trial.together(c, work, near) \&\& c == nil/' internal/request/quarantine TestTargetsKilledTogether
-mutant 5 internal/request/quarantine/verdict.go 's/aloneLeast = 1/aloneLeast = 0/' internal/request/quarantine TestBystandersAreNotRefused
+mutant 5 internal/request/quarantine/verdict.go 's/return eval\.killedTogether\(c, work, near\)/return eval.killedTogether(c, work, near) \&\& c == nil/' internal/request/quarantine TestTargetsKilledTogether
+mutant 5 internal/request/quarantine/verdict.go 's/minSoleSuspect = 1/minSoleSuspect = 0/' internal/request/quarantine TestBystandersAreNotRefused
 mutant 5 internal/request/quarantine/table.go 's/c\.work\[work\] = cleared/_ = cleared/' internal/request/quarantine TestWholeAnswerClears
-mutant 5 internal/request/quarantine/table.go 's/now\.Sub\(l\.since\) > provedWithin \|\| len/len/' internal/request/quarantine TestLossWithoutProofCountsNothing
-mutant 5 internal/request/quarantine/exchange.go 's/known && s >= to/known \&\& s >= accused/' internal/request/quarantine TestMergeInAnyOrder
-mutant 5 internal/request/quarantine/exchange.go 's/told\.Age < 0 \|\| told\.Age >= t\.cfg\.Retention/told.Age < 0/' internal/request/quarantine TestForgottenCrashesStayForgotten
+mutant 5 internal/request/quarantine/table.go 's/now\.Sub\(l\.firstLoss\) > proofTimeout \|\| len/len/' internal/request/quarantine TestLossWithoutProofCountsNothing
+mutant 5 internal/request/quarantine/exchange.go 's/known && s >= to/known \&\& s >= suspect/' internal/request/quarantine TestMergeInAnyOrder
+mutant 5 internal/request/quarantine/exchange.go 's/received\.Age < 0 \|\| received\.Age >= t\.cfg\.Retention/received.Age < 0/' internal/request/quarantine TestForgottenCrashesStayForgotten
 mutant 5 internal/process/crashes/watch.go 's/if w\.Leaving\(t\)/if w.Leaving(t) \&\& t.ID == ""/' internal/process/crashes TestWhatProvesNoCrash
 mutant 5 internal/process/crashes/probe.go 's/w\.table\.Alive\(keyOf\(t\), began\)/_ = began/' internal/process/crashes TestWhatProvesNoCrash
 mutant 5 internal/process/crashes/exchange.go 's/w\.pulls\.Put\(node\)/_ = node/' internal/process/crashes TestCrashesAtThreeNodes
 mutant 5 internal/process/hosted/crashes.go 's/n\.crashes\.Merge\(evidence\)/_ = evidence/' lab/hosted TestWhatIsRefusedStaysSo
 mutant 5 internal/request/job/run.go 's/ && !m\.isQuarantined\(h, i\)//' lab/hosted TestItemThatEndsTargets
 mutant 5 internal/request/choose/choose.go 's/e\.apart\+e\.elsewhere\.Apart == 0/e.apart >= 0/' internal/request/choose TestSuspectsDontMeet
-mutant 5 internal/request/quarantine/verdict.go 's/!\(there && s == accused\) &&/!(there \&\& s > cleared) \&\&/' internal/request/quarantine TestOneRequestAtManyTargetsAtOnce
-mutant 5 internal/request/quarantine/verdict.go 's/ && !t\.explains\(other\)//' internal/request/quarantine TestSeveralInStep
+mutant 5 internal/request/quarantine/verdict.go 's/!\(there && s == suspect\) &&/!(there \&\& s > cleared) \&\&/' internal/request/quarantine TestOneRequestAtManyTargetsAtOnce
+mutant 5 internal/request/quarantine/verdict.go 's/ && !e\.explained\(other\)//' internal/request/quarantine TestSeveralInStep
 mutant 6 internal/process/crashes/watch.go 's/w\.Leaving\(t\) \|\| w\.EndedBefore\(t\)/w.Leaving(t)/' internal/process/crashes TestLaterAttemptIsNotSuspected
 mutant 6 internal/connection/target/liveness.go 's/silent-time\.Since\(l\.last\)/0*(silent-time.Since(l.last))/' internal/connection/target TestSilentAttemptIsLost
 mutant 6 internal/request/forward/attempt.go 's/liveness\.Replaced\(gapTimeout\(req\.Route\)/liveness.Replaced(0*gapTimeout(req.Route)/' lab/hosted TestAnswerGoesOnAtTheNextStart
