--- a/internal/request/fingerprint/fingerprint.go
+++ b/internal/request/fingerprint/fingerprint.go
@@ -1,6 +1,6 @@
-// Package fingerprint names the work that a request asks for. A request that
-// comes again has another ID, may reach another node and may be an item of a job
-// the next time; its fingerprint stays the same.
+// Package fingerprint identifies the work that a request asks for. A request that is sent
+// again has another ID, may reach another node, and may be an item of a job the next time;
+// its fingerprint stays the same.
 package fingerprint
 
 import (
@@ -10,20 +10,20 @@
 	"sync"
 )
 
-// size is the length of an ID in bytes. Half a SHA-256 digest leaves no way to make
-// a request that is taken for somebody else's.
+// size is the length of an ID in bytes: half a SHA-256 digest, so that no one can make a
+// request with the fingerprint of another one.
 const size = 16
 
-// ID identifies work.
+// ID is the fingerprint of work.
 type ID [size]byte
 
-// String returns the ID in hexadecimal, as logs have it.
+// String returns the ID in hexadecimal, as in logs.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// Key returns a number that spreads work evenly.
+// Key returns a number that is evenly distributed over all work.
 func (id ID) Key() uint64 { return binary.BigEndian.Uint64(id[:]) }
 
-// FromBytes returns the ID that another node sent; false: it is none.
+// FromBytes returns the ID with the bytes given, and whether they are a valid one.
 func FromBytes(b []byte) (ID, bool) {
 	if len(b) != size {
 		return ID{}, false
@@ -31,7 +31,7 @@
 	return ID(b), true
 }
 
-// Parse returns the ID that a text stands for; false: it stands for none.
+// Parse returns the ID with the hexadecimal text given, and whether it is a valid one.
 func Parse(text string) (ID, bool) {
 	b, err := hex.DecodeString(text)
 	if err != nil {
@@ -40,16 +40,16 @@
 	return FromBytes(b)
 }
 
-// Work is what a request asks for. IDs, deadlines and where a stream goes on are no
-// part of it, because they change when a request comes again, and the address of
-// the caller is none, because callers share addresses and change them.
+// Work is what a request asks for. It excludes IDs, deadlines and the position at which a
+// stream is resumed, because they change when a request is sent again, and the address of
+// the caller, because callers share and change addresses.
 type Work struct {
 	Method, Host, Path string // the path with its query
-	// Selectors are the values of the headers that change what is done, such as the
-	// model and the caller's credentials.
+	// Selectors are the values of the headers that affect the result, such as the model and
+	// the caller's credentials.
 	Selectors []string
-	// Workspace is whose request it is: a changed key makes no other work, and what two
-	// workspaces ask is never the same.
+	// Workspace is the workspace of the request. Another key of the same workspace does not
+	// change the work, and requests of two workspaces are never the same work.
 	Workspace string
 	Body      []byte
 
@@ -57,9 +57,8 @@
 	id   ID
 }
 
-// ID returns the fingerprint. It is computed by the first call, so that work that is
-// never compared costs nothing: 1.2 us for a body of 1 KB, 0.8 ms for one of 1 MB
-// (BenchmarkWork).
+// ID returns the fingerprint. The first call computes it, which takes 1.2 us for a body of
+// 1 KB and 0.8 ms for one of 1 MB (BenchmarkWork); work that is never compared costs nothing.
 func (w *Work) ID() ID {
 	w.once.Do(func() { w.id = w.digest() })
 	return w.id
@@ -67,26 +66,26 @@
 
 func (w *Work) digest() ID {
 	h := sha256.New()
-	part := func(b []byte) {
+	hashPart := func(b []byte) {
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(b)))
 		h.Write(length[:]) // keeps "ab"+"c" apart from "a"+"bc"
 		h.Write(b)
 	}
 	for _, text := range []string{w.Method, w.Host, w.Path} {
-		part([]byte(text))
+		hashPart([]byte(text))
 	}
 	for _, text := range w.Selectors {
-		part([]byte(text))
+		hashPart([]byte(text))
 	}
 	if w.Workspace != "" {
-		part([]byte(w.Workspace))
+		hashPart([]byte(w.Workspace))
 	}
-	part(w.Body)
+	hashPart(w.Body)
 	return ID(h.Sum(nil)[:size])
 }
 
-// Select returns the values of the headers named, in the order of the names.
+// Select returns the values for the header names, in their order.
 func Select(names []string, get func(name string) string) []string {
 	values := make([]string, len(names))
 	for i, name := range names {
--- a/internal/request/fingerprint/fingerprint_test.go
+++ b/internal/request/fingerprint/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// TestWhatIsTheSameWork: only what is asked for counts, and each part of it does.
+// TestWhatIsTheSameWork: equal work has equal fingerprints, and each part of it affects them.
 func TestWhatIsTheSameWork(t *testing.T) {
 	is := is.New(t)
 	base := func() *Work {
@@ -30,7 +30,7 @@
 		w := base()
 		change(w)
 		if other, found := seen[w.ID()]; found {
-			t.Errorf("%s and %s are taken for the same", name, other)
+			t.Errorf("%s and %s have the same fingerprint", name, other)
 		}
 		seen[w.ID()] = name
 	}
@@ -48,7 +48,7 @@
 	}
 }
 
-// BenchmarkWork gives what the fingerprint of a request costs.
+// BenchmarkWork measures what the fingerprint of a request costs.
 func BenchmarkWork(b *testing.B) {
 	for _, size := range []int{1 << 10, 1 << 20} {
 		body := bytes.Repeat([]byte("x"), size)
