--- a/internal/request/allowance/ledger.go
+++ b/internal/request/allowance/ledger.go
@@ -40,7 +40,7 @@
 	// demand. Below it, tokens that expire unused at one node would be missed at another.
 	prefetchThreshold = 0.5
 	// demandTimeConstant is the time over which the demand of a data centre is averaged. It
-	// is long compared with a network partition, which must not erase the demand.
+	// is long compared with a network partition, so that the earlier demand is kept during one.
 	demandTimeConstant = 30 * time.Second
 	// priorRequests is the number of requests at which the observed demand counts as much as
 	// the number of nodes: ten requests show the share of a data centre to within a seventh.
@@ -58,7 +58,7 @@
 	Sequence   uint64 // of the request; a resent request has the same one
 	DataCentre string // of the node
 	Need       int    // number of requests that wait for a token
-	Prefetch   int    // further tokens for requests expected until the tokens expire
+	Prefetch   int    // further tokens, for requests expected within prefetchTime
 	Returned   int    // unused tokens that the node gives back
 	// Share is the share of the node's data centre in the workspace's demand, as an owner
 	// last reported it; 0 if it is not known.
@@ -75,7 +75,8 @@
 	Share float64
 }
 
-// Buckets holds the token buckets of the workspaces that this node owns. It is not safe for concurrent use.
+// Buckets holds the token buckets of the workspaces that this node owns. It is not safe for
+// concurrent use.
 type Buckets struct {
 	tolerance   Tolerance
 	startedAt   time.Time
@@ -91,7 +92,7 @@
 	lent           decayingSum // tokens, by usageTimeConstant
 	refused        decayingSum
 	demand         map[string]*decayingSum // by data centre
-	reportedShares map[string]float64      // demand by data centre, as earlier owners reported it to borrowers
+	reportedShares map[string]float64      // of data centres in the demand, as owners reported them to borrowers
 	lastGrants     map[string]lastGrant    // by borrower
 	limit          workspace.Allowance
 	portion        float64 // of the allowance that this node lends
--- a/internal/request/allowance/purse.go
+++ b/internal/request/allowance/purse.go
@@ -7,15 +7,14 @@
 )
 
 const (
-	// prefetchTime is the time of expected requests for which tokens are borrowed ahead, and
+	// prefetchTime is how far ahead tokens are borrowed for expected requests, and
 	// tokenLifetime the time after which they expire. A node that receives ten requests per
 	// second of a workspace borrows four times per second, and one with fewer for each request.
 	prefetchTime  = 250 * time.Millisecond
 	tokenLifetime = 2 * prefetchTime
-	// minRefusalTime is the least time for which a node refuses requests without a request to
-	// the owner after the owner had too few tokens. The owner's bucket has room for the tokens
-	// of that time. It limits the requests for tokens beyond the allowance to ten per second
-	// and node.
+	// minRefusalTime is the least time for which a node refuses requests on its own after the
+	// owner had too few tokens. The owner's bucket fills meanwhile without overflowing. This limits
+	// borrow requests beyond the allowance to ten per second and node.
 	minRefusalTime = 100 * time.Millisecond
 	// arrivalTimeConstant is the time over which a node averages the arrival rate of requests.
 	arrivalTimeConstant = time.Second
@@ -49,7 +48,7 @@
 type balance struct {
 	tokens       int
 	expiresAt    time.Time
-	refusedUntil time.Time // until then requests are refused without a request to the owner
+	refusedUntil time.Time // until then requests are refused without asking the owner
 	unanswered   bool      // they are refused because no owner answered
 	returned     int       // unused tokens that are returned with the next request to the owner
 	returnedAt   time.Time // when the last of them was added
--- a/internal/request/forward/place.go
+++ b/internal/request/forward/place.go
@@ -41,7 +41,8 @@
 // mayWait reports whether a request may go on waiting for free capacity. A request whose
 // caller has part of the answer may wait until its deadline, any other for a short part of
 // its objective. Where batch items are expected to yield their slots it may wait as long
-// as it can still begin within its objective, so that batch work costs no online request.
+// as it can still begin within its objective; an earlier refusal would let batch items displace
+// online requests.
 func (f *Forwarder) mayWait(req *Request, p *progress) bool {
 	now := f.Now()
 	waited := now.Sub(req.Arrived)
--- a/internal/request/quarantine/doc.go
+++ b/internal/request/quarantine/doc.go
@@ -19,12 +19,12 @@
 // A broken connection is weak evidence: connections also break by a network partition, a
 // reset, a malformed answer or a node's own timeout. A loss is therefore attributed to a
 // crash only with proof that the incarnation has ended: it refuses connections, another
-// incarnation has its address, or the target is registered as restarted. Until then the
-// loss does not count.
+// target has its address, or it is registered as restarted. Until then the loss does not
+// count.
 //
 // All work in flight at a crash is suspect. A complete answer clears work of all known
-// crashes; this clears nearly all concurrent requests that did not cause a crash within a
-// second. Work is refused once it is a suspect of Limit crashes that nothing else explains:
+// crashes; within a second this clears nearly all work that was in flight by chance. Work is
+// refused once it is a suspect of Limit crashes that nothing else explains:
 //
 //   - a crash of work that is already refused is explained by that work;
 //   - targets that end together, in greater number than requests could crash one by one,
--- a/internal/request/quarantine/exchange.go
+++ b/internal/request/quarantine/exchange.go
@@ -120,7 +120,7 @@
 	return out
 }
 
-// raiseTo records work that was in flight, with its state raised to at least the one given.
+// raiseTo records work that was in flight, and raises its state if that is lower than to.
 func (c *crash) raiseTo(work []fingerprint.ID, to state) (changed bool) {
 	for _, id := range work {
 		s, known := c.work[id]
--- a/internal/request/quarantine/storm_test.go
+++ b/internal/request/quarantine/storm_test.go
@@ -26,8 +26,8 @@
 	running        [fleetSize][]*request
 	up             [fleetSize]bool
 	starts         [fleetSize]int
-	crashCount     map[fingerprint.ID]int       // by crashing work
-	lastCrash      time.Time                    // of the last crash
+	crashCount     map[fingerprint.ID]int // by crashing work
+	lastCrash      time.Time
 	thirdCrash     map[fingerprint.ID]time.Time // when crashing work had ended three targets
 	lateSends      map[fingerprint.ID]int       // sends of crashing work later than detectionTime after that
 	arrived        int
--- a/internal/request/quarantine/verdict.go
+++ b/internal/request/quarantine/verdict.go
@@ -22,8 +22,9 @@
 	togetherWithin = 50 * time.Millisecond
 	togetherShare  = 1.0 / 3
 	minTogether    = 3
-	// minSoleSuspect is at how many of its crashes work must be the only suspect of several
-	// crashes. It protects harmless requests that often run beside crashing ones.
+	// minSoleSuspect is the least number of crashes of the work at which no other suspect
+	// has more than one crash itself. It protects harmless requests that often run beside
+	// crashing ones.
 	minSoleSuspect = 1
 	// certainFactor times the limit of crashes is enough whatever other work was in flight:
 	// work that always runs together could otherwise never be refused.
@@ -135,11 +136,11 @@
 	return slices.Concat(order[from:i], order[i+1:to])
 }
 
-// killedTogether reports whether a crash of work is one of many near it that were killed
-// together. Of the crashes near it those do not count at which the work itself is a suspect,
-// since work that is retried at once can crash several targets one after the other within a
-// moment. Nor do those count that other suspected or refused work explains, since several
-// crashing requests may arrive in step.
+// killedTogether reports whether the target of a crash was killed together with others by
+// something else than work. Crashes near it of which work is a suspect do not count, since
+// work that is retried at once can crash several targets one after the other within a moment.
+// Nor do crashes that other suspected or refused work explains, since several crashing
+// requests may arrive in step.
 func (e *evaluation) killedTogether(c *crash, work fingerprint.ID, near []*crash) bool {
 	ended := 1
 	for _, other := range near {
@@ -182,8 +183,8 @@
 	return crashes >= certainFactor*e.cfg.Limit || (crashes >= e.cfg.Limit && e.soleSuspectCrashes(work) >= minSoleSuspect)
 }
 
-// soleSuspectCrashes returns at how many of its crashes work is the only suspect of several
-// crashes.
+// soleSuspectCrashes returns the number of crashes of the work at which no other suspect has
+// more than one unexplained crash.
 func (e *evaluation) soleSuspectCrashes(work fingerprint.ID) int {
 	n := 0
 	for _, c := range e.unexplained[work] {
@@ -194,8 +195,8 @@
 	return n
 }
 
-// refuse adds the verdict on work. It explains the crashes of the work, so other suspects of
-// them are no longer suspected for these.
+// refuse adds the verdict on work. Its crashes are then explained and no longer count against
+// other suspects.
 func (e *evaluation) refuse(work fingerprint.ID) {
 	crashes := e.unexplained[work]
 	v := Verdict{Since: crashes[len(crashes)-1].at, Until: crashes[len(crashes)-e.cfg.Limit].at.Add(e.cfg.Retention)}
