--- a/internal/connection/peer/peer.go
+++ b/internal/connection/peer/peer.go
@@ -75,11 +75,11 @@
 	check := connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			if subtle.ConstantTimeCompare([]byte(req.Header().Get(keyHeader)), []byte(key)) != 1 {
-				return nil, errkind.Connect(errkind.Unauthenticated.New("wrong or missing key"))
+				return nil, errkind.ConnectError(errkind.Unauthenticated.New("wrong or missing key"))
 			}
 			resp, err := next(ctx, req)
 			if err != nil {
-				return nil, errkind.Connect(err)
+				return nil, errkind.ConnectError(err)
 			}
 			return resp, nil
 		}
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -22,13 +22,13 @@
 	NotRunUnknown NotRun = "unknown" // it may have run and is not repeated
 )
 
-// Answer is a row of the table: what a caller is told for one kind.
-type Answer struct {
-	Name       string
-	HTTPStatus int
-	Connect    connect.Code
-	NotRun     NotRun
-	RetryAfter time.Duration // 0: coming back does not help
+// Response is a row of the table: what a caller receives for one kind of error.
+type Response struct {
+	Name        string
+	HTTPStatus  int
+	ConnectCode connect.Code
+	NotRun      NotRun
+	RetryAfter  time.Duration // 0: coming back does not help
 }
 
 var namespace = errorx.NewNamespace("marblepond")
@@ -58,7 +58,7 @@
 	Internal            = namespace.NewType("internal")
 )
 
-var table = map[*errorx.Type]Answer{
+var table = map[*errorx.Type]Response{
 	Malformed:           {"malformed", 400, connect.CodeInvalidArgument, NotRunTrue, 0},
 	Unauthenticated:     {"unauthenticated", 401, connect.CodeUnauthenticated, NotRunTrue, 0},
 	NotFound:            {"not_found", 404, connect.CodeNotFound, NotRunTrue, 0},
@@ -92,7 +92,7 @@
 }
 
 // Of returns the table row for err. An error of no known kind is Internal.
-func Of(err error) Answer {
+func Of(err error) Response {
 	answer := table[typeOf(err)]
 	var ex *errorx.Error
 	if errors.As(err, &ex) {
@@ -140,11 +140,11 @@
 	return "internal error"
 }
 
-// Connect turns err into the connect error of its kind.
-func Connect(err error) error {
+// ConnectError turns err into the connect error of its kind.
+func ConnectError(err error) error {
 	if err == nil {
 		return nil
 	}
 	answer := Of(err)
-	return connect.NewError(answer.Connect, errors.New(answer.Name+": "+Message(err)))
+	return connect.NewError(answer.ConnectCode, errors.New(answer.Name+": "+Message(err)))
 }
--- a/internal/process/hosted/changes.go
+++ b/internal/process/hosted/changes.go
@@ -160,8 +160,9 @@
 	return ok
 }
 
-// StoreChanged records that the store was lost or regained.
-func StoreChanged(r *timeline.Recorder) func(up bool, after time.Duration) {
+// StoreChangeRecorder returns a function that records that the object store stopped or
+// resumed responding.
+func StoreChangeRecorder(r *timeline.Recorder) func(up bool, after time.Duration) {
 	return func(up bool, after time.Duration) {
 		code := timeline.StoreLost
 		if up {
--- a/internal/process/hosted/crashes.go
+++ b/internal/process/hosted/crashes.go
@@ -153,7 +153,7 @@
 func (o operatorService) Workspaces(context.Context, *v1.WorkspacesRequest) (*v1.WorkspacesResponse, error) {
 	table := o.node.Table()
 	if table == nil {
-		return nil, errkind.Connect(errkind.PlatformUnavailable.New("no configuration is known yet"))
+		return nil, errkind.ConnectError(errkind.PlatformUnavailable.New("no configuration is known yet"))
 	}
 	return o.node.lending.Report(table.Workspaces, func(node string) string { return o.node.registered()[node].Address }), nil
 }
--- a/internal/process/hosted/hosted.go
+++ b/internal/process/hosted/hosted.go
@@ -61,10 +61,10 @@
 	RetirementStatus func(done bool) []byte
 	// Selectors are the headers of a request whose values change what it asks for.
 	Selectors []string
-	// Callers serves the callers' interface; Ready answers whether the node
-	// takes new connections.
-	Callers func(n *Node) http.Handler
-	Ready   func(n *Node) http.Handler
+	// CallerHandler serves the callers' API; ReadyHandler reports whether the node accepts
+	// new connections.
+	CallerHandler func(n *Node) http.Handler
+	ReadyHandler  func(n *Node) http.Handler
 }
 
 // Node is one hosted process.
@@ -111,8 +111,8 @@
 	pageHTTP   *http.Server // the metrics page
 }
 
-// Parts are what every process has.
-type Parts struct {
+// Dependencies are the components that every node process has.
+type Dependencies struct {
 	Settings *settings.Settings
 	Recorder *timeline.Recorder
 	Metrics  tally.Scope
@@ -123,7 +123,7 @@
 }
 
 // New connects the parts of a node.
-func New(parts Parts, adapter Adapter) *Node {
+func New(parts Dependencies, adapter Adapter) *Node {
 	s := parts.Settings
 	n := &Node{settings: s, adapter: adapter, boot: time.Now().UnixMicro(), started: time.Now(), recorder: parts.Recorder, metrics: parts.Metrics, clock: parts.Clock,
 		configured: make(chan struct{}), makeRoom: make(chan struct{}, 1), halted: make(chan struct{})}
--- a/internal/process/hosted/run.go
+++ b/internal/process/hosted/run.go
@@ -105,8 +105,8 @@
 	page.Handle("GET /metrics", metricsPage)
 	n.pageHTTP = &http.Server{Handler: page, ReadHeaderTimeout: headerTimeout}
 	n.peerHTTP = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
-	n.readyHTTP = &http.Server{Handler: n.adapter.Ready(n), ReadHeaderTimeout: headerTimeout}
-	n.callers = newCallerServer(n.closing(n.adapter.Callers(n)))
+	n.readyHTTP = &http.Server{Handler: n.adapter.ReadyHandler(n), ReadHeaderTimeout: headerTimeout}
+	n.callers = newCallerServer(n.closing(n.adapter.CallerHandler(n)))
 }
 
 // closing tells callers of a leaving node to use their connection no more.
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -90,9 +90,9 @@
 func New(s *settings.Settings, out io.Writer) *Node { return NewVariant(s, out, Variant{}) }
 
 // Parts returns what a hosted node is assembled from.
-func Parts(s *settings.Settings, out io.Writer) hosted.Parts {
+func Parts(s *settings.Settings, out io.Writer) hosted.Dependencies {
 	m := newMetrics()
-	return hosted.Parts{Settings: s, Metrics: m.scope, MetricsPage: m, Clock: clock.New(),
+	return hosted.Dependencies{Settings: s, Metrics: m.scope, MetricsPage: m, Clock: clock.New(),
 		Recorder: timeline.NewRecorder(s.NodeID, s.TimelineEvents, newLogger(s, out), m.scope)}
 }
 
