--- a/internal/process/hosted/allowances.go
+++ b/internal/process/hosted/allowances.go
@@ -60,13 +60,13 @@
 type lendingFleet struct{ n *Node }
 
 func (f lendingFleet) Owners(name string, skip func(node string) bool) []lending.Lender {
-	near := map[string]bool{f.n.settings.NodeID: true}
+	inDataCentre := map[string]bool{f.n.settings.NodeID: true}
 	for _, node := range f.n.beacon.ReachableInDataCentre() {
-		near[node] = true
+		inDataCentre[node] = true
 	}
 	return f.n.lenders.Load().Owners(name, func(l lending.Lender) bool {
-		heard := near[l.Node] || (l.DataCentre != f.n.settings.DataCentre && f.Reachable(l.DataCentre))
-		return heard && !skip(l.Node)
+		reachable := inDataCentre[l.Node] || (l.DataCentre != f.n.settings.DataCentre && f.Reachable(l.DataCentre))
+		return reachable && !skip(l.Node)
 	})
 }
 
@@ -75,19 +75,19 @@
 }
 func (f lendingFleet) Nodes() map[string]int { return f.n.lenders.Load().Nodes() }
 
-// partHeard returns the part of the nodes whose data centre is heard.
-func (f lendingFleet) partHeard() float64 {
-	heard, all := 0, 0
+// reachableShare returns the part of the nodes whose data centre is heard.
+func (f lendingFleet) reachableShare() float64 {
+	reachable, all := 0, 0
 	for dc, n := range f.Nodes() {
 		all += n
 		if dc == f.n.settings.DataCentre || f.Reachable(dc) {
-			heard += n
+			reachable += n
 		}
 	}
 	if all == 0 {
 		return 1
 	}
-	return float64(heard) / float64(all)
+	return float64(reachable) / float64(all)
 }
 
 func (f lendingFleet) Reachable(dataCentre string) bool {
--- a/internal/process/hosted/backlogs.go
+++ b/internal/process/hosted/backlogs.go
@@ -19,41 +19,41 @@
 	node *Node
 
 	mu       sync.Mutex
-	ledger   *backlog.Tracker
+	tracker  *backlog.Tracker
 	sequence uint64
-	told     map[backlog.Key]bool // of which something waited here when it was last told
-	// asking has a token for each backlog of which a job is asked for: one at a time, and
+	reported map[backlog.Key]bool // of which something waited here when it was last told
+	// reserveLocks has a token for each backlog of which a job is asked for: one at a time, and
 	// nothing else is told meanwhile, so that the owner never hears of a job before it
 	// decides on it, nor of less than it let in.
-	asking map[backlog.Key]chan struct{}
+	reserveLocks map[backlog.Key]chan struct{}
 }
 
 func newBacklogs(n *Node) *backlogs {
-	return &backlogs{node: n, ledger: backlog.New(n.clock.Now(), n.settings.AllowanceTolerance*earlyShare), told: map[backlog.Key]bool{}, asking: map[backlog.Key]chan struct{}{}}
+	return &backlogs{node: n, tracker: backlog.New(n.clock.Now(), n.settings.AllowanceTolerance*newOwnerShare), reported: map[backlog.Key]bool{}, reserveLocks: map[backlog.Key]chan struct{}{}}
 }
 
 const (
-	// earlyShare is the share of the tolerance that an owner may use which has not heard
+	// newOwnerShare is the share of the tolerance that an owner may use which has not heard
 	// from all holders yet; the rest is for a second change of owner.
-	earlyShare = 0.5
+	newOwnerShare = 0.5
 	// reserveTimeout bounds one question to an owner, which takes some milliseconds.
 	reserveTimeout = 200 * time.Millisecond
-	// reserveWithin is how long owners are asked: one that is new to a backlog decides
+	// reserveDuration is how long owners are asked: one that is new to a backlog decides
 	// after 0.45 s, and before that its predecessor may have to be found lost.
-	reserveWithin = time.Second
-	// reservePause is the time between two questions to an owner that is not sure.
-	reservePause = 120 * time.Millisecond
+	reserveDuration = time.Second
+	// reserveRetryInterval is the time between two questions to an owner that is not sure.
+	reserveRetryInterval = 120 * time.Millisecond
 )
 
 // Reserve has a job counted at the owner, and by granted here if it fits. The error is of
 // errkind, and promises that the job does not run.
 func (b *backlogs) Reserve(ctx context.Context, key backlog.Key, job, limit int64, granted func()) error {
-	ctx, cancel := context.WithTimeout(ctx, reserveWithin)
+	ctx, cancel := context.WithTimeout(ctx, reserveDuration)
 	defer cancel()
-	turn := b.turn(key)
+	lock := b.reserveLock(key)
 	select {
-	case turn <- struct{}{}:
-		defer func() { <-turn }()
+	case lock <- struct{}{}:
+		defer func() { <-lock }()
 	case <-ctx.Done():
 		return errUnknownBacklog(key)
 	}
@@ -70,7 +70,7 @@
 		case answer.Verdict == v1.ReserveResponse_FULL:
 			return errkind.RateLimited.New("%d tokens would wait on route %s and %d may", answer.Waiting, key.Route, limit)
 		}
-		wait.For(ctx, reservePause) // ctx tells when it is enough
+		wait.For(ctx, reserveRetryInterval) // ctx tells when it is enough
 	}
 	return errUnknownBacklog(key)
 }
@@ -79,14 +79,14 @@
 	return errkind.PlatformUnavailable.New("how much waits on route %s is not known now", key.Route)
 }
 
-// turn returns what a question for a backlog holds while it is asked.
-func (b *backlogs) turn(key backlog.Key) chan struct{} {
+// reserveLock returns what a question for a backlog holds while it is asked.
+func (b *backlogs) reserveLock(key backlog.Key) chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.asking[key] == nil {
-		b.asking[key] = make(chan struct{}, 1)
+	if b.reserveLocks[key] == nil {
+		b.reserveLocks[key] = make(chan struct{}, 1)
 	}
-	return b.asking[key]
+	return b.reserveLocks[key]
 }
 
 func (b *backlogs) reserveOnce(ctx context.Context, key backlog.Key, job, limit int64, failed map[string]bool) (owner string, answer *v1.ReserveResponse, err error) {
@@ -110,7 +110,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sequence++
-	b.told[key] = true
+	b.reported[key] = true
 	return &v1.ReserveRequest{Node: b.node.settings.NodeID, Boot: b.node.boot, Sequence: b.sequence, Job: job, Limit: limit,
 		Word: &v1.BacklogWord{Route: key.Route, Workspace: key.Workspace, Tokens: b.node.jobs.WaitingTokens()[key] + job}}
 }
@@ -118,31 +118,31 @@
 // decide answers a question as the owner. While data centres are not heard the limit is
 // shared with them by the number of nodes.
 func (b *backlogs) decide(req *v1.ReserveRequest) *v1.ReserveResponse {
-	key, word := keyAndWord(req.Word, req.Node, req.Boot, req.Sequence)
+	key, report := decodeReport(req.Word, req.Node, req.Boot, req.Sequence)
 	fleet := lendingFleet{b.node}
-	limit := int64(float64(req.Limit) * fleet.partHeard())
-	natural := fleet.PreferredOwner(ownerName(key)).Node == b.node.settings.NodeID
+	limit := int64(float64(req.Limit) * fleet.reachableShare())
+	preferred := fleet.PreferredOwner(ownerName(key)).Node == b.node.settings.NodeID
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	verdict, waiting := b.ledger.Reserve(b.node.clock.Now(), key, word, req.Job, limit, natural)
-	return &v1.ReserveResponse{Verdict: wireVerdicts[verdict], Waiting: waiting}
+	decision, waiting := b.tracker.Reserve(b.node.clock.Now(), key, report, req.Job, limit, preferred)
+	return &v1.ReserveResponse{Verdict: protoVerdicts[decision], Waiting: waiting}
 }
 
-var wireVerdicts = map[backlog.Decision]v1.ReserveResponse_Verdict{
+var protoVerdicts = map[backlog.Decision]v1.ReserveResponse_Verdict{
 	backlog.Unsure: v1.ReserveResponse_UNSURE, backlog.Fits: v1.ReserveResponse_FITS, backlog.Full: v1.ReserveResponse_FULL,
 }
 
-func keyAndWord(w *v1.BacklogWord, node string, boot int64, sequence uint64) (backlog.Key, backlog.Report) {
+func decodeReport(w *v1.BacklogWord, node string, boot int64, sequence uint64) (backlog.Key, backlog.Report) {
 	return backlog.Key{Route: w.GetRoute(), Workspace: w.GetWorkspace()}, backlog.Report{Node: node, Boot: boot, Sequence: sequence, Tokens: w.GetTokens()}
 }
 
 // Run tells owners what waits here until ctx ends.
 func (b *backlogs) Run(ctx context.Context) {
-	every(ctx, backlog.ReportInterval, func() { b.tell(ctx) })
+	every(ctx, backlog.ReportInterval, func() { b.reportAll(ctx) })
 }
 
-func (b *backlogs) tell(ctx context.Context) {
-	requests := b.words()
+func (b *backlogs) reportAll(ctx context.Context) {
+	requests := b.reportsByOwner()
 	var calls sync.WaitGroup
 	for address, req := range requests {
 		calls.Go(func() {
@@ -156,19 +156,19 @@
 	calls.Wait()
 }
 
-// words returns what waits here, by the address of the owner that is to be told. Of a
+// reportsByOwner returns what waits here, by the address of the owner that is to be told. Of a
 // backlog of which nothing waits here any more that is said once.
-func (b *backlogs) words() map[string]*v1.TellRequest {
+func (b *backlogs) reportsByOwner() map[string]*v1.TellRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.node.clock.Now()
-	b.ledger.DropExpired(now)
+	b.tracker.DropExpired(now)
 	waiting := b.node.jobs.WaitingTokens()
-	for key := range b.told {
+	for key := range b.reported {
 		waiting[key] += 0
 	}
-	for key, turn := range b.asking {
-		if len(turn) > 0 {
+	for key, lock := range b.reserveLocks {
+		if len(lock) > 0 {
 			delete(waiting, key) // the question tells it
 		}
 	}
@@ -180,13 +180,13 @@
 	requests := map[string]*v1.TellRequest{}
 	for key, tokens := range waiting {
 		if tokens > 0 {
-			b.told[key] = true
+			b.reported[key] = true
 		} else {
-			delete(b.told, key)
+			delete(b.reported, key)
 		}
 		owners := fleet.Owners(ownerName(key), func(string) bool { return false })
 		if len(owners) == 0 || owners[0].Node == self {
-			b.ledger.Record(now, key, backlog.Report{Node: self, Boot: b.node.boot, Sequence: b.sequence, Tokens: tokens})
+			b.tracker.Record(now, key, backlog.Report{Node: self, Boot: b.node.boot, Sequence: b.sequence, Tokens: tokens})
 			continue
 		}
 		address := b.addressOf(owners[0])
@@ -211,8 +211,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range req.Words {
-		key, word := keyAndWord(w, req.Node, req.Boot, req.Sequence)
-		s.ledger.Record(s.node.clock.Now(), key, word)
+		key, report := decodeReport(w, req.Node, req.Boot, req.Sequence)
+		s.tracker.Record(s.node.clock.Now(), key, report)
 	}
 	return &v1.TellResponse{}, nil
 }
--- a/internal/process/hosted/batchwork.go
+++ b/internal/process/hosted/batchwork.go
@@ -16,16 +16,16 @@
 	node *Node
 
 	mu      sync.Mutex
-	nodes   batchWords // of other nodes of this node's group
-	groups  batchWords // of other groups of this data centre
-	centres batchWords // of other data centres
+	nodes   batchReports // of other nodes of this node's group
+	groups  batchReports // of other groups of this data centre
+	centres batchReports // of other data centres
 }
 
-// batchWords are the newest words of others on their batch work.
-type batchWords map[string]beacon.BatchReport
+// batchReports are the newest words of others on their batch work.
+type batchReports map[string]beacon.BatchReport
 
 func newBatchWork(n *Node) *batchWork {
-	return &batchWork{node: n, nodes: batchWords{}, groups: batchWords{}, centres: batchWords{}}
+	return &batchWork{node: n, nodes: batchReports{}, groups: batchReports{}, centres: batchReports{}}
 }
 
 // OfNode implements beacon.BatchWork.
@@ -35,16 +35,16 @@
 
 // OfGroup implements beacon.BatchWork.
 func (w *batchWork) OfGroup() beacon.BatchReport {
-	return beacon.BatchReport{Claim: choose.Claim{Demand: total(w.claimsInGroup())}}
+	return beacon.BatchReport{Claim: choose.Claim{Demand: total(w.demandByNode())}}
 }
 
 // OfDataCentre implements beacon.BatchWork.
 func (w *batchWork) OfDataCentre() beacon.BatchReport {
-	return beacon.BatchReport{Claim: w.claimHere()}
+	return beacon.BatchReport{Claim: w.ownClaim()}
 }
 
-func (w *batchWork) claimHere() choose.Claim {
-	demand := total(w.claimsOfGroups())
+func (w *batchWork) ownClaim() choose.Claim {
+	demand := total(w.demandByGroup())
 	room := w.node.pool.BatchRoom(w.node.settings.DataCentre)
 	return choose.Claim{Demand: demand, Overflow: max(0, demand-room)}
 }
@@ -70,23 +70,23 @@
 
 // ReceiveNode implements beacon.BatchWork.
 func (w *batchWork) ReceiveNode(node string, b beacon.BatchReport) {
-	w.hear(w.nodes, node, b)
+	w.receive(w.nodes, node, b)
 }
 
 // ReceiveGroup implements beacon.BatchWork.
 func (w *batchWork) ReceiveGroup(group string, b beacon.BatchReport) {
-	w.hear(w.groups, group, b)
+	w.receive(w.groups, group, b)
 }
 
 // ReceiveDataCentre implements beacon.BatchWork.
 func (w *batchWork) ReceiveDataCentre(name string, b beacon.BatchReport) {
-	w.hear(w.centres, name, b)
+	w.receive(w.centres, name, b)
 }
 
-func (w *batchWork) hear(words batchWords, name string, b beacon.BatchReport) {
+func (w *batchWork) receive(reports batchReports, name string, b beacon.BatchReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	words[name] = b
+	reports[name] = b
 }
 
 // ReceiveJobs implements beacon.BatchWork.
@@ -96,49 +96,49 @@
 	}
 }
 
-// claimsInGroup returns the items of each node of this node's group that is
+// demandByNode returns the items of each node of this node's group that is
 // heard, and of this one.
-func (w *batchWork) claimsInGroup() map[string]int {
-	claims := map[string]int{w.node.settings.NodeID: w.node.jobs.Demand()}
-	heard := w.node.beacon.ReachableInGroup()
+func (w *batchWork) demandByNode() map[string]int {
+	demand := map[string]int{w.node.settings.NodeID: w.node.jobs.Demand()}
+	reachable := w.node.beacon.ReachableInGroup()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, name := range heard {
-		claims[name] = w.nodes[name].Demand
+	for _, name := range reachable {
+		demand[name] = w.nodes[name].Demand
 	}
-	return claims
+	return demand
 }
 
-// claimsOfGroups returns the items of each group of this data centre that is
+// demandByGroup returns the items of each group of this data centre that is
 // heard, and of this node's.
-func (w *batchWork) claimsOfGroups() map[string]int {
-	claims := map[string]int{w.node.view.Load().Group(): total(w.claimsInGroup())}
-	heard := w.node.beacon.ReachableGroups()
+func (w *batchWork) demandByGroup() map[string]int {
+	demand := map[string]int{w.node.view.Load().Group(): total(w.demandByNode())}
+	reachable := w.node.beacon.ReachableGroups()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, name := range heard {
-		claims[name] = w.groups[name].Demand
+	for _, name := range reachable {
+		demand[name] = w.groups[name].Demand
 	}
-	return claims
+	return demand
 }
 
 // claims returns what is known of the batch work on the fleet's targets.
 func (w *batchWork) claims() choose.Claims {
 	self := w.node.settings
 	claims := choose.Claims{Node: self.NodeID, Group: w.node.view.Load().Group(), DataCentre: self.DataCentre,
-		Nodes: w.claimsInGroup(), Groups: w.claimsOfGroups(), Centres: map[string]choose.Claim{self.DataCentre: w.claimHere()}}
-	heard := w.node.beacon.ReachableDataCentres()
+		Nodes: w.demandByNode(), Groups: w.demandByGroup(), Centres: map[string]choose.Claim{self.DataCentre: w.ownClaim()}}
+	reachable := w.node.beacon.ReachableDataCentres()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, name := range heard {
+	for _, name := range reachable {
 		claims.Centres[name] = w.centres[name].Claim
 	}
 	return claims
 }
 
-// shares implements job.Dependencies.Allotments: nodes together never send a target more
+// allotments implements job.Dependencies.Allotments: nodes together never send a target more
 // items than it has room for beside online requests, and need not ask each other.
-func (w *batchWork) shares() func(t choose.Target) int {
+func (w *batchWork) allotments() func(t choose.Target) int {
 	claims, reserve := w.claims(), w.node.pool.Reserve()
 	return func(t choose.Target) int { return claims.Share(t, t.Slots-reserve(t)) }
 }
--- a/internal/process/hosted/callers.go
+++ b/internal/process/hosted/callers.go
@@ -23,48 +23,48 @@
 // callerServer serves callers and closes connections that are idle for longer
 // than the configuration in force allows.
 type callerServer struct {
-	http *http.Server
-	idle atomic.Int64 // time.Duration; 0: no limit
+	http        *http.Server
+	idleTimeout atomic.Int64 // time.Duration; 0: no limit
 
-	mu    sync.Mutex
-	since map[net.Conn]time.Time // connections that are idle
+	mu        sync.Mutex
+	idleSince map[net.Conn]time.Time // connections that are idle
 }
 
 func newCallerServer(handler http.Handler) *callerServer {
-	c := &callerServer{since: map[net.Conn]time.Time{}}
-	c.http = &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: time.Hour, MaxHeaderBytes: maxHeader, ConnState: c.state}
+	c := &callerServer{idleSince: map[net.Conn]time.Time{}}
+	c.http = &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: time.Hour, MaxHeaderBytes: maxHeader, ConnState: c.trackState}
 	return c
 }
 
-func (c *callerServer) setIdleTimeout(d time.Duration) { c.idle.Store(int64(d)) }
+func (c *callerServer) setIdleTimeout(d time.Duration) { c.idleTimeout.Store(int64(d)) }
 
-func (c *callerServer) state(conn net.Conn, state http.ConnState) {
+func (c *callerServer) trackState(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == http.StateIdle {
-		c.since[conn] = time.Now()
+		c.idleSince[conn] = time.Now()
 		return
 	}
-	delete(c.since, conn)
+	delete(c.idleSince, conn)
 }
 
 func (c *callerServer) reapIdle(ctx context.Context) {
 	every(ctx, reapInterval, func() {
-		limit := time.Duration(c.idle.Load())
+		limit := time.Duration(c.idleTimeout.Load())
 		if limit <= 0 {
 			return
 		}
-		for _, conn := range c.idleFor(limit + idleSlack) {
+		for _, conn := range c.idleLongerThan(limit + idleSlack) {
 			conn.Close()
 		}
 	})
 }
 
-func (c *callerServer) idleFor(limit time.Duration) []net.Conn {
+func (c *callerServer) idleLongerThan(limit time.Duration) []net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []net.Conn
-	for conn, since := range c.since {
+	for conn, since := range c.idleSince {
 		if time.Since(since) > limit {
 			out = append(out, conn)
 		}
--- a/internal/process/hosted/changes.go
+++ b/internal/process/hosted/changes.go
@@ -22,7 +22,7 @@
 // othersLoadChanged tells those that depend on what others have.
 func (n *Node) othersLoadChanged() {
 	select {
-	case n.makeRoom <- struct{}{}:
+	case n.loadChanged <- struct{}{}:
 	default:
 	}
 }
@@ -33,32 +33,32 @@
 // TellHolders implements discovery.Displacer.
 func (n *Node) TellHolders(target string) { n.beacon.NotifyHolders(target) }
 
-// yield stops batch items where online requests need the room.
-func (n *Node) yield(ctx context.Context) {
+// preemptOnLoadChange stops batch items where online requests need the room.
+func (n *Node) preemptOnLoadChange(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.makeRoom:
+		case <-n.loadChanged:
 			n.jobs.PreemptItems()
 		}
 	}
 }
 
 // Changed implements follow.Listener.
-func (n *Node) Changed(kind string, news []objects.Object, from follow.Source) {
+func (n *Node) Changed(kind string, changes []objects.Object, from follow.Source) {
 	switch kind {
 	case n.adapter.Kinds.Targets:
-		n.targetsChanged(news)
+		n.targetsChanged(changes)
 		return
 	case kindNodes:
-		n.nodesChanged(news)
+		n.nodesChanged(changes)
 		return
 	case n.adapter.Kinds.Evacuations:
-		n.evacuationsChanged(news, from)
+		n.evacuationsChanged(changes, from)
 		return
 	}
-	for _, o := range news {
+	for _, o := range changes {
 		switch kind {
 		case n.adapter.Kinds.Config:
 			n.configChanged(o, from)
@@ -67,7 +67,7 @@
 				n.jobs.MarkEnded(o.Name)
 			}
 		case n.adapter.Kinds.Retirements:
-			n.retirementSeen(o)
+			n.handleRetirement(o)
 		}
 	}
 }
@@ -78,13 +78,13 @@
 	n.recorder.Record(timeline.CopyNotRefreshed, "", kind, cause.Error(), field("revision", revision), field("age_ms", age.Milliseconds()))
 }
 
-// behind asks a node that was heard to know more.
-func (n *Node) behind(node string) {
+// pullFrom asks a node that was heard to know more.
+func (n *Node) pullFrom(node string) {
 	if r, ok := n.registered()[node]; ok {
 		n.gossip.Pulls.Put(r.Address)
 		return
 	}
-	if list := n.nodeList.Load(); list != nil {
+	if list := n.nodeRefresher.Load(); list != nil {
 		list.Kick() // it has registered since the list was read
 	}
 	n.gossip.Pulls.Put(n.anySeed())
@@ -125,15 +125,15 @@
 
 // targetsChanged hands what the store says of targets to the pool, all of it at
 // once: the table is made anew for each list.
-func (n *Node) targetsChanged(news []objects.Object) {
-	n.listing.Lock()
-	defer n.listing.Unlock()
+func (n *Node) targetsChanged(changes []objects.Object) {
+	n.listMu.Lock()
+	defer n.listMu.Unlock()
 	var listed []discovery.Record
-	var gone, refused []string
-	for _, changed := range news {
+	var removed, refused []string
+	for _, changed := range changes {
 		o, exists := n.cache.Get(n.adapter.Kinds.Targets, changed.Name)
 		if !exists {
-			gone = append(gone, changed.Name)
+			removed = append(removed, changed.Name)
 			continue
 		}
 		record, err := n.adapter.DecodeTarget(o.Name, o.Value)
@@ -147,15 +147,15 @@
 		}
 		listed = append(listed, record)
 	}
-	n.pool.Update(listed, gone, refused)
+	n.pool.Update(listed, removed, refused)
 }
 
 func (n *Node) targetChanged(id, what string) {
 	n.recorder.Record(timeline.TargetChanged, "", id, what)
 }
 
-// ended reports whether the end of a job is known here.
-func (n *Node) ended(id string) bool {
+// jobEnded reports whether the end of a job is known here.
+func (n *Node) jobEnded(id string) bool {
 	_, ok := n.cache.Get(job.KindEnds, id)
 	return ok
 }
--- a/internal/process/hosted/crashes.go
+++ b/internal/process/hosted/crashes.go
@@ -22,11 +22,11 @@
 func (n *Node) newCrashWatch() *crashes.Watch {
 	s := n.settings
 	return crashes.New(crashes.Options{Config: quarantine.Config{Limit: s.CrashLimit, Retention: s.CrashMemory}, Now: n.clock.Now, Probe: dial.Probe, Serving: n.pool.Serving, Leaving: n.pool.Leaving,
-		Client: n.crashesOf, OnChange: func() { n.beacon.NotifyChange() }, Store: verdictKeeper{n}, Recorder: n.recorder, Metrics: n.metrics})
+		Client: n.quarantineClient, OnChange: func() { n.beacon.NotifyChange() }, Store: verdictStore{n}, Recorder: n.recorder, Metrics: n.metrics})
 }
 
-// crashesOf reaches what another node knows of crashed targets.
-func (n *Node) crashesOf(node string) (marblepondv1connect.QuarantineServiceClient, bool) {
+// quarantineClient reaches what another node knows of crashed targets.
+func (n *Node) quarantineClient(node string) (marblepondv1connect.QuarantineServiceClient, bool) {
 	r, registered := n.registered()[node]
 	if !registered {
 		return nil, false // it is heard again once the list of nodes has it
@@ -38,66 +38,66 @@
 // one for each fingerprint.
 const kindVerdicts = "marblepond-verdicts"
 
-// keptCrash is a crash as it is stored. The time is that of the writer's clock; its
+// storedCrash is a crash as it is stored. The time is that of the writer's clock; its
 // error is small beside the time for which crashes count.
-type keptCrash struct {
+type storedCrash struct {
 	Target      string
 	Incarnation uint64
 	At          int64 // Unix milliseconds
 	Targets     int
 }
 
-// verdictKeeper implements crashes.VerdictStore over the object store.
-type verdictKeeper struct{ n *Node }
+// verdictStore implements crashes.VerdictStore over the object store.
+type verdictStore struct{ n *Node }
 
 // Save implements crashes.VerdictStore.
-func (k verdictKeeper) Save(ctx context.Context, work fingerprint.ID, evidence []quarantine.Crash) error {
-	var kept []keptCrash
+func (s verdictStore) Save(ctx context.Context, work fingerprint.ID, evidence []quarantine.Crash) error {
+	var stored []storedCrash
 	for _, c := range evidence {
-		kept = append(kept, keptCrash{c.Target.ID, c.Target.Incarnation, time.Now().Add(-c.Age).UnixMilli(), c.Targets})
+		stored = append(stored, storedCrash{c.Target.ID, c.Target.Incarnation, time.Now().Add(-c.Age).UnixMilli(), c.Targets})
 	}
-	value, err := json.Marshal(kept)
+	value, err := json.Marshal(stored)
 	if err != nil {
 		return err
 	}
-	_, err = k.n.adapter.Store.Create(ctx, callbudget.Status, kindVerdicts, work.String(), value)
+	_, err = s.n.adapter.Store.Create(ctx, callbudget.Status, kindVerdicts, work.String(), value)
 	if errors.Is(err, objects.ErrConflict) {
-		_, err = k.n.adapter.Store.Update(ctx, callbudget.Status, kindVerdicts, work.String(), anyRevision, value)
+		_, err = s.n.adapter.Store.Update(ctx, callbudget.Status, kindVerdicts, work.String(), anyRevision, value)
 	}
 	return err
 }
 
 // Delete implements crashes.VerdictStore.
-func (k verdictKeeper) Delete(ctx context.Context, work fingerprint.ID) error {
-	err := k.n.adapter.Store.Delete(ctx, callbudget.Status, kindVerdicts, work.String())
+func (s verdictStore) Delete(ctx context.Context, work fingerprint.ID) error {
+	err := s.n.adapter.Store.Delete(ctx, callbudget.Status, kindVerdicts, work.String())
 	if errors.Is(err, objects.ErrNotFound) {
 		return nil
 	}
 	return err
 }
 
-// recallPause is the time between tries to read what was kept.
-const recallPause = time.Second
+// loadVerdictsRetryInterval is the time between tries to read what was kept.
+const loadVerdictsRetryInterval = time.Second
 
-// recallVerdicts reads what refuses work once, when this node starts: all nodes may
+// loadVerdicts reads what refuses work once, when this node starts: all nodes may
 // have lost power together, and no one else knows it then.
-func (n *Node) recallVerdicts(ctx context.Context) {
+func (n *Node) loadVerdicts(ctx context.Context) {
 	if n.settings.FirstStart {
 		return // there was none before
 	}
 	for {
 		page, err := n.adapter.Store.List(ctx, callbudget.Status, kindVerdicts)
 		if err == nil {
-			n.takeVerdicts(ctx, page.Objects)
+			n.mergeVerdicts(ctx, page.Objects)
 			return
 		}
-		if !wait.For(ctx, recallPause) {
+		if !wait.For(ctx, loadVerdictsRetryInterval) {
 			return
 		}
 	}
 }
 
-func (n *Node) takeVerdicts(ctx context.Context, list []objects.Object) {
+func (n *Node) mergeVerdicts(ctx context.Context, list []objects.Object) {
 	for _, o := range list {
 		evidence, err := decodeVerdict(o)
 		if err != nil {
@@ -120,12 +120,12 @@
 	if !ok {
 		return nil, errors.New("its name is no fingerprint")
 	}
-	var kept []keptCrash
-	if err := json.Unmarshal(o.Value, &kept); err != nil {
+	var stored []storedCrash
+	if err := json.Unmarshal(o.Value, &stored); err != nil {
 		return nil, err
 	}
 	var evidence []quarantine.Crash
-	for _, c := range kept {
+	for _, c := range stored {
 		evidence = append(evidence, quarantine.Crash{Target: quarantine.Target{ID: c.Target, Incarnation: c.Incarnation}, Targets: c.Targets,
 			Age: max(0, time.Since(time.UnixMilli(c.At))), Suspects: []fingerprint.ID{work}})
 	}
--- a/internal/process/hosted/drain.go
+++ b/internal/process/hosted/drain.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// notReadyFor is how long a leaving node still takes connections after it
+	// notReadyDuration is how long a leaving node still takes connections after it
 	// answers not ready: the balancer asks once a second and takes it out after
 	// two misses.
-	notReadyFor = 3 * time.Second
+	notReadyDuration = 3 * time.Second
 	// drainMargin is kept between the end of the drain and the kill.
 	drainMargin = 500 * time.Millisecond
 )
@@ -30,7 +30,7 @@
 		close(released)
 	}()
 	if n.settings.CallerListen != "" {
-		wait.For(ctx, min(notReadyFor, n.settings.DrainTimeout/2))
+		wait.For(ctx, min(notReadyDuration, n.settings.DrainTimeout/2))
 		if err := n.callers.http.Shutdown(ctx); err != nil {
 			n.recorder.Record(timeline.NodeDraining, "", n.settings.NodeID, "requests still in progress: "+err.Error())
 		}
--- a/internal/process/hosted/evacuation.go
+++ b/internal/process/hosted/evacuation.go
@@ -11,15 +11,15 @@
 
 // evacuationsChanged takes which data centres are evacuated: each has an object under
 // its name for as long as it is.
-func (n *Node) evacuationsChanged(news []objects.Object, from follow.Source) {
-	n.listing.Lock()
-	defer n.listing.Unlock()
+func (n *Node) evacuationsChanged(changes []objects.Object, from follow.Source) {
+	n.listMu.Lock()
+	defer n.listMu.Unlock()
 	var evacuated []string
 	for _, o := range n.cache.List(n.adapter.Kinds.Evacuations) {
 		evacuated = append(evacuated, o.Name)
 	}
 	n.pool.Evacuate(evacuated)
-	for _, o := range news {
+	for _, o := range changes {
 		code := timeline.DataCentreReturned
 		if slices.Contains(evacuated, o.Name) {
 			code = timeline.DataCentreEvacuated
@@ -42,9 +42,9 @@
 	return warmup.Rate{}
 }
 
-// shareOf returns which of the nodes that send work this one is. Nodes that are down are
+// warmUpPosition returns which of the nodes that send work this one is. Nodes that are down are
 // among them until they are registered no more.
-func (n *Node) shareOf(nodes map[string]nodeRecord) warmup.Position {
+func (n *Node) warmUpPosition(nodes map[string]nodeRecord) warmup.Position {
 	var names []string
 	for name, r := range nodes {
 		if r.Callers {
--- a/internal/process/hosted/following.go
+++ b/internal/process/hosted/following.go
@@ -23,12 +23,12 @@
 	// freshShare is the share of that time for which a copy of the configuration
 	// lets the node deny that a route exists.
 	freshShare = 0.95
-	// nodesAge is how old the copy of the list of nodes may become. It changes
+	// nodeListMaxAge is how old the copy of the list of nodes may become. It changes
 	// rarely and only makes the work be shared better.
-	nodesAge = 4 * time.Second
-	// retirementsAge is the same for VMs that are to be emptied, within 10 s or
+	nodeListMaxAge = 4 * time.Second
+	// retirementsMaxAge is the same for VMs that are to be emptied, within 10 s or
 	// so.
-	retirementsAge = 2 * time.Second
+	retirementsMaxAge = 2 * time.Second
 )
 
 // refreshAge returns the age at which a copy is refreshed whose changes have to
@@ -37,31 +37,31 @@
 	return time.Duration(refreshShare * float64(within))
 }
 
-// followed returns the kinds that this node follows, each with the age at
+// followedKinds returns the kinds that this node follows, each with the age at
 // which its copy is refreshed.
-func (n *Node) followed() map[string]time.Duration {
+func (n *Node) followedKinds() map[string]time.Duration {
 	kinds := map[string]time.Duration{
 		n.adapter.Kinds.Config:  refreshAge(n.settings.ConfigWithin),
 		n.adapter.Kinds.Targets: refreshAge(n.settings.TargetsWithin),
 		job.KindEnds:            refreshAge(n.settings.EndsWithin),
-		kindNodes:               nodesAge,
+		kindNodes:               nodeListMaxAge,
 	}
 	if n.settings.EvacuatedWithin > 0 {
 		kinds[n.adapter.Kinds.Evacuations] = refreshAge(n.settings.EvacuatedWithin)
 	}
-	if n.keeper() {
-		kinds[n.adapter.Kinds.Retirements] = retirementsAge
+	if n.isKeeper() {
+		kinds[n.adapter.Kinds.Retirements] = retirementsMaxAge
 	}
 	return kinds
 }
 
-// keeper reports whether this node serves no callers; it then answers for VMs
+// isKeeper reports whether this node serves no callers; it then answers for VMs
 // that are to be emptied.
-func (n *Node) keeper() bool { return n.settings.CallerListen == "" }
+func (n *Node) isKeeper() bool { return n.settings.CallerListen == "" }
 
-// keepSnapshot starts from what the disk holds of the followed kinds, and keeps
+// startSnapshot starts from what the disk holds of the followed kinds, and keeps
 // it there from then on.
-func (n *Node) keepSnapshot(ctx context.Context, wg *sync.WaitGroup) {
+func (n *Node) startSnapshot(ctx context.Context, wg *sync.WaitGroup) {
 	failed := func(err error) { n.recorder.Record(timeline.SnapshotFailed, "", n.settings.DataDir, err.Error()) }
 	s := &follow.Snapshot{Dir: n.settings.DataDir, Cache: n.cache, Failed: failed,
 		Kinds: []string{n.adapter.Kinds.Config, n.adapter.Kinds.Targets, n.adapter.Kinds.Evacuations, kindNodes}}
@@ -71,9 +71,9 @@
 	wg.Go(func() { s.Run(ctx) })
 }
 
-// keepCheckpoints starts from the checkpoints on the disk, and keeps them there
+// startCheckpointDisk starts from the checkpoints on the disk, and keeps them there
 // from then on.
-func (n *Node) keepCheckpoints(ctx context.Context, wg *sync.WaitGroup) {
+func (n *Node) startCheckpointDisk(ctx context.Context, wg *sync.WaitGroup) {
 	failed := func(err error) { n.recorder.Record(timeline.SnapshotFailed, "", n.settings.DataDir, err.Error()) }
 	d := &checkpoint.Disk{Dir: n.settings.DataDir, Store: n.checkpoints, OnError: failed}
 	if err := d.Load(); err != nil {
@@ -87,13 +87,13 @@
 func (n *Node) followers(kind string) func() []string {
 	keepersOnly := kind == n.adapter.Kinds.Retirements
 	return func() []string {
-		heard := n.beacon.ReachableInDataCentre()
+		reachable := n.beacon.ReachableInDataCentre()
 		if !keepersOnly {
-			return heard
+			return reachable
 		}
 		var out []string
 		nodes := n.registered()
-		for _, name := range heard {
+		for _, name := range reachable {
 			if r, ok := nodes[name]; ok && !r.Callers {
 				out = append(out, name)
 			}
@@ -103,20 +103,20 @@
 }
 
 const (
-	// firstShown is when a seed reads the list of nodes at the first start of a
+	// seedListDelay is when a seed reads the list of nodes at the first start of a
 	// fleet: all nodes start within 0.3 s and have registered by then. firstGreeting
 	// is when the others ask it, and learn of all nodes at once.
-	firstShown    = 700 * time.Millisecond
-	firstGreeting = time.Second
+	seedListDelay  = 700 * time.Millisecond
+	firstSyncDelay = time.Second
 )
 
 // isSeed reports whether other nodes ask this one first.
 func (n *Node) isSeed() bool { return slices.Contains(*n.seeds.Load(), n.settings.PeerAdvertise) }
 
-// greet asks the seeds for what they know before this node asks the object store.
+// syncWithSeeds asks the seeds for what they know before this node asks the object store.
 // A seed asks the store at once, for all that start with it.
-func (n *Node) greet(ctx context.Context) {
-	if n.isSeed() || (n.settings.FirstStart && !wait.For(ctx, firstGreeting)) {
+func (n *Node) syncWithSeeds(ctx context.Context) {
+	if n.isSeed() || (n.settings.FirstStart && !wait.For(ctx, firstSyncDelay)) {
 		return
 	}
 	kinds := []string{n.adapter.Kinds.Config, n.adapter.Kinds.Targets, job.KindEnds, kindNodes}
--- a/internal/process/hosted/holders.go
+++ b/internal/process/hosted/holders.go
@@ -20,9 +20,9 @@
 	return out
 }
 
-// nearHolders returns the other nodes of this data centre that are heard and
+// reachableHolders returns the other nodes of this data centre that are heard and
 // hold jobs.
-func (n *Node) nearHolders() []string {
+func (n *Node) reachableHolders() []string {
 	nodes := n.registered()
 	var out []string
 	for _, name := range n.beacon.ReachableInDataCentre() {
@@ -35,25 +35,25 @@
 
 // Locator implements job.Peers.
 func (n *Node) Locator(job string) string {
-	first := rendezvous.First(job, append(n.nearHolders(), n.settings.NodeID))
-	if first == n.settings.NodeID {
+	locator := rendezvous.First(job, append(n.reachableHolders(), n.settings.NodeID))
+	if locator == n.settings.NodeID {
 		return ""
 	}
-	return n.registered()[first].Address
+	return n.registered()[locator].Address
 }
 
 const (
-	// mostAdoptRank bounds the places in the order in which nodes take over a job.
-	mostAdoptRank = 5
-	// sweepersHere is how many nodes of a data centre look for lost jobs: as many as
+	// maxAdoptRank bounds the places in the order in which nodes take over a job.
+	maxAdoptRank = 5
+	// sweepersPerDataCentre is how many nodes of a data centre look for lost jobs: as many as
 	// have a place of their own in that order. Each look lists the heads of all jobs,
 	// which costs a call a page, and by 250 nodes brings nothing that 30 do not.
-	sweepersHere = mostAdoptRank + 1
+	sweepersPerDataCentre = maxAdoptRank + 1
 )
 
 // sweepers returns the nodes of this data centre that look for lost jobs.
 func (n *Node) sweepers() []string {
-	return rendezvous.Rank(job.KindHeads, append(n.nearHolders(), n.settings.NodeID), sweepersHere)
+	return rendezvous.Rank(job.KindHeads, append(n.reachableHolders(), n.settings.NodeID), sweepersPerDataCentre)
 }
 
 // IsSweeper implements job.Peers.
@@ -63,15 +63,15 @@
 func (n *Node) AdoptRank(job string) int {
 	sweepers := n.sweepers()
 	if !slices.Contains(sweepers, n.settings.NodeID) {
-		return mostAdoptRank
+		return maxAdoptRank
 	}
-	centre := rendezvous.Place(job, n.settings.DataCentre, n.beacon.ReachableDataCentres(), mostAdoptRank)
-	return min(mostAdoptRank, centre+rendezvous.Place(job, n.settings.NodeID, sweepers, mostAdoptRank))
+	centre := rendezvous.Place(job, n.settings.DataCentre, n.beacon.ReachableDataCentres(), maxAdoptRank)
+	return min(maxAdoptRank, centre+rendezvous.Place(job, n.settings.NodeID, sweepers, maxAdoptRank))
 }
 
 // Checkpoints implements job.Peers.
 func (n *Node) Checkpoints(address string) marblepondv1connect.CheckpointServiceClient {
-	return n.peers.saves.at(address)
+	return n.peers.checkpoints.at(address)
 }
 
 // UnreachableSince implements job.Peers.
@@ -79,10 +79,10 @@
 	return n.beacon.UnreachableSince(node)
 }
 
-// keepersOfJob is how many nodes keep a job's checkpoint: one in the data centre
+// keepersPerJob is how many nodes keep a job's checkpoint: one in the data centre
 // of its holder, which is near, and one elsewhere, for the loss of a disk or of
 // the data centre.
-const keepersOfJob = 2
+const keepersPerJob = 2
 
 // Keepers implements job.Peers. Nodes that serve no callers come first: they have
 // a disk, and a start of the whole deployment finds the checkpoints there. Without
@@ -90,36 +90,36 @@
 // the loss of one node.
 func (n *Node) Keepers(job string, present []string, usable func(address string) bool) []string {
 	nodes := n.registered()
-	near := n.beacon.ReachableInDataCentre()
-	centres := n.beacon.ReachableDataCentres()
+	reachable := n.beacon.ReachableInDataCentre()
+	reachableCentres := n.beacon.ReachableDataCentres()
 	var disk, far, memory []string // names, by preference
 	for name, r := range nodes {
 		// A present keeper stays until it fails: each change is written to the head.
-		kept := slices.Contains(present, r.Address)
-		here := r.DataCentre == n.settings.DataCentre
+		isPresent := slices.Contains(present, r.Address)
+		sameDataCentre := r.DataCentre == n.settings.DataCentre
 		switch {
 		case name == n.settings.NodeID || !usable(r.Address):
-		case here && !kept && !slices.Contains(near, name):
-		case here && !r.Callers:
+		case sameDataCentre && !isPresent && !slices.Contains(reachable, name):
+		case sameDataCentre && !r.Callers:
 			disk = append(disk, name)
-		case here:
+		case sameDataCentre:
 			memory = append(memory, name)
-		case !r.Callers && (kept || slices.Contains(centres, r.DataCentre)):
+		case !r.Callers && (isPresent || slices.Contains(reachableCentres, r.DataCentre)):
 			far = append(far, name)
 		}
 	}
 	var out []string
 	for _, names := range [][]string{disk, far, memory} {
-		if len(names) > 0 && len(out) < keepersOfJob {
-			out = append(out, keeperOf(job, names, nodes, present))
+		if len(names) > 0 && len(out) < keepersPerJob {
+			out = append(out, selectKeeper(job, names, nodes, present))
 		}
 	}
 	return out
 }
 
-// keeperOf returns the address of one of the nodes named: the present keeper
+// selectKeeper returns the address of one of the nodes named: the present keeper
 // among them, or the first in an order of the job's own.
-func keeperOf(job string, names []string, nodes map[string]nodeRecord, present []string) string {
+func selectKeeper(job string, names []string, nodes map[string]nodeRecord, present []string) string {
 	for _, name := range names {
 		if slices.Contains(present, nodes[name].Address) {
 			return nodes[name].Address
--- a/internal/process/hosted/hosted.go
+++ b/internal/process/hosted/hosted.go
@@ -93,22 +93,22 @@
 	lending     *lending.Exchange
 	backlogs    *backlogs
 
-	nodeList atomic.Pointer[follow.Refresher] // keeps the list of nodes
-	// listing is held while lists that the store holds are taken over. News may come
+	nodeRefresher atomic.Pointer[follow.Refresher] // keeps the list of nodes
+	// listMu is held while lists that the store holds are taken over. News may come
 	// out of order, so that what counts is read from the cache.
-	listing    sync.Mutex
-	nodes      atomic.Pointer[map[string]nodeRecord]
-	view       atomic.Pointer[beacon.View]     // the same as datagrams go
-	lenders    atomic.Pointer[lending.Lenders] // the same as allowances are lent
-	table      atomic.Pointer[route.Table]
-	configured chan struct{} // closed when the first table is known
-	makeRoom   chan struct{} // what is in flight has changed
-	leaving    atomic.Bool
-	halted     chan struct{}
-	callers    *callerServer
-	peerHTTP   *http.Server
-	readyHTTP  *http.Server
-	pageHTTP   *http.Server // the metrics page
+	listMu      sync.Mutex
+	nodes       atomic.Pointer[map[string]nodeRecord]
+	view        atomic.Pointer[beacon.View]     // the same as datagrams go
+	lenders     atomic.Pointer[lending.Lenders] // the same as allowances are lent
+	table       atomic.Pointer[route.Table]
+	configured  chan struct{} // closed when the first table is known
+	loadChanged chan struct{} // what is in flight has changed
+	leaving     atomic.Bool
+	halted      chan struct{}
+	callers     *callerServer
+	peerHTTP    *http.Server
+	readyHTTP   *http.Server
+	metricsHTTP *http.Server // the metrics page
 }
 
 // Dependencies are the components that every node process has.
@@ -126,7 +126,7 @@
 func New(parts Dependencies, adapter Adapter) *Node {
 	s := parts.Settings
 	n := &Node{settings: s, adapter: adapter, boot: time.Now().UnixMicro(), started: time.Now(), recorder: parts.Recorder, metrics: parts.Metrics, clock: parts.Clock,
-		configured: make(chan struct{}), makeRoom: make(chan struct{}, 1), halted: make(chan struct{})}
+		configured: make(chan struct{}), loadChanged: make(chan struct{}, 1), halted: make(chan struct{})}
 	n.batch = newBatchWork(n)
 	n.view.Store(beacon.NewView(s.NodeID, s.DataCentre, nil))
 	n.seeds.Store(&s.Seeds)
@@ -143,19 +143,19 @@
 		Self: job.Holder{Node: s.NodeID, Boot: n.boot, Address: s.PeerAdvertise}, MaxValueBytes: s.StoreMaxValue,
 		KeepResults: s.KeepResults, Selectors: adapter.Selectors, TakeOverAfter: s.TakeOverAfter, SweepInterval: s.SweepInterval, EvacuatedWithin: s.EvacuatedWithin,
 		HoldsJobs: s.CallerListen != "", ResultCacheBytes: s.ResultMemory, CheckpointInterval: s.CheckpointInterval,
-	}, job.Dependencies{Store: n.relay(), StoreLatency: n.storeTook, Pool: n.pool, Quarantine: n.crashes, Sender: adapter.Sender, Routes: n.Table, RoutesFresh: n.TableFresh, Peers: n,
-		Backlogs: n.backlogs, Ended: n.ended, Clock: n.clock, Allotments: n.batch.shares, Recorder: n.recorder, Checker: n.checker, Metrics: n.metrics})
+	}, job.Dependencies{Store: n.relay(), StoreLatency: n.storeLatency, Pool: n.pool, Quarantine: n.crashes, Sender: adapter.Sender, Routes: n.Table, RoutesFresh: n.TableFresh, Peers: n,
+		Backlogs: n.backlogs, Ended: n.jobEnded, Clock: n.clock, Allotments: n.batch.allotments, Recorder: n.recorder, Checker: n.checker, Metrics: n.metrics})
 	n.checkpoints = checkpoint.NewStore(checkpoint.Limits{MaxBytes: s.CheckpointMemory, Retention: s.KeepResults}, n.clock.Now)
 	n.beacon = beacon.New(beacon.Options{Node: s.NodeID, DataCentre: s.DataCentre, Boot: n.boot, Loads: n.pool, Cache: n.cache, Batch: n.batch, Store: adapter.Health, Crashes: n.crashes, Suspended: n.clock.Suspended,
-		View: n.view.Load, OnBehind: n.behind, OnUnreachable: func(string) { n.jobs.TriggerSweep() },
+		View: n.view.Load, OnBehind: n.pullFrom, OnUnreachable: func(string) { n.jobs.TriggerSweep() },
 		OnReachable: func(node string) { n.recorder.Record(timeline.NodeHeard, "", node, "") }})
 	n.cache.OnVerified(n.beacon.NotifyChange)
 	n.pool.OnLoad(n.ownLoadChanged, n.othersLoadChanged)
 	n.pool.SetDisplacer(n)
 	n.pool.SetJoined(n.joined)
 	n.gossip = &follow.Gossip{Node: s.NodeID, Cache: n.cache, Listener: n, Peers: n.peerAddresses,
-		Client: n.peers.sync.at, GreetClient: n.peers.greet.at, Interval: s.GossipInterval, Alone: func() bool { return len(n.beacon.ReachableNodes()) == 0 }, Pulls: follow.NewPulls()}
-	n.listenHandlers(parts.MetricsPage)
+		Client: n.peers.sync.at, GreetClient: n.peers.seedSync.at, Interval: s.GossipInterval, Alone: func() bool { return len(n.beacon.ReachableNodes()) == 0 }, Pulls: follow.NewPulls()}
+	n.createServers(parts.MetricsPage)
 	return n
 }
 
@@ -164,11 +164,11 @@
 
 // AwaitTable returns the routing table in force; before the first is known it waits for
 // it for a time.
-func (n *Node) AwaitTable(ctx context.Context, most time.Duration) *route.Table {
+func (n *Node) AwaitTable(ctx context.Context, maxWait time.Duration) *route.Table {
 	if table := n.Table(); table != nil {
 		return table
 	}
-	ctx, cancel := context.WithTimeout(ctx, most)
+	ctx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
 	select {
 	case <-n.configured:
@@ -192,9 +192,9 @@
 	return !n.Leaving() && n.Table() != nil && n.cache.Complete(n.adapter.Kinds.Targets) > 0 && n.knowsEvacuations()
 }
 
-// storeTook returns how long the object store takes to answer, 0 while that is
+// storeLatency returns how long the object store takes to answer, 0 while that is
 // not known or it does not answer.
-func (n *Node) storeTook() time.Duration {
+func (n *Node) storeLatency() time.Duration {
 	if !n.adapter.Health.Up() {
 		return 0
 	}
--- a/internal/process/hosted/log.go
+++ b/internal/process/hosted/log.go
@@ -36,8 +36,8 @@
 	200 * time.Millisecond, 300 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second, 15 * time.Second,
 }
 
-// inFlightAt returns how many requests and items of this node are at a target.
-func (n *Node) inFlightAt(t choose.Target) int {
+// ownInFlightAt returns how many requests and items of this node are at a target.
+func (n *Node) ownInFlightAt(t choose.Target) int {
 	here := n.pool.InFlight()[t.ID]
 	return here.Online + here.Batch
 }
@@ -58,7 +58,7 @@
 	ran := target.EndOf(err).Ran()
 	fields := []timeline.Field{field("may_have_run", ran), field("after_ms", l.n.clock.Since(req.Arrived).Milliseconds())}
 	if ran { // what ties it to other attempts at the same work, and to others that were lost with it
-		fields = append(fields, field("work", req.Work.ID().String()), field("events", events), field("others_there", l.n.inFlightAt(t)))
+		fields = append(fields, field("work", req.Work.ID().String()), field("events", events), field("others_there", l.n.ownInFlightAt(t)))
 	}
 	if forward.Saturated(err) { // what this node takes the target to be full of
 		counts := l.n.pool.Counts(t.ID)
--- a/internal/process/hosted/nodes_test.go
+++ b/internal/process/hosted/nodes_test.go
@@ -32,8 +32,8 @@
 	return n
 }
 
-// listOf returns registrations of so many nodes in five data centres.
-func listOf(t testing.TB, count int) []objects.Object {
+// registrations returns registrations of so many nodes in five data centres.
+func registrations(t testing.TB, count int) []objects.Object {
 	var list []objects.Object
 	for i := range count {
 		value, err := json.Marshal(nodeRecord{Boot: 1, Address: "10.0.0.1:1", DataCentre: fmt.Sprint("dc", i%5), Beacon: fmt.Sprintf("10.0.%d.%d:7", i/250, i%250), Callers: true})
@@ -45,15 +45,15 @@
 	return list
 }
 
-// TestListsCostWhatTheyHold: all nodes of a large fleet start together, and each
+// TestListCostIsNearlyLinear: all nodes of a large fleet start together, and each
 // hears of all others and of all targets in one list. Taking a list four times as
 // long may cost about four times as much. When each entry had the whole taken anew
 // it was sixteen times, 0.3 s of processor time of each of 255 nodes.
-func TestListsCostWhatTheyHold(t *testing.T) {
+func TestListCostIsNearlyLinear(t *testing.T) {
 	is := is.New(t)
 	for _, kind := range []string{kindNodes, kindTargets} {
 		allocations := func(count int) float64 {
-			list := listOf(t, count)
+			list := registrations(t, count)
 			return testing.AllocsPerRun(3, func() {
 				n := newListNode()
 				n.Changed(kind, n.cache.Replace(kind, list, int64(count)), follow.FromStore)
@@ -65,12 +65,12 @@
 	}
 }
 
-// TestNewsOutOfOrder: two deliveries of one registration may be handed over in the
+// TestChangesOutOfOrder: two deliveries of one registration may be handed over in the
 // wrong order; what the cache holds counts.
-func TestNewsOutOfOrder(t *testing.T) {
+func TestChangesOutOfOrder(t *testing.T) {
 	is := is.New(t)
 	n := newListNode()
-	older, newer := listOf(t, 1)[0], listOf(t, 1)[0]
+	older, newer := registrations(t, 1)[0], registrations(t, 1)[0]
 	newer.Revision = 9
 	newer.Value = []byte(`{"Boot":2,"Address":"10.0.0.2:1","DataCentre":"dc1","Beacon":"10.0.0.2:7"}`)
 	n.cache.Apply(kindNodes, []objects.Object{older}, 0, 1)
@@ -87,7 +87,7 @@
 func BenchmarkNodesListed(b *testing.B) {
 	for _, count := range []int{6, 63, 295, 360} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			list := listOf(b, count)
+			list := registrations(b, count)
 			for b.Loop() {
 				n := newListNode()
 				n.Changed(kindNodes, n.cache.Replace(kindNodes, list, int64(count)), follow.FromStore)
--- a/internal/process/hosted/peers_test.go
+++ b/internal/process/hosted/peers_test.go
@@ -17,8 +17,8 @@
 	"github.com/marblepond/marblepond/internal/version/follow"
 )
 
-// darkAddress returns an address that drops connections: its queue of them is full.
-func darkAddress(t *testing.T) string {
+// unresponsiveAddress returns an address that drops connections: its queue of them is full.
+func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -47,17 +47,17 @@
 	return address.String()
 }
 
-// TestDarkSeedIsLeftSoon: what was seen: after a loss of power of all machines nodes
+// TestUnresponsiveSeedIsSkippedSoon: what was seen: after a loss of power of all machines nodes
 // refused callers for 275 ms, and some for 540 ms, because they had no configuration. How
 // it came about: machines start within 0.3 s of each other, and the seeds that a node
 // asked were still dark. Cause: it tried to connect to each for 250 ms. Proof: the times
 // are one and two times that and the time that a node takes otherwise.
-func TestDarkSeedIsLeftSoon(t *testing.T) {
+func TestUnresponsiveSeedIsSkippedSoon(t *testing.T) {
 	is := is.New(t)
 	p := newPeers(&settings.Settings{DialTimeout: 250 * time.Millisecond})
-	address := darkAddress(t)
+	address := unresponsiveAddress(t)
 	started := time.Now()
-	_, err := p.greet.at(address).Exchange(context.Background(), &v1.ExchangeRequest{})
+	_, err := p.seedSync.at(address).Exchange(context.Background(), &v1.ExchangeRequest{})
 	is.True(err != nil)
 	is.True(time.Since(started) < 150*time.Millisecond)
 }
@@ -94,7 +94,7 @@
 	is.True(!n.joined()) // it is not known to others
 	list(n, "other", "self")
 	is.True(!n.joined()) // and does not know what they have
-	n.started = time.Now().Add(-joinTime - time.Second)
+	n.started = time.Now().Add(-maxJoinTime - time.Second)
 	is.True(n.joined())
 	alone := start("10.0.0.2:1")
 	list(alone, "self")
--- a/internal/process/hosted/registration.go
+++ b/internal/process/hosted/registration.go
@@ -56,37 +56,37 @@
 // nodesChanged takes the registrations of some nodes. Only these are decoded, and
 // addresses are resolved once for each list, if one has changed: 255 nodes that
 // start together hear of all others in a few.
-func (n *Node) nodesChanged(news []objects.Object) {
-	n.listing.Lock()
-	defer n.listing.Unlock()
+func (n *Node) nodesChanged(changes []objects.Object) {
+	n.listMu.Lock()
+	defer n.listMu.Unlock()
 	nodes := maps.Clone(n.registered())
 	if nodes == nil {
 		nodes = map[string]nodeRecord{}
 	}
-	moved := false // a node is heard elsewhere, or is new or gone
-	for _, changed := range news {
+	viewChanged := false // a node is heard elsewhere, or is new or gone
+	for _, changed := range changes {
 		old, known := nodes[changed.Name]
 		delete(nodes, changed.Name)
 		o, exists := n.cache.Get(kindNodes, changed.Name)
 		if !exists {
-			moved = moved || known
+			viewChanged = viewChanged || known
 			continue
 		}
 		r, err := decodeNode(o.Value)
 		if err != nil {
 			n.recorder.Record(timeline.ObjectRejected, "", o.Name, err.Error())
 			n.metrics.Counter("objects_rejected").Inc(1)
-			moved = moved || known
+			viewChanged = viewChanged || known
 			continue
 		}
 		nodes[o.Name] = r
 		old.Boot = r.Boot
-		moved = moved || old != r
+		viewChanged = viewChanged || old != r
 	}
 	n.nodes.Store(&nodes)
-	if moved {
+	if viewChanged {
 		n.view.Store(n.viewOf(nodes))
-		n.pool.SetShare(n.shareOf(nodes))
+		n.pool.SetShare(n.warmUpPosition(nodes))
 		n.lenders.Store(n.lendersOf(nodes))
 	}
 }
@@ -108,8 +108,8 @@
 	return beacon.NewView(n.settings.NodeID, n.settings.DataCentre, others)
 }
 
-// registerPause is the time between attempts to register.
-const registerPause = 500 * time.Millisecond
+// registerRetryInterval is the time between attempts to register.
+const registerRetryInterval = 500 * time.Millisecond
 
 // register writes the node's own entry until the store has it.
 func (n *Node) register(ctx context.Context) {
@@ -125,37 +125,37 @@
 			_, err = n.adapter.Store.Update(ctx, callbudget.Status, kindNodes, n.settings.NodeID, anyRevision, value)
 		}
 		if err == nil {
-			n.showRegistration(ctx)
+			n.refreshNodeList(ctx)
 			return
 		}
-		if !wait.For(ctx, registerPause) {
+		if !wait.For(ctx, registerRetryInterval) {
 			return
 		}
 	}
 }
 
 const (
-	// showPace is the time for each node that is known, and showLongest the longest,
+	// refreshDelayPerNode is the time for each node that is known, and showLongest the longest,
 	// within which a starting node has its registration seen. Of many that start at
 	// once the first ones ask the store, and the others are seen with them or with
 	// the next refresh of the list.
-	showPace    = 16 * time.Millisecond
-	showLongest = nodesAge
+	refreshDelayPerNode = 16 * time.Millisecond
+	maxRefreshDelay     = nodeListMaxAge
 )
 
-// showRegistration has the copy of the list of nodes refreshed, which others then
+// refreshNodeList has the copy of the list of nodes refreshed, which others then
 // fetch, unless it has this node's entry by then.
-func (n *Node) showRegistration(ctx context.Context) {
-	pause := rand.N(min(showLongest, time.Duration(1+len(n.registered()))*showPace))
-	forAll := n.settings.FirstStart && n.isSeed()
+func (n *Node) refreshNodeList(ctx context.Context) {
+	pause := rand.N(min(maxRefreshDelay, time.Duration(1+len(n.registered()))*refreshDelayPerNode))
+	refreshForAll := n.settings.FirstStart && n.isSeed()
 	switch {
-	case forAll:
-		pause = firstShown
+	case refreshForAll:
+		pause = seedListDelay
 	case n.settings.FirstStart:
-		pause = firstGreeting + rand.N(showLongest)
+		pause = firstSyncDelay + rand.N(maxRefreshDelay)
 	}
-	if wait.For(ctx, pause) && (forAll || n.registered()[n.settings.NodeID].Boot != n.boot) {
-		n.nodeList.Load().Kick()
+	if wait.For(ctx, pause) && (refreshForAll || n.registered()[n.settings.NodeID].Boot != n.boot) {
+		n.nodeRefresher.Load().Kick()
 	}
 }
 
--- a/internal/process/hosted/reload.go
+++ b/internal/process/hosted/reload.go
@@ -10,28 +10,28 @@
 	"github.com/marblepond/marblepond/internal/process/timeline"
 )
 
-// settingsInterval is the time between looks whether the settings file changed;
+// settingsPollInterval is the time between looks whether the settings file changed;
 // it may change without a signal.
-const settingsInterval = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // WatchSettings reads the settings file again at each hangup, and when it
 // changed, until ctx ends. Seeds are used at once; everything else needs a new
 // start, and a file with faults changes nothing.
 func (n *Node) WatchSettings(ctx context.Context, path string, hangups <-chan os.Signal) {
-	ticker := time.NewTicker(settingsInterval)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	read := modified(path)
+	lastModified := modified(path)
 	for {
-		asked := false
+		hangup := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			asked = true
+			hangup = true
 		case <-ticker.C:
 		}
-		if changed := modified(path); asked || !changed.Equal(read) {
-			read = changed
+		if changed := modified(path); hangup || !changed.Equal(lastModified) {
+			lastModified = changed
 			n.reload(path)
 		}
 	}
--- a/internal/process/hosted/retirement.go
+++ b/internal/process/hosted/retirement.go
@@ -14,16 +14,16 @@
 	// retirementGrace is how long the VM named has to answer itself before
 	// another storage VM answers for it.
 	retirementGrace = 2 * time.Second
-	// retirementPause is the time between attempts to write the answer.
-	retirementPause = 300 * time.Millisecond
+	// retirementRetryInterval is the time between attempts to write the answer.
+	retirementRetryInterval = 300 * time.Millisecond
 	// retirementTimeout bounds the work for one retirement.
 	retirementTimeout = 30 * time.Second
 )
 
-// retirementSeen answers that a VM is to be emptied. What a VM's disk holds is
+// handleRetirement answers that a VM is to be emptied. What a VM's disk holds is
 // only a copy, so that nothing has to be moved: the VM hands its jobs over and
 // is done. Another VM answers for one that is down.
-func (n *Node) retirementSeen(o objects.Object) {
+func (n *Node) handleRetirement(o objects.Object) {
 	if o.Deleted || n.settings.CallerListen != "" {
 		return
 	}
@@ -45,7 +45,7 @@
 			n.recorder.Record(timeline.RetirementDone, "", name, "")
 			return
 		}
-		if !wait.For(ctx, retirementPause) {
+		if !wait.For(ctx, retirementRetryInterval) {
 			n.recorder.Record(timeline.RetirementAsked, "", name, "not answered: "+err.Error())
 			return
 		}
--- a/internal/process/hosted/run.go
+++ b/internal/process/hosted/run.go
@@ -22,34 +22,34 @@
 // Halt ends Run at once and hands nothing over, as a crash would; for tests.
 func (n *Node) Halt() { close(n.halted) }
 
-// memoryShare is the share of the memory allowed that the garbage collector
+// memoryLimitShare is the share of the memory allowed that the garbage collector
 // keeps below; the rest is for stacks, buffers of the kernel and the program.
-const memoryShare = 0.9
+const memoryLimitShare = 0.9
 
 // Run serves until ctx ends, then drains. A listen error is returned.
 func (n *Node) Run(ctx context.Context) error {
 	if n.settings.Memory > 0 {
-		debug.SetMemoryLimit(int64(float64(n.settings.Memory<<20) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(n.settings.Memory<<20) * memoryLimitShare))
 	}
 	listeners, err := n.listen()
 	if err != nil {
 		return err
 	}
 	n.recorder.Record(timeline.NodeStarted, "", n.settings.NodeID, fmt.Sprintf("boot %d", n.boot))
-	work, stop := context.WithCancel(context.Background())
+	taskCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	var duties sync.WaitGroup
-	n.startDuties(work, listeners, &duties)
+	var tasks sync.WaitGroup
+	n.startTasks(taskCtx, listeners, &tasks)
 	n.serve(listeners)
 	select {
 	case <-ctx.Done():
-		n.drain(work)
+		n.drain(taskCtx)
 	case <-n.halted:
 		n.callers.http.Close()
 	}
 	stop()
-	duties.Wait()
-	for _, server := range []*http.Server{n.peerHTTP, n.readyHTTP, n.pageHTTP} {
+	tasks.Wait()
+	for _, server := range []*http.Server{n.peerHTTP, n.readyHTTP, n.metricsHTTP} {
 		server.Close()
 	}
 	n.recorder.Record(timeline.NodeStopped, "", n.settings.NodeID, "")
@@ -64,26 +64,26 @@
 func (n *Node) listen() (listeners, error) {
 	var l listeners
 	var errs []error
-	for _, place := range []struct {
+	for _, tcp := range []struct {
 		address string
 		into    *net.Listener
 	}{{n.settings.CallerListen, &l.callers}, {n.settings.ReadyListen, &l.ready}, {n.settings.PeerListen, &l.peers}, {n.settings.MetricsListen, &l.metrics}} {
-		if place.address == "" {
+		if tcp.address == "" {
 			continue
 		}
-		listener, err := net.Listen("tcp", place.address)
-		*place.into = listener
+		listener, err := net.Listen("tcp", tcp.address)
+		*tcp.into = listener
 		errs = append(errs, err)
 	}
-	for _, place := range []struct {
+	for _, udp := range []struct {
 		address string
 		into    *net.PacketConn
 	}{{n.settings.BeaconListen, &l.beacon}, {n.settings.LendingListen, &l.lending}} {
-		if place.address == "" {
+		if udp.address == "" {
 			continue
 		}
-		conn, err := net.ListenPacket("udp", place.address)
-		*place.into = conn
+		conn, err := net.ListenPacket("udp", udp.address)
+		*udp.into = conn
 		errs = append(errs, err)
 	}
 	return l, errors.Join(errs...)
@@ -92,7 +92,7 @@
 // headerTimeout bounds how long a caller may take to send its header.
 const headerTimeout = 5 * time.Second
 
-func (n *Node) listenHandlers(metricsPage http.Handler) {
+func (n *Node) createServers(metricsPage http.Handler) {
 	mux := http.NewServeMux()
 	mux.Handle(marblepondv1connect.NewSyncServiceHandler(n.gossip, peer.Require(n.settings.PeerKey)...))
 	mux.Handle(marblepondv1connect.NewJobServiceHandler(n.jobs.PeerService(), peer.Require(n.settings.PeerKey)...))
@@ -103,14 +103,14 @@
 	mux.Handle(marblepondv1connect.NewOperatorServiceHandler(operatorService{node: n, crashes: n.crashes}, peer.Require(n.settings.OperatorKey)...))
 	page := http.NewServeMux()
 	page.Handle("GET /metrics", metricsPage)
-	n.pageHTTP = &http.Server{Handler: page, ReadHeaderTimeout: headerTimeout}
+	n.metricsHTTP = &http.Server{Handler: page, ReadHeaderTimeout: headerTimeout}
 	n.peerHTTP = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	n.readyHTTP = &http.Server{Handler: n.adapter.ReadyHandler(n), ReadHeaderTimeout: headerTimeout}
-	n.callers = newCallerServer(n.closing(n.adapter.CallerHandler(n)))
+	n.callers = newCallerServer(n.closeWhenLeaving(n.adapter.CallerHandler(n)))
 }
 
-// closing tells callers of a leaving node to use their connection no more.
-func (n *Node) closing(next http.Handler) http.Handler {
+// closeWhenLeaving tells callers of a leaving node to use their connection no more.
+func (n *Node) closeWhenLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n.Leaving() {
 			w.Header().Set("Connection", "close")
@@ -123,7 +123,7 @@
 	for _, s := range []struct {
 		server   *http.Server
 		listener net.Listener
-	}{{n.peerHTTP, l.peers}, {n.callers.http, l.callers}, {n.readyHTTP, l.ready}, {n.pageHTTP, l.metrics}} {
+	}{{n.peerHTTP, l.peers}, {n.callers.http, l.callers}, {n.readyHTTP, l.ready}, {n.metricsHTTP, l.metrics}} {
 		if s.listener == nil {
 			continue
 		}
@@ -135,37 +135,37 @@
 	}
 }
 
-func (n *Node) startDuties(ctx context.Context, l listeners, wg *sync.WaitGroup) {
+func (n *Node) startTasks(ctx context.Context, l listeners, wg *sync.WaitGroup) {
 	if n.settings.DataDir != "" {
-		n.keepSnapshot(ctx, wg)
-		n.keepCheckpoints(ctx, wg)
+		n.startSnapshot(ctx, wg)
+		n.startCheckpointDisk(ctx, wg)
 	}
-	greeted := make(chan struct{})
+	seedsQueried := make(chan struct{})
 	wg.Go(func() {
-		defer close(greeted)
-		n.greet(ctx)
+		defer close(seedsQueried)
+		n.syncWithSeeds(ctx)
 	})
-	for kind, age := range n.followed() {
+	for kind, age := range n.followedKinds() {
 		r := follow.NewRefresher(kind)
 		r.Store, r.Cache, r.Listener, r.MaxAge = n.adapter.Store, n.cache, n, age
 		r.Self, r.DataCentre, r.Near, r.Centres = n.settings.NodeID, n.settings.DataCentre, n.followers(kind), n.beacon.ReachableDataCentres
 		if kind == kindNodes {
-			n.nodeList.Store(r)
+			n.nodeRefresher.Store(r)
 		}
 		wg.Go(func() {
-			<-greeted
+			<-seedsQueried
 			r.Run(ctx)
 		})
 	}
 	wg.Go(func() { n.gossip.Run(ctx) })
 	wg.Go(func() { n.register(ctx) })
-	wg.Go(func() { n.settle(ctx) })
-	wg.Go(func() { n.announceReady(ctx) })
+	wg.Go(func() { n.removeLapsedTargets(ctx) })
+	wg.Go(func() { n.recordReady(ctx) })
 	wg.Go(func() { n.callers.reapIdle(ctx) })
 	wg.Go(func() { n.jobs.Run(ctx) })
 	wg.Go(func() { n.crashes.Run(ctx) })
-	wg.Go(func() { n.recallVerdicts(ctx) })
-	wg.Go(func() { n.yield(ctx) })
+	wg.Go(func() { n.loadVerdicts(ctx) })
+	wg.Go(func() { n.preemptOnLoadChange(ctx) })
 	wg.Go(func() { n.backlogs.Run(ctx) })
 	if l.lending != nil {
 		wg.Go(func() { n.lending.Run(ctx, l.lending) })
@@ -175,12 +175,12 @@
 	}
 }
 
-// tick is the pace of duties that look at the clock.
-const tick = 200 * time.Millisecond
+// tickInterval is the pace of duties that look at the clock.
+const tickInterval = 200 * time.Millisecond
 
-// settle removes targets that lapsed while the store was away.
-func (n *Node) settle(ctx context.Context) {
-	every(ctx, tick, n.pool.Settle)
+// removeLapsedTargets removes targets that lapsed while the store was away.
+func (n *Node) removeLapsedTargets(ctx context.Context) {
+	every(ctx, tickInterval, n.pool.Settle)
 }
 
 func every(ctx context.Context, d time.Duration, f func()) {
@@ -196,10 +196,10 @@
 	}
 }
 
-func (n *Node) announceReady(ctx context.Context) {
+func (n *Node) recordReady(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	every(ctx, tick, func() {
+	every(ctx, tickInterval, func() {
 		if table := n.Table(); table != nil {
 			n.recorder.Record(timeline.NodeReady, "", n.settings.NodeID, fmt.Sprintf("configuration version %d", table.Version))
 			cancel()
