--- a/internal/process/hosted/allowances.go
+++ b/internal/process/hosted/allowances.go
@@ -11,7 +11,7 @@
 	"github.com/marblepond/marblepond/internal/version/workspace"
 )
 
-// newLending returns what lends and borrows tokens of workspaces' allowances.
+// newLending returns the exchange that lends and borrows tokens of workspaces' allowances.
 func (n *Node) newLending() *lending.Exchange {
 	s := n.settings
 	n.lenders.Store(n.lendersOf(nil))
@@ -19,10 +19,10 @@
 		Tolerance: allowance.Tolerance{Window: s.AllowanceWindow, Share: s.AllowanceTolerance, Slack: float64(s.AllowanceSlack)}})
 }
 
-// Allowances returns what keeps workspaces to their allowances.
+// Allowances returns the exchange that enforces the allowances (rate limits) of workspaces.
 func (n *Node) Allowances() *lending.Exchange { return n.lending }
 
-// allowanceOf returns the allowance of a workspace in force.
+// allowanceOf returns the allowance of a workspace in force; false: the workspace is unknown.
 func (n *Node) allowanceOf(name string) (workspace.Allowance, bool) {
 	table := n.Table()
 	if table == nil || table.Workspaces == nil {
@@ -35,8 +35,8 @@
 	return w.Allowance, true
 }
 
-// lendersOf returns the nodes that take requests, with this one, which others may not
-// have listed yet.
+// lendersOf returns the nodes that serve callers. This node is among them even if its
+// registration is not listed yet.
 func (n *Node) lendersOf(nodes map[string]nodeRecord) *lending.Lenders {
 	var list []lending.Lender
 	if n.settings.CallerListen != "" {
@@ -75,7 +75,7 @@
 }
 func (f lendingFleet) Nodes() map[string]int { return f.n.lenders.Load().Nodes() }
 
-// reachableShare returns the part of the nodes whose data centre is heard.
+// reachableShare returns the share of the nodes that are in reachable data centres.
 func (f lendingFleet) reachableShare() float64 {
 	reachable, all := 0, 0
 	for dc, n := range f.Nodes() {
--- a/internal/process/hosted/backlogs.go
+++ b/internal/process/hosted/backlogs.go
@@ -12,19 +12,20 @@
 	"github.com/marblepond/marblepond/internal/request/backlog"
 )
 
-// backlogs keeps the tokens that wait over all nodes: it tells the owners of backlogs how
-// much waits here, asks them whether a job fits, and answers for those that this node
-// owns. It implements job.Backlogs.
+// backlogs limits the waiting tokens of batch items over all nodes: it reports this node's
+// waiting tokens to the owners of the backlogs, requests reservations for jobs from them, and
+// decides on reservations of the backlogs that this node owns. It implements job.Backlogs.
 type backlogs struct {
 	node *Node
 
 	mu       sync.Mutex
 	tracker  *backlog.Tracker
 	sequence uint64
-	reported map[backlog.Key]bool // of which something waited here when it was last told
-	// reserveLocks has a token for each backlog of which a job is asked for: one at a time, and
-	// nothing else is told meanwhile, so that the owner never hears of a job before it
-	// decides on it, nor of less than it let in.
+	reported map[backlog.Key]bool // backlogs for which the last report of this node was not 0
+	// reserveLocks has a lock (a channel of capacity 1) for each backlog, held during a
+	// reservation. Meanwhile no other reservation or report of the backlog is sent, so that
+	// the owner never receives a report that includes a job before it has decided on it, nor
+	// one with fewer tokens than it has accepted.
 	reserveLocks map[backlog.Key]chan struct{}
 }
 
@@ -33,20 +34,21 @@
 }
 
 const (
-	// newOwnerShare is the share of the tolerance that an owner may use which has not heard
-	// from all holders yet; the rest is for a second change of owner.
+	// newOwnerShare is the share of the tolerance that an owner may use before all holders
+	// have reported to it; the rest is for a second change of owner.
 	newOwnerShare = 0.5
-	// reserveTimeout bounds one question to an owner, which takes some milliseconds.
+	// reserveTimeout bounds one call to an owner, which takes some milliseconds.
 	reserveTimeout = 200 * time.Millisecond
-	// reserveDuration is how long owners are asked: one that is new to a backlog decides
-	// after 0.45 s, and before that its predecessor may have to be found lost.
+	// reserveDuration bounds a reservation with its retries: a new owner of a backlog decides
+	// after 0.45 s, and before that the failure of the previous owner may have to be detected.
 	reserveDuration = time.Second
-	// reserveRetryInterval is the time between two questions to an owner that is not sure.
+	// reserveRetryInterval is the time between calls to an owner that cannot decide yet.
 	reserveRetryInterval = 120 * time.Millisecond
 )
 
-// Reserve has a job counted at the owner, and by granted here if it fits. The error is of
-// errkind, and promises that the job does not run.
+// Reserve reserves a job's tokens at the owner of a backlog. If the job fits, it calls
+// granted, which has to count the tokens on this node. The error is of errkind and means that
+// the job does not run.
 func (b *backlogs) Reserve(ctx context.Context, key backlog.Key, job, limit int64, granted func()) error {
 	ctx, cancel := context.WithTimeout(ctx, reserveDuration)
 	defer cancel()
@@ -57,7 +59,7 @@
 	case <-ctx.Done():
 		return errUnknownBacklog(key)
 	}
-	failed := map[string]bool{} // owners that did not answer
+	failed := map[string]bool{} // owners that did not respond
 	for ctx.Err() == nil {
 		owner, answer, err := b.reserveOnce(ctx, key, job, limit, failed)
 		switch {
@@ -70,7 +72,7 @@
 		case answer.Verdict == v1.ReserveResponse_FULL:
 			return errkind.RateLimited.New("%d tokens would wait on route %s and %d may", answer.Waiting, key.Route, limit)
 		}
-		wait.For(ctx, reserveRetryInterval) // ctx tells when it is enough
+		wait.For(ctx, reserveRetryInterval) // the loop checks ctx
 	}
 	return errUnknownBacklog(key)
 }
@@ -79,7 +81,7 @@
 	return errkind.PlatformUnavailable.New("how much waits on route %s is not known now", key.Route)
 }
 
-// reserveLock returns what a question for a backlog holds while it is asked.
+// reserveLock returns the lock that is held during a reservation of a backlog.
 func (b *backlogs) reserveLock(key backlog.Key) chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,6 +91,7 @@
 	return b.reserveLocks[key]
 }
 
+// reserveOnce requests a reservation from the first reachable owner that has not failed.
 func (b *backlogs) reserveOnce(ctx context.Context, key backlog.Key, job, limit int64, failed map[string]bool) (owner string, answer *v1.ReserveResponse, err error) {
 	req := b.request(key, job, limit)
 	owners := lendingFleet{b.node}.Owners(ownerName(key), func(node string) bool { return failed[node] })
@@ -105,7 +108,7 @@
 
 func (b *backlogs) addressOf(l lending.Lender) string { return b.node.registered()[l.Node].Address }
 
-// request says what waits here with the job.
+// request returns the request to reserve a job; its report includes the job's tokens.
 func (b *backlogs) request(key backlog.Key, job, limit int64) *v1.ReserveRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -115,8 +118,9 @@
 		Word: &v1.BacklogWord{Route: key.Route, Workspace: key.Workspace, Tokens: b.node.jobs.WaitingTokens()[key] + job}}
 }
 
-// decide answers a question as the owner. While data centres are not heard the limit is
-// shared with them by the number of nodes.
+// decide decides on a reservation as the owner. While some data centres are unreachable,
+// which may have owners of their own meanwhile, the limit is reduced to the share of the nodes
+// that are in reachable data centres.
 func (b *backlogs) decide(req *v1.ReserveRequest) *v1.ReserveResponse {
 	key, report := decodeReport(req.Word, req.Node, req.Boot, req.Sequence)
 	fleet := lendingFleet{b.node}
@@ -136,7 +140,7 @@
 	return backlog.Key{Route: w.GetRoute(), Workspace: w.GetWorkspace()}, backlog.Report{Node: node, Boot: boot, Sequence: sequence, Tokens: w.GetTokens()}
 }
 
-// Run tells owners what waits here until ctx ends.
+// Run reports this node's waiting tokens to the owners until ctx ends.
 func (b *backlogs) Run(ctx context.Context) {
 	every(ctx, backlog.ReportInterval, func() { b.reportAll(ctx) })
 }
@@ -149,15 +153,15 @@
 			ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 			defer cancel()
 			if _, err := b.node.peers.backlogs.at(address).Tell(ctx, req); err != nil {
-				b.node.metrics.Counter("backlog_words_lost").Inc(1) // the next word says the same
+				b.node.metrics.Counter("backlog_words_lost").Inc(1) // the next report has the current count
 			}
 		})
 	}
 	calls.Wait()
 }
 
-// reportsByOwner returns what waits here, by the address of the owner that is to be told. Of a
-// backlog of which nothing waits here any more that is said once.
+// reportsByOwner returns the reports of this node's waiting tokens, by the address of the
+// owner. A backlog in which no more tokens wait is reported once with 0.
 func (b *backlogs) reportsByOwner() map[string]*v1.TellRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -169,7 +173,7 @@
 	}
 	for key, lock := range b.reserveLocks {
 		if len(lock) > 0 {
-			delete(waiting, key) // the question tells it
+			delete(waiting, key) // the reservation in progress reports it
 		}
 	}
 	if len(waiting) == 0 {
@@ -198,15 +202,15 @@
 	return requests
 }
 
-// backlogService serves the other nodes.
+// backlogService implements the backlog service for other nodes.
 type backlogService struct{ *backlogs }
 
-// Reserve implements the peers' service.
+// Reserve implements marblepondv1connect.BacklogServiceHandler.
 func (s backlogService) Reserve(_ context.Context, req *v1.ReserveRequest) (*v1.ReserveResponse, error) {
 	return s.decide(req), nil
 }
 
-// Tell implements the peers' service.
+// Tell implements marblepondv1connect.BacklogServiceHandler.
 func (s backlogService) Tell(_ context.Context, req *v1.TellRequest) (*v1.TellResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/process/hosted/batchwork.go
+++ b/internal/process/hosted/batchwork.go
@@ -8,10 +8,9 @@
 	"github.com/marblepond/marblepond/internal/request/job"
 )
 
-// batchWork tells other nodes of this node's batch work and takes what they
-// tell; it implements beacon.BatchWork. From that the room for items at each
-// target is dealt out: first to data centres, then to the groups of each, then to
-// the nodes of each group.
+// batchWork reports this node's batch work to other nodes and keeps their reports; it
+// implements beacon.BatchWork. From the reports it allots the slots for items at each
+// target: first to data centres, then to the groups of each, then to the nodes of each group.
 type batchWork struct {
 	node *Node
 
@@ -21,7 +20,7 @@
 	centres batchReports // of other data centres
 }
 
-// batchReports are the newest words of others on their batch work.
+// batchReports are the newest reports of others on their batch work, by name.
 type batchReports map[string]beacon.BatchReport
 
 func newBatchWork(n *Node) *batchWork {
@@ -43,6 +42,7 @@
 	return beacon.BatchReport{Claim: w.ownClaim()}
 }
 
+// ownClaim returns the batch work of this data centre.
 func (w *batchWork) ownClaim() choose.Claim {
 	demand := total(w.demandByGroup())
 	room := w.node.pool.BatchRoom(w.node.settings.DataCentre)
@@ -96,8 +96,8 @@
 	}
 }
 
-// demandByNode returns the items of each node of this node's group that is
-// heard, and of this one.
+// demandByNode returns the number of waiting and running items of each reachable node of
+// this node's group, and of this node.
 func (w *batchWork) demandByNode() map[string]int {
 	demand := map[string]int{w.node.settings.NodeID: w.node.jobs.Demand()}
 	reachable := w.node.beacon.ReachableInGroup()
@@ -109,8 +109,8 @@
 	return demand
 }
 
-// demandByGroup returns the items of each group of this data centre that is
-// heard, and of this node's.
+// demandByGroup returns the same of each reachable group of this data centre, and of this
+// node's group.
 func (w *batchWork) demandByGroup() map[string]int {
 	demand := map[string]int{w.node.view.Load().Group(): total(w.demandByNode())}
 	reachable := w.node.beacon.ReachableGroups()
@@ -122,7 +122,7 @@
 	return demand
 }
 
-// claims returns what is known of the batch work on the fleet's targets.
+// claims returns what this node knows of the batch work of all nodes.
 func (w *batchWork) claims() choose.Claims {
 	self := w.node.settings
 	claims := choose.Claims{Node: self.NodeID, Group: w.node.view.Load().Group(), DataCentre: self.DataCentre,
@@ -136,8 +136,9 @@
 	return claims
 }
 
-// allotments implements job.Dependencies.Allotments: nodes together never send a target more
-// items than it has room for beside online requests, and need not ask each other.
+// allotments implements job.Dependencies.Allotments: all nodes together never send a target
+// more items than it has slots beside the reserve for online requests, without coordinating
+// each item.
 func (w *batchWork) allotments() func(t choose.Target) int {
 	claims, reserve := w.claims(), w.node.pool.Reserve()
 	return func(t choose.Target) int { return claims.Share(t, t.Slots-reserve(t)) }
--- a/internal/process/hosted/callers.go
+++ b/internal/process/hosted/callers.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxHeader bounds the header of a request in bytes before the configured
-	// limit is known; the adapter applies that one.
+	// maxHeader bounds the header of a request in bytes for all configurations; the adapter
+	// enforces the configured limit.
 	maxHeader = 1 << 20
-	// idleSlack is added to the configured idle time before a connection is
-	// closed, so that a caller that keeps to the limit never meets the close.
+	// idleSlack is added to the configured idle timeout before a connection is closed, so
+	// that a caller that respects the timeout never sends on a closed connection.
 	idleSlack = time.Second
-	// reapInterval is the time between looks for idle connections.
+	// reapInterval is the time between scans for idle connections.
 	reapInterval = time.Second
 )
 
@@ -27,7 +27,7 @@
 	idleTimeout atomic.Int64 // time.Duration; 0: no limit
 
 	mu        sync.Mutex
-	idleSince map[net.Conn]time.Time // connections that are idle
+	idleSince map[net.Conn]time.Time // only idle connections
 }
 
 func newCallerServer(handler http.Handler) *callerServer {
@@ -48,6 +48,7 @@
 	delete(c.idleSince, conn)
 }
 
+// reapIdle closes connections that are idle for too long, until ctx ends.
 func (c *callerServer) reapIdle(ctx context.Context) {
 	every(ctx, reapInterval, func() {
 		limit := time.Duration(c.idleTimeout.Load())
--- a/internal/process/hosted/changes.go
+++ b/internal/process/hosted/changes.go
@@ -13,13 +13,13 @@
 	"github.com/marblepond/marblepond/internal/version/follow"
 )
 
-// ownLoadChanged tells the duties that depend on what this node has in flight.
+// ownLoadChanged is called when the requests or items that this node has in flight change.
 func (n *Node) ownLoadChanged() {
 	n.beacon.NotifyChange()
 	n.othersLoadChanged()
 }
 
-// othersLoadChanged tells those that depend on what others have.
+// othersLoadChanged is called when those of other nodes change. It never blocks.
 func (n *Node) othersLoadChanged() {
 	select {
 	case n.loadChanged <- struct{}{}:
@@ -33,7 +33,8 @@
 // TellHolders implements discovery.Displacer.
 func (n *Node) TellHolders(target string) { n.beacon.NotifyHolders(target) }
 
-// preemptOnLoadChange stops batch items where online requests need the room.
+// preemptOnLoadChange stops batch items where online requests need their slots, after each
+// change of the load until ctx ends.
 func (n *Node) preemptOnLoadChange(ctx context.Context) {
 	for {
 		select {
@@ -63,7 +64,7 @@
 		case n.adapter.Kinds.Config:
 			n.configChanged(o, from)
 		case job.KindEnds:
-			if !o.Deleted { // deleted with the rest of an expired job
+			if !o.Deleted { // the object is deleted only with the rest of an expired job
 				n.jobs.MarkEnded(o.Name)
 			}
 		case n.adapter.Kinds.Retirements:
@@ -78,14 +79,15 @@
 	n.recorder.Record(timeline.CopyNotRefreshed, "", kind, cause.Error(), field("revision", revision), field("age_ms", age.Milliseconds()))
 }
 
-// pullFrom asks a node that was heard to know more.
+// pullFrom requests the newer cached objects of a node, or of a seed if the node is not in the
+// list of nodes yet.
 func (n *Node) pullFrom(node string) {
 	if r, ok := n.registered()[node]; ok {
 		n.gossip.Pulls.Put(r.Address)
 		return
 	}
 	if list := n.nodeRefresher.Load(); list != nil {
-		list.Kick() // it has registered since the list was read
+		list.Kick() // the node has registered since the list was read
 	}
 	n.gossip.Pulls.Put(n.anySeed())
 }
@@ -123,8 +125,8 @@
 	n.metrics.Gauge("config_version").Update(float64(table.Version))
 }
 
-// targetsChanged hands what the store says of targets to the pool, all of it at
-// once: the table is made anew for each list.
+// targetsChanged updates the pool with all changed targets in one call, because the pool
+// rebuilds its table with each call.
 func (n *Node) targetsChanged(changes []objects.Object) {
 	n.listMu.Lock()
 	defer n.listMu.Unlock()
@@ -138,8 +140,8 @@
 		}
 		record, err := n.adapter.DecodeTarget(o.Name, o.Value)
 		if err != nil {
-			// It names no target to use, also where it did before: whoever wrote it may
-			// have given the name to something else.
+			// A target that an earlier version of the object described is not used either:
+			// the name may have been reused for something else.
 			n.recorder.Record(timeline.ObjectRejected, "", o.Name, err.Error())
 			n.metrics.Counter("objects_rejected").Inc(1)
 			refused = append(refused, o.Name)
@@ -154,7 +156,7 @@
 	n.recorder.Record(timeline.TargetChanged, "", id, what)
 }
 
-// jobEnded reports whether the end of a job is known here.
+// jobEnded reports whether the cache has the end of a job.
 func (n *Node) jobEnded(id string) bool {
 	_, ok := n.cache.Get(job.KindEnds, id)
 	return ok
--- a/internal/process/hosted/crashes.go
+++ b/internal/process/hosted/crashes.go
@@ -25,21 +25,21 @@
 		Client: n.quarantineClient, OnChange: func() { n.beacon.NotifyChange() }, Store: verdictStore{n}, Recorder: n.recorder, Metrics: n.metrics})
 }
 
-// quarantineClient reaches what another node knows of crashed targets.
+// quarantineClient returns a client of the quarantine service of another node.
 func (n *Node) quarantineClient(node string) (marblepondv1connect.QuarantineServiceClient, bool) {
 	r, registered := n.registered()[node]
 	if !registered {
-		return nil, false // it is heard again once the list of nodes has it
+		return nil, false // its next datagrams are handled once the list of nodes contains it
 	}
 	return n.peers.crashes.at(r.Address), true
 }
 
-// kindVerdicts is the kind of objects that refuse work beyond the life of all nodes:
-// one for each fingerprint.
+// kindVerdicts is the kind of objects that store the refusal of work, one for each
+// fingerprint, so that it outlives a restart of all nodes.
 const kindVerdicts = "marblepond-verdicts"
 
-// storedCrash is a crash as it is stored. The time is that of the writer's clock; its
-// error is small beside the time for which crashes count.
+// storedCrash is the JSON form of a crash in the object store. Its time is that of the
+// writer's clock, whose error is small compared with the retention time of crashes.
 type storedCrash struct {
 	Target      string
 	Incarnation uint64
@@ -76,14 +76,14 @@
 	return err
 }
 
-// loadVerdictsRetryInterval is the time between tries to read what was kept.
+// loadVerdictsRetryInterval is the time between attempts to list the stored verdicts.
 const loadVerdictsRetryInterval = time.Second
 
-// loadVerdicts reads what refuses work once, when this node starts: all nodes may
-// have lost power together, and no one else knows it then.
+// loadVerdicts loads the stored verdicts once, when this node starts: if all nodes lost
+// power together, the object store is the only source of them.
 func (n *Node) loadVerdicts(ctx context.Context) {
 	if n.settings.FirstStart {
-		return // there was none before
+		return // no node of the fleet ran before
 	}
 	for {
 		page, err := n.adapter.Store.List(ctx, callbudget.Status, kindVerdicts)
@@ -97,6 +97,8 @@
 	}
 }
 
+// mergeVerdicts adds the crashes of stored verdicts to those known, and deletes verdicts all
+// of whose crashes are too old to count.
 func (n *Node) mergeVerdicts(ctx context.Context, list []objects.Object) {
 	for _, o := range list {
 		evidence, err := decodeVerdict(o)
@@ -110,7 +112,7 @@
 			continue
 		}
 		if err := n.adapter.Store.Delete(ctx, callbudget.Status, kindVerdicts, o.Name); err != nil && !errors.Is(err, objects.ErrNotFound) {
-			n.recorder.Record(timeline.VerdictNotKept, "", o.Name, err.Error()) // the next start tries again
+			n.recorder.Record(timeline.VerdictNotKept, "", o.Name, err.Error()) // the next start retries
 		}
 	}
 }
@@ -118,7 +120,7 @@
 func decodeVerdict(o objects.Object) ([]quarantine.Crash, error) {
 	work, ok := fingerprint.Parse(o.Name)
 	if !ok {
-		return nil, errors.New("its name is no fingerprint")
+		return nil, errors.New("the object name is not a fingerprint")
 	}
 	var stored []storedCrash
 	if err := json.Unmarshal(o.Value, &stored); err != nil {
@@ -132,6 +134,7 @@
 	return evidence, nil
 }
 
+// allOlder reports whether all crashes have at least the given age.
 func allOlder(evidence []quarantine.Crash, age time.Duration) bool {
 	for _, c := range evidence {
 		if c.Age < age {
@@ -141,15 +144,15 @@
 	return true
 }
 
-// operatorService answers the operators' calls that a hosted node knows. What else
-// operators do they do at the platform.
+// operatorService implements the calls of the operator service that a hosted node supports.
+// Everything else operators do through the platform.
 type operatorService struct {
 	marblepondv1connect.UnimplementedOperatorServiceHandler
 	node    *Node
 	crashes *crashes.Watch
 }
 
-// Workspaces lists the workspaces with the use of their allowances.
+// Workspaces lists the workspaces and how much of their allowances (rate limits) is used.
 func (o operatorService) Workspaces(context.Context, *v1.WorkspacesRequest) (*v1.WorkspacesResponse, error) {
 	table := o.node.Table()
 	if table == nil {
@@ -158,8 +161,8 @@
 	return o.node.lending.Report(table.Workspaces, func(node string) string { return o.node.registered()[node].Address }), nil
 }
 
-// Targets lists the targets that this node knows, with what it and others have in flight
-// there and why any of them gets no work.
+// Targets lists the targets that this node knows, with the requests and items that all nodes
+// have in flight there, and the reason if a target gets no work.
 func (o operatorService) Targets(context.Context, *v1.TargetsRequest) (*v1.TargetsResponse, error) {
 	resp := &v1.TargetsResponse{}
 	for _, s := range o.node.pool.List() {
@@ -176,7 +179,7 @@
 	return o.crashes.Quarantine(ctx, req)
 }
 
-// ReleaseWork lets refused work go.
+// ReleaseWork ends the refusal of work.
 func (o operatorService) ReleaseWork(ctx context.Context, req *v1.ReleaseWorkRequest) (*v1.ReleaseWorkResponse, error) {
 	return o.crashes.ReleaseWork(ctx, req)
 }
--- a/internal/process/hosted/drain.go
+++ b/internal/process/hosted/drain.go
@@ -9,16 +9,18 @@
 )
 
 const (
-	// notReadyDuration is how long a leaving node still takes connections after it
-	// answers not ready: the balancer asks once a second and takes it out after
-	// two misses.
+	// notReadyDuration is how long a leaving node still accepts connections while its
+	// readiness check fails: the load balancer checks once a second and removes the node
+	// after two failures.
 	notReadyDuration = 3 * time.Second
-	// drainMargin is kept between the end of the drain and the kill.
+	// drainMargin is the time kept between the end of the drain and the time limit at which
+	// the process is killed.
 	drainMargin = 500 * time.Millisecond
 )
 
-// drain takes the node out of service: the ready answer first, then no new
-// connections, then everything in progress to its end, then the jobs it holds.
+// drain takes the node out of service. First its readiness check fails; then it accepts no
+// new connections and completes the requests in progress. The jobs that it holds are drained
+// at the same time.
 func (n *Node) drain(ctx context.Context) {
 	n.recorder.Record(timeline.NodeDraining, "", n.settings.NodeID, "asked to stop")
 	ctx, cancel := context.WithTimeout(ctx, n.settings.DrainTimeout-drainMargin)
--- a/internal/process/hosted/evacuation.go
+++ b/internal/process/hosted/evacuation.go
@@ -9,8 +9,8 @@
 	"github.com/marblepond/marblepond/internal/version/follow"
 )
 
-// evacuationsChanged takes which data centres are evacuated: each has an object under
-// its name for as long as it is.
+// evacuationsChanged updates which data centres are evacuated: those for which an object of
+// that name exists.
 func (n *Node) evacuationsChanged(changes []objects.Object, from follow.Source) {
 	n.listMu.Lock()
 	defer n.listMu.Unlock()
@@ -29,12 +29,13 @@
 	n.metrics.Gauge("data_centres_evacuated").Update(float64(len(evacuated)))
 }
 
-// knowsEvacuations reports whether this node knows which data centres are evacuated.
+// knowsEvacuations reports whether this node knows which data centres are evacuated, or
+// evacuations are not followed.
 func (n *Node) knowsEvacuations() bool {
 	return n.settings.EvacuatedWithin == 0 || n.cache.Complete(n.adapter.Kinds.Evacuations) > 0
 }
 
-// warmUp returns how targets of a service warm up.
+// warmUp returns the slow-start rate of the targets of a service.
 func (n *Node) warmUp(service string) warmup.Rate {
 	if table := n.Table(); table != nil {
 		return table.WarmUps[service]
@@ -42,8 +43,8 @@
 	return warmup.Rate{}
 }
 
-// warmUpPosition returns which of the nodes that send work this one is. Nodes that are down are
-// among them until they are registered no more.
+// warmUpPosition returns this node's position among the nodes that send work to targets.
+// Nodes that are down count until their registration is removed.
 func (n *Node) warmUpPosition(nodes map[string]nodeRecord) warmup.Position {
 	var names []string
 	for name, r := range nodes {
--- a/internal/process/hosted/following.go
+++ b/internal/process/hosted/following.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// refreshShare is the share of the time in which a change has to be in force
-	// after which a copy is refreshed. The rest is for nodes that are to ask first
-	// and do not (each delays the next by a quarter second at the most), for the
-	// answer of a slow store, and for the half second in which it reaches every
-	// node.
+	// refreshShare is the age at which a cached copy is refreshed, as a share of the time in
+	// which a change has to be in force. The rest is for nodes earlier in the refresh order
+	// that fail to refresh (each delays the next by a quarter second at most), for a slow
+	// response of the object store, and for the half second that the result takes to reach
+	// every node.
 	refreshShare = 0.35
-	// freshShare is the share of that time for which a copy of the configuration
-	// lets the node deny that a route exists.
+	// freshShare is the age up to which the cached configuration is fresh enough to answer
+	// that a route does not exist, as a share of the same time.
 	freshShare = 0.95
-	// nodeListMaxAge is how old the copy of the list of nodes may become. It changes
-	// rarely and only makes the work be shared better.
+	// nodeListMaxAge is the age at which the cached list of nodes is refreshed. It changes
+	// rarely and only affects how well nodes divide the work.
 	nodeListMaxAge = 4 * time.Second
-	// retirementsMaxAge is the same for VMs that are to be emptied, within 10 s or
-	// so.
+	// retirementsMaxAge is the same for the list of VMs that are to be emptied. A VM has to be
+	// empty within about 10 s.
 	retirementsMaxAge = 2 * time.Second
 )
 
-// refreshAge returns the age at which a copy is refreshed whose changes have to
-// be in force within a time.
+// refreshAge returns the age at which a cached copy is refreshed if its changes have to be in
+// force within the given time.
 func refreshAge(within time.Duration) time.Duration {
 	return time.Duration(refreshShare * float64(within))
 }
 
-// followedKinds returns the kinds that this node follows, each with the age at
-// which its copy is refreshed.
+// followedKinds returns the kinds of objects that this node caches, each with the age at
+// which the cached copy is refreshed.
 func (n *Node) followedKinds() map[string]time.Duration {
 	kinds := map[string]time.Duration{
 		n.adapter.Kinds.Config:  refreshAge(n.settings.ConfigWithin),
@@ -55,12 +55,11 @@
 	return kinds
 }
 
-// isKeeper reports whether this node serves no callers; it then answers for VMs
-// that are to be emptied.
+// isKeeper reports whether this node is a keeper, which serves no callers. Keepers report the
+// status of VMs that are to be emptied.
 func (n *Node) isKeeper() bool { return n.settings.CallerListen == "" }
 
-// startSnapshot starts from what the disk holds of the followed kinds, and keeps
-// it there from then on.
+// startSnapshot loads the snapshot of the cache from the disk and then keeps it up to date.
 func (n *Node) startSnapshot(ctx context.Context, wg *sync.WaitGroup) {
 	failed := func(err error) { n.recorder.Record(timeline.SnapshotFailed, "", n.settings.DataDir, err.Error()) }
 	s := &follow.Snapshot{Dir: n.settings.DataDir, Cache: n.cache, Failed: failed,
@@ -71,8 +70,8 @@
 	wg.Go(func() { s.Run(ctx) })
 }
 
-// startCheckpointDisk starts from the checkpoints on the disk, and keeps them there
-// from then on.
+// startCheckpointDisk loads the checkpoints from the disk and then keeps those on the disk up
+// to date.
 func (n *Node) startCheckpointDisk(ctx context.Context, wg *sync.WaitGroup) {
 	failed := func(err error) { n.recorder.Record(timeline.SnapshotFailed, "", n.settings.DataDir, err.Error()) }
 	d := &checkpoint.Disk{Dir: n.settings.DataDir, Store: n.checkpoints, OnError: failed}
@@ -82,8 +81,8 @@
 	wg.Go(func() { d.Run(ctx) })
 }
 
-// followers returns the function that lists the other nodes of this data centre
-// that are heard and follow a kind.
+// followers returns the function that lists the other reachable nodes of this data centre that
+// cache a kind.
 func (n *Node) followers(kind string) func() []string {
 	keepersOnly := kind == n.adapter.Kinds.Retirements
 	return func() []string {
@@ -103,18 +102,18 @@
 }
 
 const (
-	// seedListDelay is when a seed reads the list of nodes at the first start of a
-	// fleet: all nodes start within 0.3 s and have registered by then. firstGreeting
-	// is when the others ask it, and learn of all nodes at once.
+	// At the first start of a fleet a seed reads the list of nodes after seedListDelay: all
+	// nodes start within 0.3 s and have registered by then. The other nodes query the seed
+	// after firstSyncDelay and so learn of all nodes at once.
 	seedListDelay  = 700 * time.Millisecond
 	firstSyncDelay = time.Second
 )
 
-// isSeed reports whether other nodes ask this one first.
+// isSeed reports whether this node is one of the seeds, which starting nodes query first.
 func (n *Node) isSeed() bool { return slices.Contains(*n.seeds.Load(), n.settings.PeerAdvertise) }
 
-// syncWithSeeds asks the seeds for what they know before this node asks the object store.
-// A seed asks the store at once, for all that start with it.
+// syncWithSeeds fetches the cached objects of the seeds before this node reads the object
+// store. A seed reads the store at once, on behalf of the nodes that start with it.
 func (n *Node) syncWithSeeds(ctx context.Context) {
 	if n.isSeed() || (n.settings.FirstStart && !wait.For(ctx, firstSyncDelay)) {
 		return
@@ -126,8 +125,7 @@
 	n.gossip.Greet(ctx, *n.seeds.Load(), kinds...)
 }
 
-// anySeed returns the address of a seed other than this node, "" when there is
-// none.
+// anySeed returns the address of a seed other than this node, "" if there is none.
 func (n *Node) anySeed() string {
 	for _, seed := range *n.seeds.Load() {
 		if seed != n.settings.PeerAdvertise {
--- a/internal/process/hosted/following_test.go
+++ b/internal/process/hosted/following_test.go
@@ -10,9 +10,9 @@
 	"github.com/marblepond/marblepond/internal/request/job"
 )
 
-// How new copies must be comes from the deployment's settings: a node that has
-// to bring a change into force within a second asks the store soon enough for
-// the first two nodes in order not to answer.
+// TestRefreshAgesFollowTheSettings: the ages at which cached copies are refreshed follow from
+// the settings. If a change has to be in force within a second, a node refreshes early enough
+// for the first two nodes of the refresh order to fail.
 func TestRefreshAgesFollowTheSettings(t *testing.T) {
 	is := is.New(t)
 	n := &Node{adapter: Adapter{Kinds: Kinds{Config: "c", Targets: "t", Retirements: "r"}},
@@ -22,5 +22,5 @@
 	is.Equal(ages["t"], 1400*time.Millisecond)
 	is.Equal(ages[job.KindEnds], 700*time.Millisecond)
 	_, follows := ages["r"]
-	is.True(!follows) // only keepers answer for VMs that are to be emptied
+	is.True(!follows) // only keepers handle VMs that are to be emptied
 }
--- a/internal/process/hosted/fuzz_test.go
+++ b/internal/process/hosted/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzDecodeNode: whatever a registration holds, it is refused or names a node
-// that can be asked.
+// FuzzDecodeNode: decodeNode rejects any registration without a usable address, data centre
+// and start time.
 func FuzzDecodeNode(f *testing.F) {
 	for _, seed := range []string{`{"Boot":1,"Address":"10.0.0.1:1","DataCentre":"a"}`, `{}`, `[]`, `null`, "\xff", `{"Boot":"1"}`, `{"Boot":1,"Address":"x"}`} {
 		f.Add([]byte(seed))
@@ -17,7 +17,7 @@
 			return
 		}
 		if _, err := netip.ParseAddrPort(r.Address); err != nil || r.DataCentre == "" || r.Boot <= 0 {
-			t.Fatalf("%q is taken for %+v", data, r)
+			t.Fatalf("%q is decoded as %+v", data, r)
 		}
 	})
 }
--- a/internal/process/hosted/holders.go
+++ b/internal/process/hosted/holders.go
@@ -20,8 +20,7 @@
 	return out
 }
 
-// reachableHolders returns the other nodes of this data centre that are heard and
-// hold jobs.
+// reachableHolders returns the other reachable nodes of this data centre that hold jobs.
 func (n *Node) reachableHolders() []string {
 	nodes := n.registered()
 	var out []string
@@ -43,15 +42,16 @@
 }
 
 const (
-	// maxAdoptRank bounds the places in the order in which nodes take over a job.
+	// maxAdoptRank is the last rank in the order in which nodes may take over a job; all
+	// further nodes share it.
 	maxAdoptRank = 5
-	// sweepersPerDataCentre is how many nodes of a data centre look for lost jobs: as many as
-	// have a place of their own in that order. Each look lists the heads of all jobs,
-	// which costs a call a page, and by 250 nodes brings nothing that 30 do not.
+	// sweepersPerDataCentre is how many nodes of a data centre scan for lost jobs: one for
+	// each rank. A scan lists the heads of all jobs, which costs a call to the object store
+	// for each page, and 250 nodes that scan find no more than 30 do.
 	sweepersPerDataCentre = maxAdoptRank + 1
 )
 
-// sweepers returns the nodes of this data centre that look for lost jobs.
+// sweepers returns the nodes of this data centre that scan for lost jobs.
 func (n *Node) sweepers() []string {
 	return rendezvous.Rank(job.KindHeads, append(n.reachableHolders(), n.settings.NodeID), sweepersPerDataCentre)
 }
@@ -79,22 +79,21 @@
 	return n.beacon.UnreachableSince(node)
 }
 
-// keepersPerJob is how many nodes keep a job's checkpoint: one in the data centre
-// of its holder, which is near, and one elsewhere, for the loss of a disk or of
-// the data centre.
+// keepersPerJob is how many nodes store a job's checkpoint: one in the data centre of its
+// holder, for low latency, and one in another, for the loss of a disk or of the data centre.
 const keepersPerJob = 2
 
-// Keepers implements job.Peers. Nodes that serve no callers come first: they have
-// a disk, and a start of the whole deployment finds the checkpoints there. Without
-// one in this data centre or another, other nodes of this one serve: that covers
-// the loss of one node.
+// Keepers implements job.Peers. It prefers nodes that serve no callers: they have a disk, so
+// that the checkpoints survive a restart of the whole deployment. If this data centre or the
+// others have none, it uses a node of this data centre that serves callers, which covers the
+// loss of one node.
 func (n *Node) Keepers(job string, present []string, usable func(address string) bool) []string {
 	nodes := n.registered()
 	reachable := n.beacon.ReachableInDataCentre()
 	reachableCentres := n.beacon.ReachableDataCentres()
 	var disk, far, memory []string // names, by preference
 	for name, r := range nodes {
-		// A present keeper stays until it fails: each change is written to the head.
+		// A present keeper stays until it fails, because each change costs a write of the head.
 		isPresent := slices.Contains(present, r.Address)
 		sameDataCentre := r.DataCentre == n.settings.DataCentre
 		switch {
@@ -117,8 +116,8 @@
 	return out
 }
 
-// selectKeeper returns the address of one of the nodes named: the present keeper
-// among them, or the first in an order of the job's own.
+// selectKeeper returns the address of one of the nodes named: that of a present keeper, or
+// else that of the first in the job's rendezvous order.
 func selectKeeper(job string, names []string, nodes map[string]nodeRecord, present []string) string {
 	for _, name := range names {
 		if slices.Contains(present, nodes[name].Address) {
--- a/internal/process/hosted/hosted.go
+++ b/internal/process/hosted/hosted.go
@@ -1,6 +1,6 @@
-// Package hosted assembles a node that runs on somebody else's platform: its
-// durable state lies in an object store, its targets and routes are listed
-// there, and an Adapter translates.
+// Package hosted assembles a node that runs on the users' platform: it keeps its durable
+// state in the platform's object store and reads its targets and routes from there. An
+// Adapter translates between the node and the platform.
 package hosted
 
 import (
@@ -32,7 +32,7 @@
 	"github.com/marblepond/marblepond/internal/version/route"
 )
 
-// Store is the object store as the node's duties need it.
+// Store is the interface to the object store.
 type Store interface {
 	follow.Store
 	objects.Store
@@ -42,24 +42,25 @@
 // Kinds names the kinds of objects that the platform defines.
 type Kinds struct {
 	Config      string // one object: the routing configuration
-	Targets     string // one object a target
+	Targets     string // one object for each target
 	Retirements string // one object for each VM that is to be emptied
-	Evacuations string // one object for each data centre whose targets are to get no work, under its name
+	Evacuations string // one object for each evacuated data centre, whose targets get no work; its name is the data centre's
 }
 
-// Adapter is what translates between the node and its platform.
+// Adapter translates between the node and its platform.
 type Adapter struct {
 	Store  Store
 	Health *objects.Health
 	Sender target.Sender
 	Kinds  Kinds
-	// ConfigName is the object of Kinds.Config that is in force.
+	// ConfigName is the name of the object of Kinds.Config that is in force.
 	ConfigName   string
 	DecodeConfig func(value []byte) (*route.Table, error)
 	DecodeTarget func(id string, value []byte) (discovery.Record, error)
-	// RetirementStatus encodes what is said of a VM that is to be emptied.
+	// RetirementStatus encodes the status of a VM that is to be emptied.
 	RetirementStatus func(done bool) []byte
-	// Selectors are the headers of a request whose values change what it asks for.
+	// Selectors are the headers of a request that are part of its fingerprint, because their
+	// values change the response.
 	Selectors []string
 	// CallerHandler serves the callers' API; ReadyHandler reports whether the node accepts
 	// new connections.
@@ -67,10 +68,10 @@
 	ReadyHandler  func(n *Node) http.Handler
 }
 
-// Node is one hosted process.
+// Node is one node process on the users' platform.
 type Node struct {
 	settings *settings.Settings
-	seeds    atomic.Pointer[[]string] // of the newest settings file
+	seeds    atomic.Pointer[[]string] // from the newest settings file
 	adapter  Adapter
 	boot     int64 // Unix microseconds at process start
 	started  time.Time
@@ -93,22 +94,22 @@
 	lending     *lending.Exchange
 	backlogs    *backlogs
 
-	nodeRefresher atomic.Pointer[follow.Refresher] // keeps the list of nodes
-	// listMu is held while lists that the store holds are taken over. News may come
-	// out of order, so that what counts is read from the cache.
+	nodeRefresher atomic.Pointer[follow.Refresher] // refreshes the cached list of nodes
+	// listMu serializes the handling of changed nodes, targets and evacuations. Changes may
+	// arrive out of order, so the handlers read the current objects from the cache.
 	listMu      sync.Mutex
 	nodes       atomic.Pointer[map[string]nodeRecord]
-	view        atomic.Pointer[beacon.View]     // the same as datagrams go
-	lenders     atomic.Pointer[lending.Lenders] // the same as allowances are lent
+	view        atomic.Pointer[beacon.View]     // nodes, as package beacon needs them
+	lenders     atomic.Pointer[lending.Lenders] // nodes, as package lending needs them
 	table       atomic.Pointer[route.Table]
-	configured  chan struct{} // closed when the first table is known
-	loadChanged chan struct{} // what is in flight has changed
+	configured  chan struct{} // closed when the first routing table is known
+	loadChanged chan struct{} // signals that the requests or items in flight have changed
 	leaving     atomic.Bool
 	halted      chan struct{}
 	callers     *callerServer
 	peerHTTP    *http.Server
 	readyHTTP   *http.Server
-	metricsHTTP *http.Server // the metrics page
+	metricsHTTP *http.Server
 }
 
 // Dependencies are the components that every node process has.
@@ -116,16 +117,17 @@
 	Settings *settings.Settings
 	Recorder *timeline.Recorder
 	Metrics  tally.Scope
-	// Clock tells ages, deadlines and leases; it counts suspensions of the machine.
+	// Clock measures ages, deadlines and leases; it includes the time for which the VM was
+	// suspended.
 	Clock *clock.Clock
-	// MetricsPage serves the metrics as text.
+	// MetricsPage serves the metrics in text format.
 	MetricsPage http.Handler
 }
 
-// New connects the parts of a node.
-func New(parts Dependencies, adapter Adapter) *Node {
-	s := parts.Settings
-	n := &Node{settings: s, adapter: adapter, boot: time.Now().UnixMicro(), started: time.Now(), recorder: parts.Recorder, metrics: parts.Metrics, clock: parts.Clock,
+// New assembles a node; Run starts it.
+func New(deps Dependencies, adapter Adapter) *Node {
+	s := deps.Settings
+	n := &Node{settings: s, adapter: adapter, boot: time.Now().UnixMicro(), started: time.Now(), recorder: deps.Recorder, metrics: deps.Metrics, clock: deps.Clock,
 		configured: make(chan struct{}), loadChanged: make(chan struct{}, 1), halted: make(chan struct{})}
 	n.batch = newBatchWork(n)
 	n.view.Store(beacon.NewView(s.NodeID, s.DataCentre, nil))
@@ -155,15 +157,15 @@
 	n.pool.SetJoined(n.joined)
 	n.gossip = &follow.Gossip{Node: s.NodeID, Cache: n.cache, Listener: n, Peers: n.peerAddresses,
 		Client: n.peers.sync.at, GreetClient: n.peers.seedSync.at, Interval: s.GossipInterval, Alone: func() bool { return len(n.beacon.ReachableNodes()) == 0 }, Pulls: follow.NewPulls()}
-	n.createServers(parts.MetricsPage)
+	n.createServers(deps.MetricsPage)
 	return n
 }
 
 // Table returns the routing table in force, nil before the first is known.
 func (n *Node) Table() *route.Table { return n.table.Load() }
 
-// AwaitTable returns the routing table in force; before the first is known it waits for
-// it for a time.
+// AwaitTable returns the routing table in force. Until the first is known it waits, for
+// maxWait at most, and then returns nil.
 func (n *Node) AwaitTable(ctx context.Context, maxWait time.Duration) *route.Table {
 	if table := n.Table(); table != nil {
 		return table
@@ -177,23 +179,23 @@
 	return n.Table()
 }
 
-// Forwarder returns what carries online requests.
+// Forwarder returns the forwarder of online requests.
 func (n *Node) Forwarder() *forward.Forwarder { return n.forwarder }
 
-// Jobs returns what keeps batch jobs.
+// Jobs returns the manager of batch jobs.
 func (n *Node) Jobs() *job.Manager { return n.jobs }
 
 // Leaving reports whether the node was asked to stop.
 func (n *Node) Leaving() bool { return n.leaving.Load() }
 
-// Ready reports whether the node can take new connections: it knows a
-// configuration, the targets and which of them are evacuated.
+// Ready reports whether the node can accept new connections: it knows a configuration, the
+// targets and which data centres are evacuated, and is not leaving.
 func (n *Node) Ready() bool {
 	return !n.Leaving() && n.Table() != nil && n.cache.Complete(n.adapter.Kinds.Targets) > 0 && n.knowsEvacuations()
 }
 
 // storeLatency returns how long the object store takes to answer, 0 while that is
-// not known or it does not answer.
+// unknown or it does not answer.
 func (n *Node) storeLatency() time.Duration {
 	if !n.adapter.Health.Up() {
 		return 0
@@ -202,13 +204,14 @@
 	return took
 }
 
-// Clock returns the clock that callers' deadlines are told by.
+// Clock returns the clock that measures the deadlines of callers' requests.
 func (n *Node) Clock() *clock.Clock { return n.clock }
 
-// Metrics returns the scope that counts go to.
+// Metrics returns the scope of the node's metrics.
 func (n *Node) Metrics() tally.Scope { return n.metrics }
 
-// TableFresh reports whether the table is trusted to hold every route.
+// TableFresh reports whether the routing table is fresh enough to answer that a route does
+// not exist.
 func (n *Node) TableFresh() bool {
 	age, known := n.cache.Age(n.adapter.Kinds.Config)
 	return known && age < time.Duration(freshShare*float64(n.settings.ConfigWithin))
--- a/internal/process/hosted/log.go
+++ b/internal/process/hosted/log.go
@@ -12,11 +12,12 @@
 	"github.com/marblepond/marblepond/internal/request/forward"
 )
 
-// requestLog implements forward.Log: one line a decision, with its inputs.
+// requestLog implements forward.Log: it records an event for each decision, with the inputs
+// of the decision.
 type requestLog struct{ n *Node }
 
-// LogRefusal records that a call was refused before it became a request or a
-// job, with the version of the configuration that decided.
+// LogRefusal records that a call was refused before it became a request or a job, with the
+// version and the age of the configuration in force.
 func (n *Node) LogRefusal(requestID, subject string, err error) {
 	version := int64(0)
 	if table := n.Table(); table != nil {
@@ -29,14 +30,13 @@
 	n.metrics.Counter("calls_refused").Inc(1)
 }
 
-// requestBuckets cover answers from a few milliseconds to the longest usual
-// time limit.
+// requestBuckets cover response times from a few milliseconds to the longest usual timeout.
 var requestBuckets = tally.DurationBuckets{
 	5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
 	200 * time.Millisecond, 300 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second, 15 * time.Second,
 }
 
-// ownInFlightAt returns how many requests and items of this node are at a target.
+// ownInFlightAt returns how many requests and items this node has in flight at a target.
 func (n *Node) ownInFlightAt(t choose.Target) int {
 	here := n.pool.InFlight()[t.ID]
 	return here.Online + here.Batch
@@ -57,10 +57,10 @@
 func (l *requestLog) Failed(req *forward.Request, t choose.Target, events int64, err error) {
 	ran := target.EndOf(err).Ran()
 	fields := []timeline.Field{field("may_have_run", ran), field("after_ms", l.n.clock.Since(req.Arrived).Milliseconds())}
-	if ran { // what ties it to other attempts at the same work, and to others that were lost with it
+	if ran { // for correlation with other attempts at the same work, and with requests lost together with it
 		fields = append(fields, field("work", req.Work.ID().String()), field("events", events), field("others_there", l.n.ownInFlightAt(t)))
 	}
-	if forward.Saturated(err) { // what this node takes the target to be full of
+	if forward.Saturated(err) { // the requests and items that this node knows at the target
 		counts := l.n.pool.Counts(t.ID)
 		fields = append(fields, field("online", counts.Online), field("items", counts.Items), field("yielding", counts.Yielding),
 			field("others_online", counts.Elsewhere.Online), field("others_items", counts.Elsewhere.Batch))
--- a/internal/process/hosted/nodes_test.go
+++ b/internal/process/hosted/nodes_test.go
@@ -21,7 +21,7 @@
 
 const kindTargets = "targets"
 
-// newListNode returns a node that only takes lists.
+// newListNode returns a node that can only handle changed lists of nodes and targets.
 func newListNode() *Node {
 	recorder := timeline.NewRecorder("n", 100, &log.Logger{Handler: discard.New()}, tally.NoopScope)
 	n := &Node{recorder: recorder, settings: &settings.Settings{NodeID: "self", DataCentre: "dc0"}, cache: follow.NewCache(time.Now, kindNodes, kindTargets),
@@ -32,7 +32,7 @@
 	return n
 }
 
-// registrations returns registrations of so many nodes in five data centres.
+// registrations returns the registrations of count nodes in five data centres.
 func registrations(t testing.TB, count int) []objects.Object {
 	var list []objects.Object
 	for i := range count {
@@ -45,10 +45,10 @@
 	return list
 }
 
-// TestListCostIsNearlyLinear: all nodes of a large fleet start together, and each
-// hears of all others and of all targets in one list. Taking a list four times as
-// long may cost about four times as much. When each entry had the whole taken anew
-// it was sixteen times, 0.3 s of processor time of each of 255 nodes.
+// TestListCostIsNearlyLinear: when all nodes of a large fleet start together, each receives
+// all other nodes and all targets in one list. Handling a list four times as long may cost
+// about four times as much. When the whole list was rebuilt for each entry it cost sixteen
+// times as much, 0.3 s of CPU time on each of 255 nodes.
 func TestListCostIsNearlyLinear(t *testing.T) {
 	is := is.New(t)
 	for _, kind := range []string{kindNodes, kindTargets} {
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestChangesOutOfOrder: two deliveries of one registration may be handed over in the
-// wrong order; what the cache holds counts.
+// TestChangesOutOfOrder: two changes of one registration may be delivered in the wrong order;
+// the node uses the registration in the cache.
 func TestChangesOutOfOrder(t *testing.T) {
 	is := is.New(t)
 	n := newListNode()
@@ -83,7 +83,7 @@
 	is.Equal(len(n.registered()), 0)
 }
 
-// BenchmarkNodesListed is the cost of hearing of so many nodes in one list.
+// BenchmarkNodesListed measures the cost of handling a list of count nodes.
 func BenchmarkNodesListed(b *testing.B) {
 	for _, count := range []int{6, 63, 295, 360} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/process/hosted/peers.go
+++ b/internal/process/hosted/peers.go
@@ -16,19 +16,18 @@
 	"github.com/marblepond/marblepond/internal/process/timeline"
 )
 
-// peers hands out clients of other nodes.
+// peers has the clients of the services of other nodes, by address.
 type peers struct {
 	sync        clients[marblepondv1connect.SyncServiceClient]
-	seedSync    clients[marblepondv1connect.SyncServiceClient] // seeds, at the start
+	seedSync    clients[marblepondv1connect.SyncServiceClient] // for seeds, when this node starts
 	jobs        clients[marblepondv1connect.JobServiceClient]
 	relay       clients[marblepondv1connect.RelayServiceClient]
 	checkpoints clients[marblepondv1connect.CheckpointServiceClient]
-	// crashes reaches what others know of crashed targets.
-	crashes  clients[marblepondv1connect.QuarantineServiceClient]
-	backlogs clients[marblepondv1connect.BacklogServiceClient]
+	crashes     clients[marblepondv1connect.QuarantineServiceClient]
+	backlogs    clients[marblepondv1connect.BacklogServiceClient]
 }
 
-// clients keeps one client for each address.
+// clients creates one client for each address and reuses it.
 type clients[T any] struct {
 	make func(address string) T
 
@@ -48,23 +47,22 @@
 	return client
 }
 
-// newClients returns clients that a constructor of generated code makes.
+// newClients returns clients that are created with a constructor of the generated code.
 func newClients[T any](h connect.HTTPClient, options []connect.ClientOption, construct func(connect.HTTPClient, string, ...connect.ClientOption) T) clients[T] {
 	return clients[T]{byAddress: map[string]T{}, make: func(address string) T { return construct(h, "http://"+address, options...) }}
 }
 
-// idleConnsPerPeer is how many idle connections are kept to each node.
+// idleConnsPerPeer is how many idle connections to each node are kept open.
 const idleConnsPerPeer = 2
 
-// seedDialTimeout is how long a starting node tries to connect to one seed before it asks the
-// next. Machines that lost power together start within 0.3 s of each other, and a seed that
-// is still dark drops the first packet of a connection, which is sent again only after a
-// second.
+// seedDialTimeout is how long a starting node tries to connect to one seed before it tries
+// the next. VMs that lost power together start within 0.3 s of each other. A seed that is not
+// up yet drops the first packet of a connection, which is retransmitted only after a second.
 const seedDialTimeout = 60 * time.Millisecond
 
-// newPeers uses HTTP/1.1: a connection that a cut has left dead is dropped with
-// the call that met it, while one of HTTP/2 would fail every call until it is
-// found dead.
+// newPeers uses HTTP/1.1: if a network partition broke a connection, only the next call on it
+// fails and the connection is dropped, while on a broken HTTP/2 connection every call fails
+// until the failure is detected.
 func newPeers(s *settings.Settings) *peers {
 	dialer := dial.Plain(s.DialTimeout)
 	h := &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: idleConnsPerPeer,
@@ -83,7 +81,8 @@
 	}
 }
 
-// relay returns the object store as jobs reach it: also through other nodes.
+// relay returns a client of the object store that can also reach it through other nodes; jobs
+// use it.
 func (n *Node) relay() *relay.Relay {
 	return &relay.Relay{Own: n.adapter.Store, Reached: n.adapter.Health.Up, Peers: n.reachableAddresses, Client: n.peers.relay.at,
 		Relayed: func(kind, name, address string) {
@@ -92,7 +91,7 @@
 		}}
 }
 
-// reachableAddresses returns the addresses of the nodes that are heard now.
+// reachableAddresses returns the addresses of the reachable nodes.
 func (n *Node) reachableAddresses() []string {
 	nodes := n.registered()
 	var out []string
@@ -126,14 +125,15 @@
 	return slices.DeleteFunc(slices.Clone(*n.seeds.Load()), func(a string) bool { return a == n.settings.PeerAdvertise })
 }
 
-// maxJoinTime is how long after its start a node may take others for not knowing it yet. Many
-// nodes that start together have heard of each other within it.
+// maxJoinTime is how long after its start a node may count as not joined. Within this time
+// many nodes that start together have discovered each other.
 const maxJoinTime = 5 * time.Second
 
-// joined reports whether the nodes of this data centre know of each other: this node is
-// registered where they read it, and one of them is heard. Before that nobody makes room
-// for its requests at targets, and it does not know that anybody could. It is taken for so
-// when it has run for joinTime, and where no other node is known or configured.
+// joined reports whether this node and the others of its data centre know of each other: its
+// registration is in the list that they read, and one of them is reachable. Before that, no
+// other node preempts items for this node's requests, and this node does not know which nodes
+// could. A node also counts as joined if no other node is known or configured, and once it
+// has run for maxJoinTime.
 func (n *Node) joined() bool {
 	if time.Since(n.started) > maxJoinTime {
 		return true
--- a/internal/process/hosted/peers_test.go
+++ b/internal/process/hosted/peers_test.go
@@ -17,7 +17,8 @@
 	"github.com/marblepond/marblepond/internal/version/follow"
 )
 
-// unresponsiveAddress returns an address that drops connections: its queue of them is full.
+// unresponsiveAddress returns an address that drops connection attempts, because its accept
+// queue is full.
 func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -36,7 +37,7 @@
 		t.Fatal(err)
 	}
 	address := net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: name.(*syscall.SockaddrInet4).Port}
-	for range 4 { // more than the queue holds; those beyond it wait
+	for range 4 { // more than fit into the queue; the others wait
 		go func() {
 			if conn, err := net.DialTimeout("tcp", address.String(), 5*time.Second); err == nil {
 				t.Cleanup(func() { conn.Close() })
@@ -47,11 +48,10 @@
 	return address.String()
 }
 
-// TestUnresponsiveSeedIsSkippedSoon: what was seen: after a loss of power of all machines nodes
-// refused callers for 275 ms, and some for 540 ms, because they had no configuration. How
-// it came about: machines start within 0.3 s of each other, and the seeds that a node
-// asked were still dark. Cause: it tried to connect to each for 250 ms. Proof: the times
-// are one and two times that and the time that a node takes otherwise.
+// TestUnresponsiveSeedIsSkippedSoon guards against long waits for seeds that are not up yet.
+// After a power loss of all VMs, which start within 0.3 s of each other, nodes refused callers
+// for 275 ms, and some for 540 ms, because they had no configuration: they tried to connect to
+// one or two unresponsive seeds for 250 ms each.
 func TestUnresponsiveSeedIsSkippedSoon(t *testing.T) {
 	is := is.New(t)
 	p := newPeers(&settings.Settings{DialTimeout: 250 * time.Millisecond})
@@ -62,12 +62,12 @@
 	is.True(time.Since(started) < 150*time.Millisecond)
 }
 
-// TestNodeJoinsOnceItIsKnown: a node that has just started counts as known to others once it
-// is registered and hears one of them, and after a time in any case; one that has no
-// others, at once. What happened without that: online requests at a node that was ready
-// before it knew the others were refused after 60 ms beside their batch items, which
-// nobody was told to stop (TestOnlineGoesFirst; others_items is 0 in each request_broken
-// until the first datagram, 0.1 s after the start).
+// TestNodeJoinsOnceItIsKnown: a node counts as joined once it is registered and another node
+// is reachable, after a time in any case, and at once if there is no other node. Without that,
+// a node that was ready before it knew the others refused online requests after 60 ms while
+// batch items of the others occupied the slots, because it notified no node to stop them
+// (TestOnlineGoesFirst; others_items is 0 in each request_broken until the first datagram,
+// 0.1 s after the start).
 func TestNodeJoinsOnceItIsKnown(t *testing.T) {
 	is := is.New(t)
 	start := func(seeds ...string) *Node {
@@ -87,13 +87,13 @@
 		}
 		n.Changed(kindNodes, n.cache.Replace(kindNodes, list, int64(len(list))), follow.FromStore)
 	}
-	is.True(start().joined()) // there is no other
+	is.True(start().joined()) // there is no other node
 	n := start("10.0.0.2:1")
 	is.True(!n.joined())
 	list(n, "other")
-	is.True(!n.joined()) // it is not known to others
+	is.True(!n.joined()) // its registration is not listed yet
 	list(n, "other", "self")
-	is.True(!n.joined()) // and does not know what they have
+	is.True(!n.joined()) // it has not received a datagram of another node
 	n.started = time.Now().Add(-maxJoinTime - time.Second)
 	is.True(n.joined())
 	alone := start("10.0.0.2:1")
--- a/internal/process/hosted/registration.go
+++ b/internal/process/hosted/registration.go
@@ -20,17 +20,17 @@
 // kindNodes is the kind of objects under which nodes register themselves.
 const kindNodes = "marblepond-nodes"
 
-// nodeRecord is what a node registers.
+// nodeRecord is the registration of a node; it is stored as JSON.
 type nodeRecord struct {
 	Boot       int64  // Unix microseconds at process start
 	Address    string // IP:port of the services for other nodes
 	DataCentre string
-	Beacon     string // IP:port where it hears other nodes' datagrams
-	Callers    bool   // it serves callers and holds jobs
-	Lending    string `json:",omitempty"` // IP:port where it is asked for tokens of allowances
+	Beacon     string // IP:port where it receives other nodes' datagrams
+	Callers    bool   // whether it serves callers and holds jobs
+	Lending    string `json:",omitempty"` // IP:port where it receives requests to lend tokens of allowances
 }
 
-// decodeNode decodes a registration. One that can't be used is refused whole.
+// decodeNode decodes and validates a registration.
 func decodeNode(value []byte) (nodeRecord, error) {
 	var r nodeRecord
 	if err := json.Unmarshal(value, &r); err != nil {
@@ -40,7 +40,7 @@
 		return nodeRecord{}, err
 	}
 	if r.DataCentre == "" || r.Boot <= 0 {
-		return nodeRecord{}, errors.New("a registration without data centre or start")
+		return nodeRecord{}, errors.New("registration lacks a data centre or a start time")
 	}
 	return r, nil
 }
@@ -53,9 +53,10 @@
 	return nil
 }
 
-// nodesChanged takes the registrations of some nodes. Only these are decoded, and
-// addresses are resolved once for each list, if one has changed: 255 nodes that
-// start together hear of all others in a few.
+// nodesChanged updates the registrations of the nodes given. To limit the cost when many
+// nodes start together (255 nodes receive the registrations of all others in a few lists),
+// it decodes only these, and resolves addresses once for each list and only if the view of
+// the nodes has changed.
 func (n *Node) nodesChanged(changes []objects.Object) {
 	n.listMu.Lock()
 	defer n.listMu.Unlock()
@@ -63,7 +64,7 @@
 	if nodes == nil {
 		nodes = map[string]nodeRecord{}
 	}
-	viewChanged := false // a node is heard elsewhere, or is new or gone
+	viewChanged := false // a node is new or removed, or its record differs in more than Boot
 	for _, changed := range changes {
 		old, known := nodes[changed.Name]
 		delete(nodes, changed.Name)
@@ -91,7 +92,7 @@
 	}
 }
 
-// viewOf returns how this node sees the nodes that registered themselves.
+// viewOf returns the nodes to exchange datagrams with.
 func (n *Node) viewOf(nodes map[string]nodeRecord) *beacon.View {
 	var others []beacon.Peer
 	for name, r := range nodes {
@@ -111,7 +112,7 @@
 // registerRetryInterval is the time between attempts to register.
 const registerRetryInterval = 500 * time.Millisecond
 
-// register writes the node's own entry until the store has it.
+// register writes this node's registration to the object store and retries until it succeeds.
 func (n *Node) register(ctx context.Context) {
 	value, err := json.Marshal(nodeRecord{Boot: n.boot, Address: n.settings.PeerAdvertise, DataCentre: n.settings.DataCentre, Beacon: n.settings.BeaconListen,
 		Callers: n.settings.CallerListen != "", Lending: n.settings.LendingListen})
@@ -135,16 +136,17 @@
 }
 
 const (
-	// refreshDelayPerNode is the time for each node that is known, and showLongest the longest,
-	// within which a starting node has its registration seen. Of many that start at
-	// once the first ones ask the store, and the others are seen with them or with
-	// the next refresh of the list.
+	// A starting node refreshes the cached list of nodes after a random delay, so that other
+	// nodes learn its registration. The delay is at most refreshDelayPerNode for each known
+	// node, and at most maxRefreshDelay. When many nodes start at once, the first ones read
+	// the object store, and the registrations of the others come with these reads or with
+	// the next regular refresh.
 	refreshDelayPerNode = 16 * time.Millisecond
 	maxRefreshDelay     = nodeListMaxAge
 )
 
-// refreshNodeList has the copy of the list of nodes refreshed, which others then
-// fetch, unless it has this node's entry by then.
+// refreshNodeList refreshes the cached list of nodes, which other nodes then copy, unless the
+// list already has this node's registration.
 func (n *Node) refreshNodeList(ctx context.Context) {
 	pause := rand.N(min(maxRefreshDelay, time.Duration(1+len(n.registered()))*refreshDelayPerNode))
 	refreshForAll := n.settings.FirstStart && n.isSeed()
@@ -159,5 +161,5 @@
 	}
 }
 
-// anyRevision makes a write unconditional. Only the node itself writes its entry.
+// anyRevision makes an update unconditional. A registration has no other writer than its node.
 const anyRevision = 0
--- a/internal/process/hosted/reload.go
+++ b/internal/process/hosted/reload.go
@@ -10,13 +10,13 @@
 	"github.com/marblepond/marblepond/internal/process/timeline"
 )
 
-// settingsPollInterval is the time between looks whether the settings file changed;
-// it may change without a signal.
+// settingsPollInterval is the time between checks whether the settings file has changed; it
+// may change without a SIGHUP.
 const settingsPollInterval = 2 * time.Second
 
-// WatchSettings reads the settings file again at each hangup, and when it
-// changed, until ctx ends. Seeds are used at once; everything else needs a new
-// start, and a file with faults changes nothing.
+// WatchSettings reloads the settings file on each SIGHUP, received from hangups, and when
+// the file has changed, until ctx ends. Changed seeds take effect at once; any other change
+// needs a restart. An invalid file is ignored.
 func (n *Node) WatchSettings(ctx context.Context, path string, hangups <-chan os.Signal) {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
@@ -37,7 +37,7 @@
 	}
 }
 
-// modified returns when the file last changed, zero when that is not known.
+// modified returns when the file was last changed, zero if that is unknown.
 func modified(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -49,7 +49,7 @@
 func (n *Node) reload(path string) {
 	fresh, err := settings.Load(path)
 	if err != nil {
-		n.recorder.Record(timeline.NodeReloaded, "", path, "not used: "+err.Error())
+		n.recorder.Record(timeline.NodeReloaded, "", path, "settings not applied: "+err.Error())
 		return
 	}
 	n.seeds.Store(&fresh.Seeds)
--- a/internal/process/hosted/retirement.go
+++ b/internal/process/hosted/retirement.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// retirementGrace is how long the VM named has to answer itself before
-	// another storage VM answers for it.
+	// retirementGrace is how long a VM has to report its own status before other keepers
+	// report it.
 	retirementGrace = 2 * time.Second
-	// retirementRetryInterval is the time between attempts to write the answer.
+	// retirementRetryInterval is the time between attempts to write the status.
 	retirementRetryInterval = 300 * time.Millisecond
-	// retirementTimeout bounds the work for one retirement.
+	// retirementTimeout bounds the handling of one retirement.
 	retirementTimeout = 30 * time.Second
 )
 
-// handleRetirement answers that a VM is to be emptied. What a VM's disk holds is
-// only a copy, so that nothing has to be moved: the VM hands its jobs over and
-// is done. Another VM answers for one that is down.
+// handleRetirement handles the request to empty a VM. A VM's disk has only copies, so that no
+// data has to be moved: the VM hands its jobs over and reports that it is done. Other keepers
+// report it for a VM that is down.
 func (n *Node) handleRetirement(o objects.Object) {
 	if o.Deleted || n.settings.CallerListen != "" {
 		return
@@ -46,7 +46,7 @@
 			return
 		}
 		if !wait.For(ctx, retirementRetryInterval) {
-			n.recorder.Record(timeline.RetirementAsked, "", name, "not answered: "+err.Error())
+			n.recorder.Record(timeline.RetirementAsked, "", name, "status not written: "+err.Error())
 			return
 		}
 	}
--- a/internal/process/hosted/run.go
+++ b/internal/process/hosted/run.go
@@ -19,14 +19,16 @@
 	"github.com/marblepond/marblepond/internal/version/follow"
 )
 
-// Halt ends Run at once and hands nothing over, as a crash would; for tests.
+// Halt ends Run at once, without handing jobs over, to simulate a crash in tests.
 func (n *Node) Halt() { close(n.halted) }
 
-// memoryLimitShare is the share of the memory allowed that the garbage collector
-// keeps below; the rest is for stacks, buffers of the kernel and the program.
+// memoryLimitShare is the share of the allowed memory that is the soft memory limit of the
+// Go runtime. The rest is for memory that the runtime does not count, such as the program
+// and kernel buffers.
 const memoryLimitShare = 0.9
 
-// Run serves until ctx ends, then drains. A listen error is returned.
+// Run serves until ctx ends, then drains. It returns an error only if it cannot listen on
+// an address.
 func (n *Node) Run(ctx context.Context) error {
 	if n.settings.Memory > 0 {
 		debug.SetMemoryLimit(int64(float64(n.settings.Memory<<20) * memoryLimitShare))
@@ -89,7 +91,7 @@
 	return l, errors.Join(errs...)
 }
 
-// headerTimeout bounds how long a caller may take to send its header.
+// headerTimeout bounds the time in which a client has to send its request header.
 const headerTimeout = 5 * time.Second
 
 func (n *Node) createServers(metricsPage http.Handler) {
@@ -109,7 +111,8 @@
 	n.callers = newCallerServer(n.closeWhenLeaving(n.adapter.CallerHandler(n)))
 }
 
-// closeWhenLeaving tells callers of a leaving node to use their connection no more.
+// closeWhenLeaving makes callers close their connections after the response while the node
+// is leaving.
 func (n *Node) closeWhenLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n.Leaving() {
@@ -129,7 +132,7 @@
 		}
 		go func() {
 			if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
-				n.recorder.Record(timeline.NodeStopped, "", s.listener.Addr().String(), "no longer listens: "+err.Error())
+				n.recorder.Record(timeline.NodeStopped, "", s.listener.Addr().String(), "server stopped: "+err.Error())
 			}
 		}()
 	}
@@ -175,14 +178,16 @@
 	}
 }
 
-// tickInterval is the pace of duties that look at the clock.
+// tickInterval is the time between runs of periodic tasks.
 const tickInterval = 200 * time.Millisecond
 
-// removeLapsedTargets removes targets that lapsed while the store was away.
+// removeLapsedTargets removes targets that lapsed during an outage of the object store,
+// once the store's list of targets is trusted again.
 func (n *Node) removeLapsedTargets(ctx context.Context) {
 	every(ctx, tickInterval, n.pool.Settle)
 }
 
+// every calls f each d until ctx ends.
 func every(ctx context.Context, d time.Duration, f func()) {
 	ticker := time.NewTicker(d)
 	defer ticker.Stop()
@@ -196,6 +201,7 @@
 	}
 }
 
+// recordReady records once that the node knows its first configuration.
 func (n *Node) recordReady(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
