--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -1,6 +1,6 @@
-// Package errkind holds the closed list of error kinds and the one table from
-// a kind to its answer: HTTP status, connect code, whether anything was run,
-// and when to come back. Every error that leaves a node passes through it.
+// Package errkind defines the closed set of error kinds and the response to a caller for each
+// of them: HTTP status, connect code, whether the request ran, and when to retry. Every error
+// that a node returns to a caller is of one of these kinds.
 package errkind
 
 import (
@@ -11,29 +11,29 @@
 	"github.com/joomcode/errorx"
 )
 
-// NotRun says what a refusal promises about execution (brief: "A refusal that
-// says 'not run' is true").
+// NotRun is what an error response guarantees about the execution of the request. If it says
+// that the request did not run, that has to be true.
 type NotRun string
 
-// The three values a refusal can carry.
+// The values of NotRun.
 const (
-	NotRunTrue    NotRun = "true"    // nothing was sent to any target, and nothing will be
+	NotRunTrue    NotRun = "true"    // the request was not sent to any target and will not be
 	NotRunFalse   NotRun = "false"   // it ran
-	NotRunUnknown NotRun = "unknown" // it may have run and is not repeated
+	NotRunUnknown NotRun = "unknown" // it may have run and is not retried
 )
 
-// Response is a row of the table: what a caller receives for one kind of error.
+// Response is what a caller receives for one kind of error.
 type Response struct {
 	Name        string
 	HTTPStatus  int
 	ConnectCode connect.Code
 	NotRun      NotRun
-	RetryAfter  time.Duration // 0: coming back does not help
+	RetryAfter  time.Duration // 0: a retry does not help
 }
 
 var namespace = errorx.NewNamespace("marblepond")
 
-// The kinds. No other error type may reach a caller.
+// The kinds. No error of another type may reach a caller.
 var (
 	Malformed           = namespace.NewType("malformed")
 	Unauthenticated     = namespace.NewType("unauthenticated")
@@ -58,7 +58,7 @@
 	Internal            = namespace.NewType("internal")
 )
 
-var table = map[*errorx.Type]Response{
+var responses = map[*errorx.Type]Response{
 	Malformed:           {"malformed", 400, connect.CodeInvalidArgument, NotRunTrue, 0},
 	Unauthenticated:     {"unauthenticated", 401, connect.CodeUnauthenticated, NotRunTrue, 0},
 	NotFound:            {"not_found", 404, connect.CodeNotFound, NotRunTrue, 0},
@@ -76,8 +76,8 @@
 	StalePlan:           {"stale_plan", 409, connect.CodeFailedPrecondition, NotRunTrue, 0},
 	TargetFailed:        {"target_failed", 502, connect.CodeUnavailable, NotRunUnknown, time.Second},
 	UnknownOutcome:      {"unknown_outcome", 500, connect.CodeAborted, NotRunUnknown, 0},
-	// The targets fail, so it is a 500. It has run before, so it is no 503; and coming
-	// back does not help, so no time is named.
+	// The status is 500 because the targets fail, and not 503 because the request has run
+	// before. A retry does not help, so there is no Retry-After.
 	CrashesTargets:   {"crashes_targets", 500, connect.CodeAborted, NotRunUnknown, 0},
 	DeadlineExceeded: {"deadline_exceeded", 504, connect.CodeDeadlineExceeded, NotRunUnknown, time.Second},
 	Cancelled:        {"cancelled", 409, connect.CodeCanceled, NotRunUnknown, 0},
@@ -86,29 +86,29 @@
 
 var propertyRetryAfter = errorx.RegisterProperty("retry_after")
 
-// WithRetryAfter replaces the kind's usual time to come back.
+// WithRetryAfter overrides the default retry time of the kind.
 func WithRetryAfter(err *errorx.Error, d time.Duration) *errorx.Error {
 	return err.WithProperty(propertyRetryAfter, d)
 }
 
-// Of returns the table row for err. An error of no known kind is Internal.
+// Of returns the response for err. An error of no known kind is Internal.
 func Of(err error) Response {
-	answer := table[typeOf(err)]
+	response := responses[kindOf(err)]
 	var ex *errorx.Error
 	if errors.As(err, &ex) {
 		if d, ok := ex.Property(propertyRetryAfter); ok {
-			answer.RetryAfter = d.(time.Duration)
+			response.RetryAfter = d.(time.Duration)
 		}
 	}
-	return answer
+	return response
 }
 
-func typeOf(err error) *errorx.Type {
+func kindOf(err error) *errorx.Type {
 	var ex *errorx.Error
 	if !errors.As(err, &ex) {
 		return Internal
 	}
-	for t := range table {
+	for t := range responses {
 		if ex.IsOfType(t) {
 			return t
 		}
@@ -116,22 +116,23 @@
 	return Internal
 }
 
-// Is reports whether err is of kind t.
+// Is reports whether err is of kind t. Errors of no known kind are Internal.
 func Is(err error, t *errorx.Type) bool {
-	return err != nil && typeOf(err) == t
+	return err != nil && kindOf(err) == t
 }
 
-// ByName returns the type with the given name; unknown names give Internal.
+// ByName returns the kind with the given name, Internal if there is none.
 func ByName(name string) *errorx.Type {
-	for t, answer := range table {
-		if answer.Name == name {
+	for t, response := range responses {
+		if response.Name == name {
 			return t
 		}
 	}
 	return Internal
 }
 
-// Message returns the text a caller may see.
+// Message returns the text of err that a caller may see: errors of other packages may contain
+// internal details and are replaced.
 func Message(err error) string {
 	var ex *errorx.Error
 	if errors.As(err, &ex) {
@@ -140,11 +141,11 @@
 	return "internal error"
 }
 
-// ConnectError turns err into the connect error of its kind.
+// ConnectError converts err to the connect error of its kind.
 func ConnectError(err error) error {
 	if err == nil {
 		return nil
 	}
-	answer := Of(err)
-	return connect.NewError(answer.ConnectCode, errors.New(answer.Name+": "+Message(err)))
+	response := Of(err)
+	return connect.NewError(response.ConnectCode, errors.New(response.Name+": "+Message(err)))
 }
--- a/internal/errkind/errkind_test.go
+++ b/internal/errkind/errkind_test.go
@@ -11,17 +11,17 @@
 func TestTable(t *testing.T) {
 	is := is.New(t)
 	names := map[string]bool{}
-	for kind, row := range table {
+	for kind, row := range responses {
 		err := kind.New("text")
 		is.Equal(Of(err), row)
 		is.True(Is(err, kind))
 		is.Equal(ByName(row.Name), kind)
-		is.True(!names[row.Name]) // each name once
+		is.True(!names[row.Name]) // each name is unique
 		names[row.Name] = true
 		is.True(row.HTTPStatus >= 400)
 		is.True(row.NotRun == NotRunTrue || row.NotRun == NotRunUnknown)
 		if row.HTTPStatus == 429 || row.HTTPStatus == 503 {
-			is.True(row.RetryAfter > 0) // says when to come back
+			is.True(row.RetryAfter > 0) // says when to retry
 		}
 	}
 }
