--- a/internal/process/hosted/backlogs.go
+++ b/internal/process/hosted/backlogs.go
@@ -91,7 +91,8 @@
 	return b.reserveLocks[key]
 }
 
-// reserveOnce requests a reservation from the first reachable owner that has not failed.
+// reserveOnce requests a reservation from the first reachable owner that has not failed. If
+// there is none, this node decides.
 func (b *backlogs) reserveOnce(ctx context.Context, key backlog.Key, job, limit int64, failed map[string]bool) (owner string, answer *v1.ReserveResponse, err error) {
 	req := b.request(key, job, limit)
 	owners := lendingFleet{b.node}.Owners(ownerName(key), func(node string) bool { return failed[node] })
--- a/internal/process/hosted/changes.go
+++ b/internal/process/hosted/changes.go
@@ -86,8 +86,8 @@
 		n.gossip.Pulls.Put(r.Address)
 		return
 	}
-	if list := n.nodeRefresher.Load(); list != nil {
-		list.Kick() // the node has registered since the list was read
+	if refresher := n.nodeRefresher.Load(); refresher != nil {
+		refresher.Kick() // the node has registered since the list was read
 	}
 	n.gossip.Pulls.Put(n.anySeed())
 }
--- a/internal/process/hosted/crashes.go
+++ b/internal/process/hosted/crashes.go
@@ -29,13 +29,14 @@
 func (n *Node) quarantineClient(node string) (marblepondv1connect.QuarantineServiceClient, bool) {
 	r, registered := n.registered()[node]
 	if !registered {
-		return nil, false // its next datagrams are handled once the list of nodes contains it
+		return nil, false // a later datagram is handled once the list of nodes contains the node
 	}
 	return n.peers.crashes.at(r.Address), true
 }
 
-// kindVerdicts is the kind of objects that store the refusal of work, one for each
-// fingerprint, so that it outlives a restart of all nodes.
+// kindVerdicts is the kind of objects that store verdicts: decisions that work, which a
+// fingerprint identifies, is refused. There is one for each fingerprint. They let the refusal
+// outlive a restart of all nodes.
 const kindVerdicts = "marblepond-verdicts"
 
 // storedCrash is the JSON form of a crash in the object store. Its time is that of the
@@ -80,7 +81,7 @@
 const loadVerdictsRetryInterval = time.Second
 
 // loadVerdicts loads the stored verdicts once, when this node starts: if all nodes lost
-// power together, the object store is the only source of them.
+// power together, no other node has them.
 func (n *Node) loadVerdicts(ctx context.Context) {
 	if n.settings.FirstStart {
 		return // no node of the fleet ran before
