--- a/internal/connection/beacon/beacon.go
+++ b/internal/connection/beacon/beacon.go
@@ -65,12 +65,12 @@
 // received from a node, group or data centre before; nil removes it. They report
 // whether anything changed.
 type Loads interface {
-	// InFlight returns what this node has in flight, InFlightInGroup what all nodes
-	// of its group have, and InFlightHere what all nodes of its data centre have, as
+	// OwnInFlight returns what this node has in flight, GroupInFlight what all nodes
+	// of its group have, and DataCentreInFlight what all nodes of its data centre have, as
 	// far as this node knows.
-	InFlight() map[string]choose.InFlight
-	InFlightInGroup() map[string]choose.InFlight
-	InFlightHere() map[string]choose.InFlight
+	OwnInFlight() map[string]choose.InFlight
+	GroupInFlight() map[string]choose.InFlight
+	DataCentreInFlight() map[string]choose.InFlight
 	// Holders returns the other nodes, groups and data centres that have batch items
 	// at a target.
 	Holders(target string) choose.Holders
@@ -85,11 +85,11 @@
 // CacheFreshness holds how fresh this node's cached copy of each kind of objects is, and
 // compares it with that of other nodes.
 type CacheFreshness interface {
-	// AgeMarks returns the freshness mark of each kind.
-	AgeMarks() map[string]follow.Mark
-	// HeardMark takes the mark of another node, and reports whether this node's copy is
+	// FreshnessMarks returns the freshness mark of each kind.
+	FreshnessMarks() map[string]follow.FreshnessMark
+	// ReceiveMark takes the mark of another node, and reports whether this node's copy is
 	// older.
-	HeardMark(kind string, m follow.Mark) (behind bool)
+	ReceiveMark(kind string, m follow.FreshnessMark) (behind bool)
 }
 
 // BatchReport states the batch work of a node, a group or a data centre.
--- a/internal/connection/beacon/beacon_test.go
+++ b/internal/connection/beacon/beacon_test.go
@@ -43,20 +43,20 @@
 		health: objects.NewHealth(time.Now, func(bool, time.Duration) {})}
 }
 
-func (f *fakeState) InFlight() map[string]choose.InFlight {
+func (f *fakeState) OwnInFlight() map[string]choose.InFlight {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.own)
 }
 
-func (f *fakeState) InFlightInGroup() map[string]choose.InFlight {
+func (f *fakeState) GroupInFlight() map[string]choose.InFlight {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return sumOf(append(slices.Collect(maps.Values(f.nodes)), f.own)...)
 }
 
-func (f *fakeState) InFlightHere() map[string]choose.InFlight {
-	here := f.InFlightInGroup()
+func (f *fakeState) DataCentreInFlight() map[string]choose.InFlight {
+	here := f.GroupInFlight()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return sumOf(append(slices.Collect(maps.Values(f.groups)), here)...)
@@ -154,8 +154,8 @@
 // noCache has no freshness marks.
 type noCache struct{}
 
-func (noCache) AgeMarks() map[string]follow.Mark   { return nil }
-func (noCache) HeardMark(string, follow.Mark) bool { return false }
+func (noCache) FreshnessMarks() map[string]follow.FreshnessMark { return nil }
+func (noCache) ReceiveMark(string, follow.FreshnessMark) bool   { return false }
 
 func (f *fakeState) received(name string) map[string]choose.InFlight {
 	f.mu.Lock()
--- a/internal/connection/beacon/groups_test.go
+++ b/internal/connection/beacon/groups_test.go
@@ -52,7 +52,7 @@
 func (c *localCentre) onlineSeenBy(left []int) []int {
 	var out []int
 	for _, i := range left {
-		out = append(out, c.states[i].InFlightHere()["t"].Online)
+		out = append(out, c.states[i].DataCentreInFlight()["t"].Online)
 	}
 	return out
 }
@@ -193,12 +193,12 @@
 	m := other.groupReport()
 	is.True(x.isNewer(m))
 	x.apply(m)
-	is.Equal(state.InFlightHere()["t"].Online, 1)
+	is.Equal(state.DataCentreInFlight()["t"].Online, 1)
 	is.True(x.reachable("other")) // but its sender is reachable
 	m = other.nodeReport()
 	is.True(x.isNewer(m))
 	x.apply(m)
-	is.Equal(state.InFlightHere()["t"].Online, 1)
+	is.Equal(state.DataCentreInFlight()["t"].Online, 1)
 	time.Sleep(time.Millisecond)
 	is.True(!x.isNewer(m)) // a repeated datagram is not newer
 }
--- a/internal/connection/beacon/receive.go
+++ b/internal/connection/beacon/receive.go
@@ -66,7 +66,7 @@
 	}
 	behind := false
 	for kind, mark := range follow.UnpackMarks(m.Marks) {
-		behind = x.Cache.HeardMark(kind, mark) || behind
+		behind = x.Cache.ReceiveMark(kind, mark) || behind
 	}
 	if behind {
 		x.OnBehind(m.Node)
--- a/internal/connection/beacon/send.go
+++ b/internal/connection/beacon/send.go
@@ -69,19 +69,19 @@
 
 // nodeReport returns the report on this node.
 func (x *Exchange) nodeReport() *v1.Beacon {
-	return x.compose(v1.Scope_SCOPE_NODE, x.Loads.InFlight(), x.Batch.OfNode())
+	return x.compose(v1.Scope_SCOPE_NODE, x.Loads.OwnInFlight(), x.Batch.OfNode())
 }
 
 // groupReport returns the report on this node's group.
 func (x *Exchange) groupReport() *v1.Beacon {
-	m := x.compose(v1.Scope_SCOPE_GROUP, x.Loads.InFlightInGroup(), x.Batch.OfGroup())
+	m := x.compose(v1.Scope_SCOPE_GROUP, x.Loads.GroupInFlight(), x.Batch.OfGroup())
 	m.Members = x.members(func(state nodeState) bool { return state.group == x.View().group })
 	return m
 }
 
 // dataCentreReport returns the report on this node's data centre.
 func (x *Exchange) dataCentreReport() *v1.Beacon {
-	m := x.compose(v1.Scope_SCOPE_DATA_CENTRE, x.Loads.InFlightHere(), x.Batch.OfDataCentre())
+	m := x.compose(v1.Scope_SCOPE_DATA_CENTRE, x.Loads.DataCentreInFlight(), x.Batch.OfDataCentre())
 	m.Members = x.members(func(state nodeState) bool { return len(state.jobs) > 0 })
 	return m
 }
@@ -96,7 +96,7 @@
 	for id, n := range inFlight {
 		message.Targets = append(message.Targets, &v1.TargetCounts{Target: id, Online: uint32(n.Online), Batch: uint32(n.Batch), Apart: uint32(n.Apart)})
 	}
-	message.Marks = follow.PackMarks(x.Cache.AgeMarks())
+	message.Marks = follow.PackMarks(x.Cache.FreshnessMarks())
 	return message
 }
 
--- a/internal/process/hosted/batchwork.go
+++ b/internal/process/hosted/batchwork.go
@@ -45,7 +45,7 @@
 
 func (w *batchWork) claimHere() choose.Claim {
 	demand := total(w.claimsOfGroups())
-	room := w.node.pool.BatchRoom(w.node.settings.DataCentre)
+	room := w.node.pool.BatchCapacity(w.node.settings.DataCentre)
 	return choose.Claim{Demand: demand, Overflow: max(0, demand-room)}
 }
 
--- a/internal/process/hosted/changes.go
+++ b/internal/process/hosted/changes.go
@@ -27,11 +27,11 @@
 	}
 }
 
-// MakeRoom implements discovery.Displacer.
-func (n *Node) MakeRoom(target string) { n.jobs.PreemptItemAt(target) }
+// PreemptItem implements discovery.Preemptor.
+func (n *Node) PreemptItem(target string) { n.jobs.PreemptItemAt(target) }
 
-// TellHolders implements discovery.Displacer.
-func (n *Node) TellHolders(target string) { n.beacon.NotifyHolders(target) }
+// NotifyHolders implements discovery.Preemptor.
+func (n *Node) NotifyHolders(target string) { n.beacon.NotifyHolders(target) }
 
 // yield stops batch items where online requests need the room.
 func (n *Node) yield(ctx context.Context) {
@@ -81,13 +81,13 @@
 // behind asks a node that was heard to know more.
 func (n *Node) behind(node string) {
 	if r, ok := n.registered()[node]; ok {
-		n.gossip.Pulls.Put(r.Address)
+		n.gossip.PullQueue.Put(r.Address)
 		return
 	}
 	if list := n.nodeList.Load(); list != nil {
-		list.Kick() // it has registered since the list was read
+		list.Trigger() // it has registered since the list was read
 	}
-	n.gossip.Pulls.Put(n.anySeed())
+	n.gossip.PullQueue.Put(n.anySeed())
 }
 
 func (n *Node) configChanged(o objects.Object, from follow.Source) {
--- a/internal/process/hosted/crashes.go
+++ b/internal/process/hosted/crashes.go
@@ -21,7 +21,7 @@
 
 func (n *Node) newCrashWatch() *crashes.Watch {
 	s := n.settings
-	return crashes.New(crashes.Options{Config: quarantine.Config{Limit: s.CrashLimit, Retention: s.CrashMemory}, Now: n.clock.Now, Probe: dial.Probe, Serving: n.pool.Serving, Leaving: n.pool.Leaving,
+	return crashes.New(crashes.Options{Config: quarantine.Config{Limit: s.CrashLimit, Retention: s.CrashMemory}, Now: n.clock.Now, Probe: dial.Probe, Serving: n.pool.TargetCount, Leaving: n.pool.Leaving,
 		Client: n.crashesOf, OnChange: func() { n.beacon.NotifyChange() }, Store: verdictKeeper{n}, Recorder: n.recorder, Metrics: n.metrics})
 }
 
--- a/internal/process/hosted/evacuation.go
+++ b/internal/process/hosted/evacuation.go
@@ -18,7 +18,7 @@
 	for _, o := range n.cache.List(n.adapter.Kinds.Evacuations) {
 		evacuated = append(evacuated, o.Name)
 	}
-	n.pool.Evacuate(evacuated)
+	n.pool.SetEvacuated(evacuated)
 	for _, o := range news {
 		code := timeline.DataCentreReturned
 		if slices.Contains(evacuated, o.Name) {
@@ -31,7 +31,7 @@
 
 // knowsEvacuations reports whether this node knows which data centres are evacuated.
 func (n *Node) knowsEvacuations() bool {
-	return n.settings.EvacuatedWithin == 0 || n.cache.Complete(n.adapter.Kinds.Evacuations) > 0
+	return n.settings.EvacuatedWithin == 0 || n.cache.CompleteRevision(n.adapter.Kinds.Evacuations) > 0
 }
 
 // warmUp returns how targets of a service warm up.
--- a/internal/process/hosted/following.go
+++ b/internal/process/hosted/following.go
@@ -63,7 +63,7 @@
 // it there from then on.
 func (n *Node) keepSnapshot(ctx context.Context, wg *sync.WaitGroup) {
 	failed := func(err error) { n.recorder.Record(timeline.SnapshotFailed, "", n.settings.DataDir, err.Error()) }
-	s := &follow.Snapshot{Dir: n.settings.DataDir, Cache: n.cache, Failed: failed,
+	s := &follow.Snapshot{Dir: n.settings.DataDir, Cache: n.cache, OnError: failed,
 		Kinds: []string{n.adapter.Kinds.Config, n.adapter.Kinds.Targets, n.adapter.Kinds.Evacuations, kindNodes}}
 	if err := s.Load(n); err != nil {
 		failed(err)
@@ -123,7 +123,7 @@
 	if n.settings.EvacuatedWithin > 0 {
 		kinds = append(kinds, n.adapter.Kinds.Evacuations)
 	}
-	n.gossip.Greet(ctx, *n.seeds.Load(), kinds...)
+	n.gossip.FetchFromSeeds(ctx, *n.seeds.Load(), kinds...)
 }
 
 // anySeed returns the address of a seed other than this node, "" when there is
--- a/internal/process/hosted/hosted.go
+++ b/internal/process/hosted/hosted.go
@@ -134,7 +134,7 @@
 	n.peers = newPeers(s)
 	n.cache = follow.NewCache(n.clock.Now, adapter.Kinds.Config, adapter.Kinds.Targets, adapter.Kinds.Retirements, adapter.Kinds.Evacuations, kindNodes, job.KindEnds)
 	n.pool = discovery.New(choose.Config{EjectAfter: s.EjectAfter, EjectTime: s.EjectTime, Policy: choose.LeastOfFew, Node: s.NodeID, LocalDataCentre: s.DataCentre, Seed: uint64(n.boot) ^ xxhash.Sum64String(s.NodeID), WarmUp: n.warmUp},
-		time.Now, func() bool { return n.cache.Doubtful(adapter.Kinds.Targets) }, n.targetChanged)
+		time.Now, func() bool { return n.cache.DeletionsUncertain(adapter.Kinds.Targets) }, n.targetChanged)
 	n.crashes = n.newCrashWatch()
 	n.lending = n.newLending()
 	n.backlogs = newBacklogs(n)
@@ -150,11 +150,11 @@
 		View: n.view.Load, OnBehind: n.behind, OnUnreachable: func(string) { n.jobs.TriggerSweep() },
 		OnReachable: func(node string) { n.recorder.Record(timeline.NodeHeard, "", node, "") }})
 	n.cache.OnVerified(n.beacon.NotifyChange)
-	n.pool.OnLoad(n.ownLoadChanged, n.othersLoadChanged)
-	n.pool.SetDisplacer(n)
+	n.pool.OnInFlightChange(n.ownLoadChanged, n.othersLoadChanged)
+	n.pool.SetPreemptor(n)
 	n.pool.SetJoined(n.joined)
 	n.gossip = &follow.Gossip{Node: s.NodeID, Cache: n.cache, Listener: n, Peers: n.peerAddresses,
-		Client: n.peers.sync.at, GreetClient: n.peers.greet.at, Interval: s.GossipInterval, Alone: func() bool { return len(n.beacon.ReachableNodes()) == 0 }, Pulls: follow.NewPulls()}
+		Client: n.peers.sync.at, SeedClient: n.peers.greet.at, Interval: s.GossipInterval, Isolated: func() bool { return len(n.beacon.ReachableNodes()) == 0 }, PullQueue: follow.NewPullQueue()}
 	n.listenHandlers(parts.MetricsPage)
 	return n
 }
@@ -189,7 +189,7 @@
 // Ready reports whether the node can take new connections: it knows a
 // configuration, the targets and which of them are evacuated.
 func (n *Node) Ready() bool {
-	return !n.Leaving() && n.Table() != nil && n.cache.Complete(n.adapter.Kinds.Targets) > 0 && n.knowsEvacuations()
+	return !n.Leaving() && n.Table() != nil && n.cache.CompleteRevision(n.adapter.Kinds.Targets) > 0 && n.knowsEvacuations()
 }
 
 // storeTook returns how long the object store takes to answer, 0 while that is
--- a/internal/process/hosted/log.go
+++ b/internal/process/hosted/log.go
@@ -38,7 +38,7 @@
 
 // inFlightAt returns how many requests and items of this node are at a target.
 func (n *Node) inFlightAt(t choose.Target) int {
-	here := n.pool.InFlight()[t.ID]
+	here := n.pool.OwnInFlight()[t.ID]
 	return here.Online + here.Batch
 }
 
--- a/internal/process/hosted/registration.go
+++ b/internal/process/hosted/registration.go
@@ -86,7 +86,7 @@
 	n.nodes.Store(&nodes)
 	if moved {
 		n.view.Store(n.viewOf(nodes))
-		n.pool.SetShare(n.shareOf(nodes))
+		n.pool.SetPosition(n.shareOf(nodes))
 		n.lenders.Store(n.lendersOf(nodes))
 	}
 }
@@ -155,7 +155,7 @@
 		pause = firstGreeting + rand.N(showLongest)
 	}
 	if wait.For(ctx, pause) && (forAll || n.registered()[n.settings.NodeID].Boot != n.boot) {
-		n.nodeList.Load().Kick()
+		n.nodeList.Load().Trigger()
 	}
 }
 
--- a/internal/process/hosted/run.go
+++ b/internal/process/hosted/run.go
@@ -148,7 +148,7 @@
 	for kind, age := range n.followed() {
 		r := follow.NewRefresher(kind)
 		r.Store, r.Cache, r.Listener, r.MaxAge = n.adapter.Store, n.cache, n, age
-		r.Self, r.DataCentre, r.Near, r.Centres = n.settings.NodeID, n.settings.DataCentre, n.followers(kind), n.beacon.ReachableDataCentres
+		r.Self, r.DataCentre, r.PeersInDataCentre, r.OtherDataCentres = n.settings.NodeID, n.settings.DataCentre, n.followers(kind), n.beacon.ReachableDataCentres
 		if kind == kindNodes {
 			n.nodeList.Store(r)
 		}
@@ -180,7 +180,7 @@
 
 // settle removes targets that lapsed while the store was away.
 func (n *Node) settle(ctx context.Context) {
-	every(ctx, tick, n.pool.Settle)
+	every(ctx, tick, n.pool.RemoveLapsed)
 }
 
 func every(ctx context.Context, d time.Duration, f func()) {
--- a/internal/process/node/crashes.go
+++ b/internal/process/node/crashes.go
@@ -14,7 +14,7 @@
 func (n *Node) newCrashWatch(client *http.Client) *crashes.Watch {
 	s := n.settings
 	return crashes.New(crashes.Options{Config: quarantine.Config{Limit: s.CrashLimit, Retention: s.CrashMemory}, Now: n.clock.Now,
-		Serving: n.targets.Serving, Leaving: n.targets.Leaving, OnChange: func() {}, // the next heartbeat tells it
+		Serving: n.targets.TargetCount, Leaving: n.targets.Leaving, OnChange: func() {}, // the next heartbeat tells it
 		Client: func(node string) (marblepondv1connect.QuarantineServiceClient, bool) {
 			address := peerAddress(n.membership.View(), node)
 			return marblepondv1connect.NewQuarantineServiceClient(client, "http://"+address, peer.ClientOptions(s.PeerKey)...), address != ""
--- a/internal/request/batch/line.go
+++ b/internal/request/batch/line.go
@@ -54,7 +54,7 @@
 	if rest, ok := strings.CutPrefix(l.URL, servicesPrefix); ok {
 		name, _, _ := strings.Cut(rest, "/")
 		s := config.Services[name]
-		if s == nil || s.Kind != fleet.KindPlain || !w.May(name) {
+		if s == nil || s.Kind != fleet.KindPlain || !w.MayUse(name) {
 			return nil, "", errkind.NotFound.New("no service %q", name)
 		}
 		return s, "", nil
--- a/internal/request/forward/attempt.go
+++ b/internal/request/forward/attempt.go
@@ -22,12 +22,12 @@
 	defer cancel(nil)
 	need := f.need(req, p)
 	need.Exclude = maps.Clone(need.Exclude) // the watchdog reads it from a timer's goroutine
-	better := func() bool { return f.Targets.Better(t.ID, need, gapTimeout(req.Route)) }
+	better := func() bool { return f.Targets.BetterElsewhere(t.ID, need, gapTimeout(req.Route)) }
 	watch := newWatchdog(req.Route, p.ran, better, cancel)
 	defer watch.stop()
 	liveness := &target.Liveness{}
 	defer liveness.Stop()
-	defer f.Targets.WhenGone(t, func() {
+	defer f.Targets.OnRestart(t, func() {
 		if !f.Quarantine.EndedBefore(t) {
 			liveness.Replaced(gapTimeout(req.Route), func() { cancel(errRestarted) })
 		}
@@ -56,7 +56,7 @@
 		event, err := answer.Stream.Next()
 		if errors.Is(err, io.EOF) {
 			f.Quarantine.Completed(&req.Work)
-			f.Targets.Occupied(req.Service, f.Now().Sub(sent))
+			f.Targets.RecordSlotTime(req.Service, f.Now().Sub(sent))
 			f.Log.Answered(req, t, AnswerSummary{Status: answer.Status, Events: p.events, FirstEvent: p.firstEvent, LongestGap: p.longestGap})
 			return f.endStream(caller)
 		}
@@ -65,9 +65,9 @@
 		}
 		liveness.Brought()
 		watch.eventReceived()
-		f.Targets.Heard(t)
+		f.Targets.RecordEvent(t)
 		if first {
-			f.Targets.FirstEvent(t, f.Now().Sub(sent))
+			f.Targets.RecordFirstEvent(t, f.Now().Sub(sent))
 			first = false
 		}
 		if err := f.forwardEvent(req, event, caller, p); err != nil {
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -55,14 +55,14 @@
 	return choose.Target{}, false
 }
 
-func (f *fakeTargets) Better(string, choose.Need, time.Duration) bool {
+func (f *fakeTargets) BetterElsewhere(string, choose.Need, time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.betterCalls++
 	return f.better
 }
 
-func (f *fakeTargets) RoomExpected(string) bool { return f.hasItems }
+func (f *fakeTargets) MayHaveItems(string) bool { return f.hasItems }
 func (f *fakeTargets) AllEvacuated(string) bool { return f.evacuated }
 
 func (f *fakeTargets) End(t choose.Target, _ choose.Outcome) {
@@ -78,14 +78,14 @@
 	return f.inFlight[id]
 }
 
-func (f *fakeTargets) FirstEvent(choose.Target, time.Duration) {}
-func (f *fakeTargets) Occupied(string, time.Duration)          {}
-func (f *fakeTargets) Heard(choose.Target)                     {}
-func (f *fakeTargets) Saturated(choose.Target)                 {}
-func (f *fakeTargets) Leave(choose.Target, string)             {}
+func (f *fakeTargets) RecordFirstEvent(choose.Target, time.Duration) {}
+func (f *fakeTargets) RecordSlotTime(string, time.Duration)          {}
+func (f *fakeTargets) RecordEvent(choose.Target)                     {}
+func (f *fakeTargets) MarkSaturated(choose.Target)                   {}
+func (f *fakeTargets) MarkLeaving(choose.Target, string)             {}
 
-// WhenGone reports a restart of a target after the time set for it in restartAfter.
-func (f *fakeTargets) WhenGone(t choose.Target, ended func()) func() {
+// OnRestart reports a restart of a target after the time set for it in restartAfter.
+func (f *fakeTargets) OnRestart(t choose.Target, ended func()) func() {
 	after, set := f.restartAfter[t.ID]
 	if !set {
 		return func() {}
--- a/internal/request/forward/judge.go
+++ b/internal/request/forward/judge.go
@@ -83,14 +83,14 @@
 		f.Quarantine.Lost(&req.Work, t)
 		f.Quarantine.Ended(t, quarantine.Restarted)
 	case failure.End == target.WrongInstance:
-		f.Targets.Leave(t, string(quarantine.AnotherAtAddress))
+		f.Targets.MarkLeaving(t, string(quarantine.AnotherAtAddress))
 		f.Quarantine.Ended(t, quarantine.AnotherAtAddress)
 	case failure.Refused():
 		f.Quarantine.Ended(t, quarantine.RefusesConnections)
 	case failure.ConnectionLost:
 		f.Quarantine.Lost(&req.Work, t)
 	case failure.Saturated:
-		f.Targets.Saturated(t)
+		f.Targets.MarkSaturated(t)
 	}
 }
 
--- a/internal/request/forward/parts.go
+++ b/internal/request/forward/parts.go
@@ -24,27 +24,27 @@
 // Targets is the part of the table of targets that the forwarder uses.
 type Targets interface {
 	Choose(need choose.Need) (choose.Target, bool)
-	// RoomExpected reports whether batch items run, or may run, at targets of a service.
+	// MayHaveItems reports whether batch items run, or may run, at targets of a service.
 	// They yield their slots to online requests.
-	RoomExpected(service string) bool
+	MayHaveItems(service string) bool
 	// AllEvacuated reports whether all targets of a service are in data centres that
 	// operators have evacuated.
 	AllEvacuated(service string) bool
-	// Better reports whether a request that waits for an event of a target would get it
+	// BetterElsewhere reports whether a request that waits for an event of a target would get it
 	// sooner from another target. A target that sent anything within the time heard is
 	// responsive, and requests queued there will be served.
-	Better(id string, need choose.Need, heard time.Duration) bool
-	// Heard records that an event of a target was received.
-	Heard(t choose.Target)
+	BetterElsewhere(id string, need choose.Need, heard time.Duration) bool
+	// RecordEvent records that an event of a target was received.
+	RecordEvent(t choose.Target)
 	End(t choose.Target, outcome choose.Outcome)
-	FirstEvent(t choose.Target, took time.Duration)
-	// WhenGone calls ended once a target is known to have restarted; stop cancels that.
+	RecordFirstEvent(t choose.Target, took time.Duration)
+	// OnRestart calls ended once a target is known to have restarted; stop cancels that.
 	// Attempts sent before the restart are lost, later ones are not.
-	WhenGone(t choose.Target, ended func()) (stop func())
-	// Occupied records how long a completely answered request occupied a slot.
-	Occupied(service string, took time.Duration)
-	Saturated(t choose.Target)
-	Leave(t choose.Target, why string)
+	OnRestart(t choose.Target, ended func()) (stop func())
+	// RecordSlotTime records how long a completely answered request occupied a slot.
+	RecordSlotTime(service string, took time.Duration)
+	MarkSaturated(t choose.Target)
+	MarkLeaving(t choose.Target, why string)
 }
 
 // Quarantine refuses work that crashes the targets that run it. Its calls cost almost
--- a/internal/request/forward/place.go
+++ b/internal/request/forward/place.go
@@ -51,7 +51,7 @@
 	case waited < time.Duration(capacityWaitShare*float64(req.Route.Objective)):
 		return true
 	}
-	return p.ran == 0 && waited < req.Route.Objective && f.Targets.RoomExpected(req.Service)
+	return p.ran == 0 && waited < req.Route.Objective && f.Targets.MayHaveItems(req.Service)
 }
 
 // evacuated reports whether a request is refused at once because all data centres with
--- a/internal/request/job/manager.go
+++ b/internal/request/job/manager.go
@@ -37,17 +37,17 @@
 	// target.
 	Excess() map[string]int
 	// Yielding counts an item at a target that was stopped for an online request.
-	Yielding(t choose.Target)
-	// RefusedItem records that a target refused an item because it was full.
-	RefusedItem(t choose.Target)
-	// Leave stops new requests to a target.
-	Leave(t choose.Target, why string)
+	MarkYielding(t choose.Target)
+	// MarkItemRefused records that a target refused an item because it was full.
+	MarkItemRefused(t choose.Target)
+	// MarkLeaving stops new requests to a target.
+	MarkLeaving(t choose.Target, why string)
 	// Evacuated reports whether a target is in a data centre that is evacuated.
 	Evacuated(t choose.Target) bool
-	// WhenGone registers a function that is called when a target is known to have
+	// OnRestart registers a function that is called when a target is known to have
 	// restarted; stop unregisters it. What ran there before the restart is lost, what was
 	// sent since is not.
-	WhenGone(t choose.Target, ended func()) (stop func())
+	OnRestart(t choose.Target, ended func()) (stop func())
 }
 
 // Backlogs limits the tokens of waiting items over all nodes.
--- a/internal/request/job/manager_test.go
+++ b/internal/request/job/manager_test.go
@@ -98,12 +98,12 @@
 
 func (noPool) ChooseBatch(choose.Need) (choose.Target, bool) { return choose.Target{}, false }
 func (noPool) EndBatch(choose.Target, choose.Outcome, bool)  {}
-func (noPool) Yielding(choose.Target)                        {}
+func (noPool) MarkYielding(choose.Target)                    {}
 func (noPool) Evacuated(choose.Target) bool                  { return false }
 func (noPool) Excess() map[string]int                        { return nil }
-func (noPool) RefusedItem(choose.Target)                     {}
-func (noPool) Leave(choose.Target, string)                   {}
-func (noPool) WhenGone(choose.Target, func()) func()         { return func() {} }
+func (noPool) MarkItemRefused(choose.Target)                 {}
+func (noPool) MarkLeaving(choose.Target, string)             {}
+func (noPool) OnRestart(choose.Target, func()) func()        { return func() {} }
 
 // noQuarantine quarantines no work.
 type noQuarantine struct{}
--- a/internal/request/job/room.go
+++ b/internal/request/job/room.go
@@ -47,7 +47,7 @@
 		if !stop(errPreempted) {
 			continue // the attempt has already ended for another reason
 		}
-		m.Pool.Yielding(h.progress.items[item.Index].target)
+		m.Pool.MarkYielding(h.progress.items[item.Index].target)
 		m.Metrics.Counter("items_yielded").Inc(1)
 		m.Recorder.Record(timeline.BatchYielded, h.items[item.Index].ID, id, "online requests fill the target")
 	}
--- a/internal/request/job/room_test.go
+++ b/internal/request/job/room_test.go
@@ -37,9 +37,9 @@
 	return t, ok
 }
 
-func (p *slowPool) Yielding(t choose.Target) {
+func (p *slowPool) MarkYielding(t choose.Target) {
 	time.Sleep(p.yielding)
-	p.Pool.Yielding(t)
+	p.Pool.MarkYielding(t)
 }
 
 func (p *slowPool) EndBatch(t choose.Target, outcome choose.Outcome, yielded bool) {
--- a/internal/request/job/run.go
+++ b/internal/request/job/run.go
@@ -158,7 +158,7 @@
 // sendItem sends one item if a target has a free slot. The caller holds m.mu.
 func (m *Manager) sendItem(ctx context.Context, h *heldJob, item schedule.Item, now time.Time, r *route.Route, allotment func(choose.Target) int, full map[string]bool) {
 	i := item.Index
-	service := r.Service(rand.Float64())
+	service := r.PickService(rand.Float64())
 	if full[service] {
 		return
 	}
@@ -190,7 +190,7 @@
 	defer cancel(nil)
 	liveness := &target.Liveness{}
 	defer liveness.Stop()
-	defer m.Pool.WhenGone(t, func() {
+	defer m.Pool.OnRestart(t, func() {
 		if !m.Quarantine.EndedBefore(t) {
 			liveness.Replaced(replacedStallTimeout, func() { cancel(errReplaced) })
 		}
@@ -334,11 +334,11 @@
 func (m *Manager) handleRefusal(t choose.Target, failure *target.Error) {
 	switch {
 	case failure.End == target.WrongInstance:
-		m.Pool.Leave(t, string(quarantine.AnotherAtAddress))
+		m.Pool.MarkLeaving(t, string(quarantine.AnotherAtAddress))
 		m.Quarantine.Ended(t, quarantine.AnotherAtAddress)
 	case failure.Refused():
 		m.Quarantine.Ended(t, quarantine.RefusesConnections)
 	case failure.Saturated:
-		m.Pool.RefusedItem(t)
+		m.Pool.MarkItemRefused(t)
 	}
 }
--- a/internal/request/run/run.go
+++ b/internal/request/run/run.go
@@ -258,7 +258,7 @@
 	case err == nil:
 		r.quarantine.Completed(req.Work)
 	case errors.Is(err, engine.ErrLinkLost):
-		if process, known := r.targets.Process(target); known {
+		if process, known := r.targets.WithProcessStart(target); known {
 			process.Sent = target.Sent
 			r.quarantine.Lost(req.Work, process)
 		}
@@ -345,7 +345,7 @@
 	}
 	err := r.attempt(ctx, req, target, nil, a)
 	r.reportOutcome(req, target, err)
-	r.targets.Judge(target.ID, OutcomeOf(err))
+	r.targets.RecordOutcome(target.ID, OutcomeOf(err))
 	return err
 }
 
@@ -391,6 +391,6 @@
 	}
 	answer, err := r.plainAttempt(ctx, req, target)
 	r.reportOutcome(req, target, err)
-	r.targets.Judge(target.ID, OutcomeOf(err))
+	r.targets.RecordOutcome(target.ID, OutcomeOf(err))
 	return answer, err
 }
--- a/internal/request/serve/plain.go
+++ b/internal/request/serve/plain.go
@@ -22,7 +22,7 @@
 func (s *Server) servePlain(w http.ResponseWriter, r *http.Request, c *session) error {
 	name := r.PathValue("name")
 	service := c.config.Services[name]
-	if service == nil || service.Kind != fleet.KindPlain || !c.workspace.May(name) {
+	if service == nil || service.Kind != fleet.KindPlain || !c.workspace.MayUse(name) {
 		return errkind.NotFound.New("no service %q", name)
 	}
 	body, err := s.body(r)
--- a/internal/request/serve/serve.go
+++ b/internal/request/serve/serve.go
@@ -205,7 +205,7 @@
 // admitLocally checks a request against this node's admission controller.
 func (s *Server) admitLocally(c *session, service *fleet.Service, loaded string, deadline time.Time) (release func(), preferRemote bool, err error) {
 	now := time.Now()
-	usable, capacity, inFlight, waiting := s.Targets.Supply(service.Name, loaded)
+	usable, capacity, inFlight, waiting := s.Targets.ServiceTotals(service.Name, loaded)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	request := admit.Request{Workspace: c.workspace, Service: service, Remaining: deadline.Sub(now)}
--- a/internal/version/discovery/discovery.go
+++ b/internal/version/discovery/discovery.go
@@ -34,17 +34,17 @@
 	onOwn   func()            // told each change of what this node has in flight
 	onHeard func()            // told each change of what others have in flight
 
-	displacer Displacer
+	displacer Preemptor
 	joined    func() bool
 }
 
-// Displacer makes room at full targets. Its methods must not block.
-type Displacer interface {
-	// MakeRoom stops one of this node's items at a target.
-	MakeRoom(target string)
-	// TellHolders lets others that have items at a target know at once that an
+// Preemptor makes room at full targets. Its methods must not block.
+type Preemptor interface {
+	// PreemptItem stops one of this node's items at a target.
+	PreemptItem(target string)
+	// NotifyHolders lets others that have items at a target know at once that an
 	// online request waits for a slot there.
-	TellHolders(target string)
+	NotifyHolders(target string)
 }
 
 // New returns an empty pool. doubtful reports whether the store has been in
@@ -54,20 +54,20 @@
 		records: map[string]Record{}, lapsed: map[string]Record{}, newest: map[string]uint64{}, running: map[string][]*run{}, onOwn: func() {}, onHeard: func() {}, joined: func() bool { return true }}
 }
 
-// OnLoad sets the functions that are told each change of what this node has in
+// OnInFlightChange sets the functions that are told each change of what this node has in
 // flight and of what it hears of others. They must not block.
-func (p *Pool) OnLoad(own, heard func()) { p.onOwn, p.onHeard = own, heard }
+func (p *Pool) OnInFlightChange(own, heard func()) { p.onOwn, p.onHeard = own, heard }
 
-// SetDisplacer sets what makes room; call it before the pool is used.
-func (p *Pool) SetDisplacer(d Displacer) { p.displacer = d }
+// SetPreemptor sets what makes room; call it before the pool is used.
+func (p *Pool) SetPreemptor(d Preemptor) { p.displacer = d }
 
 // SetJoined sets the function that reports whether this node and the others know of each
 // other; call it before the pool is used.
 func (p *Pool) SetJoined(joined func() bool) { p.joined = joined }
 
-// RoomExpected reports whether batch items of any node are at usable targets of a service,
+// MayHaveItems reports whether batch items of any node are at usable targets of a service,
 // or may be, as long as this node does not know what others have there.
-func (p *Pool) RoomExpected(service string) bool {
+func (p *Pool) MayHaveItems(service string) bool {
 	if !p.joined() {
 		return true
 	}
@@ -76,23 +76,23 @@
 	return p.table.HasItems(p.now(), service)
 }
 
-// InFlight returns what this node has in flight, by target.
-func (p *Pool) InFlight() map[string]choose.InFlight {
+// OwnInFlight returns what this node has in flight, by target.
+func (p *Pool) OwnInFlight() map[string]choose.InFlight {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.OwnInFlight()
 }
 
-// InFlightHere returns what all nodes of this data centre have in flight, by
+// DataCentreInFlight returns what all nodes of this data centre have in flight, by
 // target, as far as this one knows.
-func (p *Pool) InFlightHere() map[string]choose.InFlight {
+func (p *Pool) DataCentreInFlight() map[string]choose.InFlight {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.DataCentreInFlight()
 }
 
-// InFlightInGroup returns the same of this node's group.
-func (p *Pool) InFlightInGroup() map[string]choose.InFlight {
+// GroupInFlight returns the same of this node's group.
+func (p *Pool) GroupInFlight() map[string]choose.InFlight {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.GroupInFlight()
@@ -157,8 +157,8 @@
 	return p.table.Excess(p.now())
 }
 
-// Yielding notes that an item at a target was told to make room.
-func (p *Pool) Yielding(t choose.Target) {
+// MarkYielding notes that an item at a target was told to make room.
+func (p *Pool) MarkYielding(t choose.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.table.IsCurrent(t) {
@@ -166,9 +166,9 @@
 	}
 }
 
-// Leave stops new requests to a target that turned out to be leaving, or to be
+// MarkLeaving stops new requests to a target that turned out to be leaving, or to be
 // another one.
-func (p *Pool) Leave(t choose.Target, why string) {
+func (p *Pool) MarkLeaving(t choose.Target, why string) {
 	p.mu.Lock()
 	news := p.table.MarkLeaving(t.ID, t.Incarnation)
 	p.mu.Unlock()
@@ -184,8 +184,8 @@
 	return p.table.Leaving(t)
 }
 
-// Evacuate replaces the data centres whose targets get no work.
-func (p *Pool) Evacuate(dataCentres []string) {
+// SetEvacuated replaces the data centres whose targets get no work.
+func (p *Pool) SetEvacuated(dataCentres []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.SetEvacuated(p.now(), dataCentres)
@@ -206,8 +206,8 @@
 	return p.table.AllEvacuated(service)
 }
 
-// SetShare says which of the nodes that send work this one is.
-func (p *Pool) SetShare(s warmup.Position) {
+// SetPosition says which of the nodes that send work this one is.
+func (p *Pool) SetPosition(s warmup.Position) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.SetPosition(s)
@@ -220,8 +220,8 @@
 	return p.table.List(p.now())
 }
 
-// Serving returns how many targets of a service are listed.
-func (p *Pool) Serving(service string) int {
+// TargetCount returns how many targets of a service are listed.
+func (p *Pool) TargetCount(service string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.TargetCount(service)
@@ -250,22 +250,22 @@
 func (p *Pool) displaced(id string, own bool, others choose.Holders) {
 	switch {
 	case own:
-		p.displacer.MakeRoom(id)
+		p.displacer.PreemptItem(id)
 	case !others.Empty():
-		p.displacer.TellHolders(id)
+		p.displacer.NotifyHolders(id)
 	}
 }
 
-// Better reports whether a request that waits for an event of a target would come
-// sooner to it at another; see choose.Table.Better.
-func (p *Pool) Better(id string, need choose.Need, heard time.Duration) bool {
+// BetterElsewhere reports whether a request that waits for an event of a target would come
+// sooner to it at another; see choose.Table.BetterElsewhere.
+func (p *Pool) BetterElsewhere(id string, need choose.Need, heard time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.BetterElsewhere(p.now(), id, need, heard)
 }
 
-// Heard notes an event of a target.
-func (p *Pool) Heard(t choose.Target) {
+// RecordEvent notes an event of a target.
+func (p *Pool) RecordEvent(t choose.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.table.IsCurrent(t) {
@@ -321,8 +321,8 @@
 	}
 }
 
-// FirstEvent takes the time from sending a request to its first event.
-func (p *Pool) FirstEvent(t choose.Target, took time.Duration) {
+// RecordFirstEvent takes the time from sending a request to its first event.
+func (p *Pool) RecordFirstEvent(t choose.Target, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.table.IsCurrent(t) {
@@ -330,8 +330,8 @@
 	}
 }
 
-// RefusedItem notes that a target refused a batch item because it was full.
-func (p *Pool) RefusedItem(t choose.Target) {
+// MarkItemRefused notes that a target refused a batch item because it was full.
+func (p *Pool) MarkItemRefused(t choose.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.table.IsCurrent(t) {
@@ -339,8 +339,8 @@
 	}
 }
 
-// Saturated notes that a target refused an online request because it was full.
-func (p *Pool) Saturated(t choose.Target) {
+// MarkSaturated notes that a target refused an online request because it was full.
+func (p *Pool) MarkSaturated(t choose.Target) {
 	p.mu.Lock()
 	if p.table.IsCurrent(t) {
 		p.table.MarkSaturated(p.now(), t.ID)
@@ -349,9 +349,9 @@
 	p.onOwn() // batch items there make room
 }
 
-// BatchRoom returns how many batch items the usable targets of a data centre
+// BatchCapacity returns how many batch items the usable targets of a data centre
 // have room for beside online requests.
-func (p *Pool) BatchRoom(dataCentre string) int {
+func (p *Pool) BatchCapacity(dataCentre string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.BatchCapacity(p.now(), dataCentre)
@@ -365,8 +365,8 @@
 	return p.table.Reserve()
 }
 
-// Occupied takes how long an online request of a service held a slot.
-func (p *Pool) Occupied(service string, took time.Duration) {
+// RecordSlotTime takes how long an online request of a service held a slot.
+func (p *Pool) RecordSlotTime(service string, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.RecordSlotTime(service, took)
--- a/internal/version/discovery/discovery_test.go
+++ b/internal/version/discovery/discovery_test.go
@@ -43,19 +43,19 @@
 	p.Update([]Record{record("t", 100)}, nil, nil)
 	first, second := place(t, p), place(t, p)
 	p.End(first, choose.Failure)
-	p.Leave(second, "it says so")
+	p.MarkLeaving(second, "it says so")
 	_, ok := p.Choose(choose.Need{Service: "s"})
 	is.True(!ok)
 
 	p.Update([]Record{record("t", 200)}, nil, nil)
-	is.Equal(len(p.InFlight()), 0)
+	is.Equal(len(p.OwnInFlight()), 0)
 	again := place(t, p)
 	is.Equal(again.Incarnation, uint64(200))
-	is.Equal(p.InFlight()["t"].Online, 1)
+	is.Equal(p.OwnInFlight()["t"].Online, 1)
 	p.End(second, choose.Failure) // of the incarnation before
-	p.Saturated(second)
-	p.Leave(second, "late")
-	is.Equal(p.InFlight()["t"].Online, 1)
+	p.MarkSaturated(second)
+	p.MarkLeaving(second, "late")
+	is.Equal(p.OwnInFlight()["t"].Online, 1)
 	place(t, p) // it takes requests all the same
 }
 
@@ -87,7 +87,7 @@
 	p.Update([]Record{record("t", 100), record("u", 100)}, nil, nil)
 	told := map[string]int{}
 	watch := func(name, id string, incarnation uint64) func() {
-		return p.WhenGone(choose.Target{ID: id, Incarnation: incarnation}, func() { told[name]++ })
+		return p.OnRestart(choose.Target{ID: id, Incarnation: incarnation}, func() { told[name]++ })
 	}
 	watch("running", "t", 100)
 	stop := watch("ended", "t", 100)
@@ -101,7 +101,7 @@
 	is.Equal(told, map[string]int{"running": 1})
 
 	late := make(chan struct{})
-	p.WhenGone(choose.Target{ID: "t", Incarnation: 100}, func() { close(late) }) // chosen before, sent after
+	p.OnRestart(choose.Target{ID: "t", Incarnation: 100}, func() { close(late) }) // chosen before, sent after
 	select {
 	case <-late:
 	case <-time.After(time.Second):
--- a/internal/version/discovery/list.go
+++ b/internal/version/discovery/list.go
@@ -65,11 +65,11 @@
 	return ended
 }
 
-// WhenGone has a function called when a target is known to have started again: what
+// OnRestart has a function called when a target is known to have started again: what
 // was sent to the incarnation given before it ended is lost with it, whether or not its
 // connection shows it. stop takes the function back. It is called at once when that is
 // known already.
-func (p *Pool) WhenGone(t choose.Target, ended func()) (stop func()) {
+func (p *Pool) OnRestart(t choose.Target, ended func()) (stop func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.newest[t.ID] > t.Incarnation {
@@ -107,7 +107,7 @@
 }
 
 // remove takes a target off. While the store's list is in doubt the target is
-// kept until Settle, because it may only have missed its heartbeat there. The
+// kept until RemoveLapsed, because it may only have missed its heartbeat there. The
 // caller holds p.mu.
 func (p *Pool) remove(id string, doubtful bool) []change {
 	r, known := p.records[id]
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// Settle removes targets that lapsed once the store's list is trusted again.
-func (p *Pool) Settle() {
+// RemoveLapsed removes targets that lapsed once the store's list is trusted again.
+func (p *Pool) RemoveLapsed() {
 	p.mu.Lock()
 	var gone []string
 	if len(p.lapsed) > 0 && !p.doubtful() {
--- a/internal/version/fleet/fleet.go
+++ b/internal/version/fleet/fleet.go
@@ -200,7 +200,7 @@
 }
 
 func (c *Config) match(w *workspace.Workspace, s *Service, model string) (*Service, string) {
-	if s.Kind != KindModel || !w.May(s.Name) {
+	if s.Kind != KindModel || !w.MayUse(s.Name) {
 		return nil, ""
 	}
 	if loaded, ok := s.Resolve(model); ok {
--- a/internal/version/follow/cache.go
+++ b/internal/version/follow/cache.go
@@ -73,13 +73,13 @@
 	settleTime = 2200 * time.Millisecond
 )
 
-// Mark says how new a copy of a kind is.
-type Mark struct {
+// FreshnessMark says how new a copy of a kind is.
+type FreshnessMark struct {
 	Complete int64         // no change up to this revision is missing
 	Latest   int64         // revision of the newest change held
 	Floor    int64         // deletions up to this revision may not be held
 	Age      time.Duration // since the store was asked
-	Question uint64        // which question to the store that was
+	QueryID  uint64        // which question to the store that was
 	Known    bool          // the store was ever asked
 }
 
@@ -178,8 +178,8 @@
 	}
 }
 
-// Complete returns the revision up to which no change of the kind is missing.
-func (c *Cache) Complete(name string) int64 {
+// CompleteRevision returns the revision up to which no change of the kind is missing.
+func (c *Cache) CompleteRevision(name string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.kinds[name].complete
@@ -194,9 +194,9 @@
 // cache is used.
 func (c *Cache) OnVerified(f func()) { c.onVerified = f }
 
-// Verified notes that the copy holds all that the store held at a moment, by a
+// MarkVerified notes that the copy holds all that the store held at a moment, by a
 // question that this node asked.
-func (c *Cache) Verified(name string, at time.Time) {
+func (c *Cache) MarkVerified(name string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if k := c.kinds[name]; k != nil {
@@ -230,10 +230,10 @@
 	c.onVerified()
 }
 
-// Doubtful reports whether a deletion of this kind may only mean that the store
+// DeletionsUncertain reports whether a deletion of this kind may only mean that the store
 // was away and missed heartbeats. An outage that meets this node alone is none:
 // its copy stays new through the nodes that reach the store.
-func (c *Cache) Doubtful(name string) bool {
+func (c *Cache) DeletionsUncertain(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := c.kinds[name]
@@ -253,8 +253,8 @@
 	return c.now().Sub(k.verified), !k.verified.IsZero()
 }
 
-// Knows reports whether the copy of each kind ever held all that the store held.
-func (c *Cache) Knows(kinds ...string) bool {
+// EverVerified reports whether the copy of each kind ever held all that the store held.
+func (c *Cache) EverVerified(kinds ...string) bool {
 	for _, name := range kinds {
 		if _, known := c.Age(name); !known {
 			return false
@@ -263,21 +263,21 @@
 	return true
 }
 
-// AgeMarks returns how new the copy of each kind is.
-func (c *Cache) AgeMarks() map[string]Mark {
+// FreshnessMarks returns how new the copy of each kind is.
+func (c *Cache) FreshnessMarks() map[string]FreshnessMark {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	marks := make(map[string]Mark, len(c.kinds))
+	marks := make(map[string]FreshnessMark, len(c.kinds))
 	for name, k := range c.kinds {
-		marks[name] = Mark{Complete: k.complete, Latest: k.latest, Floor: k.floor, Age: c.now().Sub(k.verified), Question: k.question, Known: !k.verified.IsZero()}
+		marks[name] = FreshnessMark{Complete: k.complete, Latest: k.latest, Floor: k.floor, Age: c.now().Sub(k.verified), QueryID: k.question, Known: !k.verified.IsZero()}
 	}
 	return marks
 }
 
-// HeardMark takes how new another node's copy is. It reports whether this copy
+// ReceiveMark takes how new another node's copy is. It reports whether this copy
 // lacks a change that the other holds; when it does not, the other's question
 // to the store counts for this copy too.
-func (c *Cache) HeardMark(name string, m Mark) (behind bool) {
+func (c *Cache) ReceiveMark(name string, m FreshnessMark) (behind bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := c.kinds[name]
@@ -291,12 +291,12 @@
 		return false // a deletion that the other does not know may be missing here
 	}
 	k.complete = max(k.complete, m.Complete)
-	c.verify(k, c.now().Add(-m.Age), m.Question)
+	c.verify(k, c.now().Add(-m.Age), m.QueryID)
 	return false
 }
 
-// Marks returns Complete of every kind.
-func (c *Cache) Marks() map[string]int64 {
+// CompleteRevisions returns Complete of every kind.
+func (c *Cache) CompleteRevisions() map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	marks := make(map[string]int64, len(c.kinds))
@@ -306,10 +306,10 @@
 	return marks
 }
 
-// Since returns the changes of a kind after a revision, as far as this copy knows
+// ChangesSince returns the changes of a kind after a revision, as far as this copy knows
 // them. Where it may lack a deletion after that revision it returns all objects
 // that exist, and whole is true.
-func (c *Cache) Since(name string, revision int64) (changes []objects.Object, whole bool) {
+func (c *Cache) ChangesSince(name string, revision int64) (changes []objects.Object, whole bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := c.kinds[name]
--- a/internal/version/follow/cache_test.go
+++ b/internal/version/follow/cache_test.go
@@ -61,7 +61,7 @@
 	cache.Apply(kindT, []objects.Object{{Name: "a", Revision: 3}}, 0, 0) // a stale peer
 	_, ok = cache.Get(kindT, "a")
 	is.True(!ok)
-	is.Equal(cache.Complete(kindT), int64(9))
+	is.Equal(cache.CompleteRevision(kindT), int64(9))
 }
 
 // TestMarksSpreadFreshness: what a peer asked the store counts here when this
@@ -70,14 +70,14 @@
 	is := is.New(t)
 	cache, now := newTestCache()
 	cache.Replace(kindT, []objects.Object{{Name: "a", Revision: 3}}, 5)
-	cache.Verified(kindT, now.now)
+	cache.MarkVerified(kindT, now.now)
 	now.pass(time.Second)
-	is.True(!cache.HeardMark(kindT, Mark{Complete: 40, Latest: 3, Age: 100 * time.Millisecond, Question: 1, Known: true}))
+	is.True(!cache.ReceiveMark(kindT, FreshnessMark{Complete: 40, Latest: 3, Age: 100 * time.Millisecond, QueryID: 1, Known: true}))
 	age, _ := cache.Age(kindT)
 	is.Equal(age, 100*time.Millisecond)
-	is.Equal(cache.Complete(kindT), int64(40))
+	is.Equal(cache.CompleteRevision(kindT), int64(40))
 	now.pass(time.Second)
-	is.True(cache.HeardMark(kindT, Mark{Complete: 60, Latest: 50, Known: true})) // the peer holds a change that this copy lacks
+	is.True(cache.ReceiveMark(kindT, FreshnessMark{Complete: 60, Latest: 50, Known: true})) // the peer holds a change that this copy lacks
 	age, _ = cache.Age(kindT)
 	is.Equal(age, 1100*time.Millisecond)
 }
@@ -91,17 +91,17 @@
 	old.Replace(kindT, []objects.Object{{Name: "a", Revision: 3}, {Name: "b", Revision: 5}}, 10)
 	started, now := newTestCache()
 	started.Replace(kindT, []objects.Object{{Name: "a", Revision: 3}}, 12) // "b" was deleted at 11
-	started.Verified(kindT, now.now)
-	is.True(!old.HeardMark(kindT, started.AgeMarks()[kindT])) // no change to be had there
-	is.Equal(old.Complete(kindT), int64(10))
+	started.MarkVerified(kindT, now.now)
+	is.True(!old.ReceiveMark(kindT, started.FreshnessMarks()[kindT])) // no change to be had there
+	is.Equal(old.CompleteRevision(kindT), int64(10))
 	_, known := old.Age(kindT)
 	is.True(!known)
 
-	news := adopt(old, changesOf(started, kindT, old.Complete(kindT)))
+	news := adopt(old, changesOf(started, kindT, old.CompleteRevision(kindT)))
 	is.Equal(len(news), 1)
 	_, ok := old.Get(kindT, "b")
 	is.True(!ok)
-	is.Equal(old.Complete(kindT), int64(12))
+	is.Equal(old.CompleteRevision(kindT), int64(12))
 
 	old.Apply(kindT, []objects.Object{{Name: "c", Revision: 14}}, 12, 14) // from there on changes are enough
 	changes := changesOf(old, kindT, 12)
@@ -130,15 +130,15 @@
 	is := is.New(t)
 	now := &clock{time.Unix(1000, 0)}
 	a, b := NewCache(now.read, kindT), NewCache(now.read, kindT)
-	a.Verified(kindT, now.now)
+	a.MarkVerified(kindT, now.now)
 	const late = 200 * time.Millisecond
 	for range 15 { // three seconds in which nobody asks the store
-		sent := a.AgeMarks()[kindT]
+		sent := a.FreshnessMarks()[kindT]
 		now.pass(late)
-		b.HeardMark(kindT, sent)
-		sent = b.AgeMarks()[kindT]
+		b.ReceiveMark(kindT, sent)
+		sent = b.FreshnessMarks()[kindT]
 		now.pass(late)
-		a.HeardMark(kindT, sent)
+		a.ReceiveMark(kindT, sent)
 	}
 	for _, cache := range []*Cache{a, b} {
 		age, _ := cache.Age(kindT)
@@ -153,8 +153,8 @@
 	is := is.New(t)
 	cache, _ := newTestCache()
 	cache.Replace(kindT, []objects.Object{{Name: "a", Revision: 3}, {Name: "z", Revision: 12}}, 10) // "a" changed at 11 after its page was read
-	is.True(cache.HeardMark(kindT, Mark{Complete: 12, Latest: 12, Known: true}))
-	is.Equal(cache.Complete(kindT), int64(10))
+	is.True(cache.ReceiveMark(kindT, FreshnessMark{Complete: 12, Latest: 12, Known: true}))
+	is.Equal(cache.CompleteRevision(kindT), int64(10))
 }
 
 // TestOutageOfOneNodeCastsNoDoubt: a node that the store refuses hears through
@@ -165,24 +165,24 @@
 	is := is.New(t)
 	cache, now := newTestCache()
 	cache.Replace(kindT, []objects.Object{{Name: "a", Revision: 3}}, 5)
-	cache.Verified(kindT, now.now)
+	cache.MarkVerified(kindT, now.now)
 	asked := uint64(0)
 	for range 10 { // refused here, while peers ask
 		now.pass(800 * time.Millisecond)
 		asked++
-		cache.HeardMark(kindT, Mark{Complete: 5, Latest: 3, Age: 200 * time.Millisecond, Question: asked, Known: true})
-		is.True(!cache.Doubtful(kindT))
+		cache.ReceiveMark(kindT, FreshnessMark{Complete: 5, Latest: 3, Age: 200 * time.Millisecond, QueryID: asked, Known: true})
+		is.True(!cache.DeletionsUncertain(kindT))
 	}
 	now.pass(4 * time.Second) // nobody can ask
-	is.True(cache.Doubtful(kindT))
-	cache.Verified(kindT, now.now)
+	is.True(cache.DeletionsUncertain(kindT))
+	cache.MarkVerified(kindT, now.now)
 	for range 2 {
 		now.pass(time.Second)
-		is.True(cache.Doubtful(kindT)) // targets that live may still be missing
-		cache.Verified(kindT, now.now)
+		is.True(cache.DeletionsUncertain(kindT)) // targets that live may still be missing
+		cache.MarkVerified(kindT, now.now)
 	}
 	now.pass(300 * time.Millisecond)
-	is.True(!cache.Doubtful(kindT))
+	is.True(!cache.DeletionsUncertain(kindT))
 }
 
 // TestQuestionsAreToldOnce: a question that this node asked or heard of for the
@@ -193,13 +193,13 @@
 	cache, now := newTestCache()
 	told := 0
 	cache.OnVerified(func() { told++ })
-	cache.Verified(kindT, now.now)
+	cache.MarkVerified(kindT, now.now)
 	is.Equal(told, 1)
 	now.pass(time.Second)
 	for range 3 {
-		cache.HeardMark(kindT, Mark{Age: 10 * time.Millisecond, Question: 7, Known: true})
+		cache.ReceiveMark(kindT, FreshnessMark{Age: 10 * time.Millisecond, QueryID: 7, Known: true})
 	}
 	is.Equal(told, 2)
-	cache.HeardMark(kindT, Mark{Age: time.Minute, Question: 8, Known: true}) // older than what is known
+	cache.ReceiveMark(kindT, FreshnessMark{Age: time.Minute, QueryID: 8, Known: true}) // older than what is known
 	is.Equal(told, 2)
 }
--- a/internal/version/follow/gossip.go
+++ b/internal/version/follow/gossip.go
@@ -23,23 +23,23 @@
 	Peers func() []string
 	// Client returns the client of a peer.
 	Client func(address string) marblepondv1connect.SyncServiceClient
-	// GreetClient returns the client of a seed that is asked at the start. It connects for
+	// SeedClient returns the client of a seed that is asked at the start. It connects for
 	// a short time only: a seed whose machine starts at the same time may be dark.
-	GreetClient func(address string) marblepondv1connect.SyncServiceClient
+	SeedClient func(address string) marblepondv1connect.SyncServiceClient
 	// Interval is the time between rounds.
 	Interval time.Duration
-	// Alone reports whether no other node's datagrams are heard.
-	Alone func() bool
-	// Pulls holds the addresses of peers that were heard to know more.
-	Pulls *ring.Ring[string]
+	// Isolated reports whether no other node's datagrams are heard.
+	Isolated func() bool
+	// PullQueue holds the addresses of peers that were heard to know more.
+	PullQueue *ring.Ring[string]
 }
 
 // pulls is how many peers may wait to be asked; one that finds no room is heard
 // again within a fraction of a second.
 const pulls = 8
 
-// NewPulls returns the ring for Gossip.Pulls.
-func NewPulls() *ring.Ring[string] { return ring.New[string](pulls, ring.Refuse) }
+// NewPullQueue returns the ring for Gossip.PullQueue.
+func NewPullQueue() *ring.Ring[string] { return ring.New[string](pulls, ring.Refuse) }
 
 // exchangeTimeout bounds one exchange. A peer that does not answer must not
 // hold up the next round's peer for long.
@@ -50,7 +50,7 @@
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case address := <-g.Pulls.Out():
+		case address := <-g.PullQueue.Out():
 			g.pull(ctx, address)
 		case <-time.After(g.nextRound()):
 			if peers := g.Peers(); len(peers) > 0 {
@@ -68,7 +68,7 @@
 // nextRound returns the time until the next round.
 func (g *Gossip) nextRound() time.Duration {
 	interval := g.Interval
-	if g.Alone() {
+	if g.Isolated() {
 		interval = min(interval, aloneInterval)
 	}
 	return interval*3/4 + rand.N(interval/2)
@@ -84,7 +84,7 @@
 func (g *Gossip) pull(ctx context.Context, address string) {
 	for last := false; !last; {
 		select {
-		case newer := <-g.Pulls.Out():
+		case newer := <-g.PullQueue.Out():
 			address = newer
 		default:
 			last = true
@@ -107,17 +107,17 @@
 // when it is the other way round too.
 func (g *Gossip) exchange(ctx context.Context, client marblepondv1connect.SyncServiceClient) error {
 	asked := g.Cache.Now()
-	resp, err := client.Exchange(ctx, &v1.ExchangeRequest{Node: g.Node, Complete: g.Cache.Marks()})
+	resp, err := client.Exchange(ctx, &v1.ExchangeRequest{Node: g.Node, Complete: g.Cache.CompleteRevisions()})
 	if err != nil {
 		return err
 	}
 	g.take(resp.Missing)
 	for kind, mark := range UnpackMarks(resp.Marks) {
 		mark.Age += g.Cache.Now().Sub(asked) // the answer was composed in this time
-		g.Cache.HeardMark(kind, mark)
+		g.Cache.ReceiveMark(kind, mark)
 	}
 	if offer := g.lacking(resp.Complete); len(offer) > 0 {
-		_, err = client.Exchange(ctx, &v1.ExchangeRequest{Node: g.Node, Complete: g.Cache.Marks(), Offered: offer})
+		_, err = client.Exchange(ctx, &v1.ExchangeRequest{Node: g.Node, Complete: g.Cache.CompleteRevisions(), Offered: offer})
 	}
 	return err
 }
@@ -125,13 +125,13 @@
 // Exchange answers another node's round.
 func (g *Gossip) Exchange(_ context.Context, req *v1.ExchangeRequest) (*v1.ExchangeResponse, error) {
 	g.take(req.Offered)
-	return &v1.ExchangeResponse{Complete: g.Cache.Marks(), Missing: g.lacking(req.Complete), Marks: PackMarks(g.Cache.AgeMarks())}, nil
+	return &v1.ExchangeResponse{Complete: g.Cache.CompleteRevisions(), Missing: g.lacking(req.Complete), Marks: PackMarks(g.Cache.FreshnessMarks())}, nil
 }
 
 // lacking returns what a node lacks that is complete up to the marks given.
 func (g *Gossip) lacking(marks map[string]int64) []*v1.KindChanges {
 	var out []*v1.KindChanges
-	for kind, complete := range g.Cache.Marks() {
+	for kind, complete := range g.Cache.CompleteRevisions() {
 		theirs, follows := marks[kind]
 		if !follows || theirs >= complete {
 			continue
@@ -146,8 +146,8 @@
 
 // changesOf returns the changes of a kind after a revision, as they are sent.
 func changesOf(c *Cache, kind string, since int64) *v1.KindChanges {
-	complete := c.Complete(kind)
-	changes, whole := c.Since(kind, since)
+	complete := c.CompleteRevision(kind)
+	changes, whole := c.ChangesSince(kind, since)
 	out := &v1.KindChanges{Kind: kind, Since: since, Complete: complete, Whole: whole}
 	for _, o := range changes {
 		out.Changes = append(out.Changes, &v1.ObjectChange{Name: o.Name, Revision: o.Revision, Value: o.Value, Deleted: o.Deleted})
--- a/internal/version/follow/greet.go
+++ b/internal/version/follow/greet.go
@@ -22,10 +22,10 @@
 	greetPause = 100 * time.Millisecond
 )
 
-// Greet asks seeds for the copies that a starting node lacks, so that it need not
+// FetchFromSeeds asks seeds for the copies that a starting node lacks, so that it need not
 // list them from the object store, which takes a call a page: it returns once it
 // has the kinds given, or when the seeds do not answer or know nothing in time.
-func (g *Gossip) Greet(ctx context.Context, seeds []string, kinds ...string) {
+func (g *Gossip) FetchFromSeeds(ctx context.Context, seeds []string, kinds ...string) {
 	started := g.Cache.Now()
 	limit := greetStart // until one has answered
 	for len(seeds) > 0 {
@@ -34,7 +34,7 @@
 				continue
 			}
 			limit = greetFor
-			if g.Cache.Knows(kinds...) {
+			if g.Cache.EverVerified(kinds...) {
 				return
 			}
 		}
@@ -47,5 +47,5 @@
 func (g *Gossip) greet(ctx context.Context, seed string) error {
 	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
 	defer cancel()
-	return g.exchange(ctx, g.GreetClient(seed))
+	return g.exchange(ctx, g.SeedClient(seed))
 }
--- a/internal/version/follow/greet_test.go
+++ b/internal/version/follow/greet_test.go
@@ -32,13 +32,13 @@
 // named.
 func startingNode(seeds map[string]*peerOf) *Gossip {
 	client := func(address string) marblepondv1connect.SyncServiceClient { return seeds[address] }
-	return &Gossip{Node: "new", Cache: NewCache(time.Now, kindT), Listener: &heardNews{}, Client: client, GreetClient: client}
+	return &Gossip{Node: "new", Cache: NewCache(time.Now, kindT), Listener: &heardNews{}, Client: client, SeedClient: client}
 }
 
 func seedThatKnows() *Gossip {
 	seed := &Gossip{Node: "seed", Cache: NewCache(time.Now, kindT), Listener: &heardNews{}}
 	seed.Cache.Replace(kindT, []objects.Object{{Name: "a", Revision: 3}}, 5)
-	seed.Cache.Verified(kindT, time.Now().Add(-200*time.Millisecond))
+	seed.Cache.MarkVerified(kindT, time.Now().Add(-200*time.Millisecond))
 	return seed
 }
 
@@ -49,8 +49,8 @@
 	is := is.New(t)
 	seeds := map[string]*peerOf{"dead": {}, "knows": {gossip: seedThatKnows()}}
 	node := startingNode(seeds)
-	node.Greet(context.Background(), []string{"dead", "knows"}, kindT)
-	is.Equal(node.Cache.Complete(kindT), int64(5))
+	node.FetchFromSeeds(context.Background(), []string{"dead", "knows"}, kindT)
+	is.Equal(node.Cache.CompleteRevision(kindT), int64(5))
 	_, ok := node.Cache.Get(kindT, "a")
 	is.True(ok)
 	age, known := node.Cache.Age(kindT)
@@ -67,10 +67,10 @@
 	node := startingNode(map[string]*peerOf{"seed": {gossip: seed}})
 	time.AfterFunc(250*time.Millisecond, func() {
 		seed.Cache.Replace(kindT, nil, 5)
-		seed.Cache.Verified(kindT, time.Now())
+		seed.Cache.MarkVerified(kindT, time.Now())
 	})
-	node.Greet(context.Background(), []string{"seed"}, kindT)
-	is.True(node.Cache.Knows(kindT))
+	node.FetchFromSeeds(context.Background(), []string{"seed"}, kindT)
+	is.True(node.Cache.EverVerified(kindT))
 }
 
 // TestGreetingWaitsForSeedsThatStartLater: a seed that starts up to 0.3 s later
@@ -81,10 +81,10 @@
 	var seed atomic.Pointer[peerOf]
 	seed.Store(&peerOf{})
 	node := startingNode(nil)
-	node.GreetClient = func(string) marblepondv1connect.SyncServiceClient { return seed.Load() }
+	node.SeedClient = func(string) marblepondv1connect.SyncServiceClient { return seed.Load() }
 	time.AfterFunc(300*time.Millisecond, func() { seed.Store(&peerOf{gossip: seedThatKnows()}) })
-	node.Greet(context.Background(), []string{"seed"}, kindT)
-	is.True(node.Cache.Knows(kindT))
+	node.FetchFromSeeds(context.Background(), []string{"seed"}, kindT)
+	is.True(node.Cache.EverVerified(kindT))
 }
 
 // TestGreetingEndsWithoutSeeds: seeds may be down or gone. A node that none answers
@@ -93,12 +93,12 @@
 	is := is.New(t)
 	dead := startingNode(map[string]*peerOf{"a": {}, "b": {}})
 	started := time.Now()
-	dead.Greet(context.Background(), []string{"a", "b"}, kindT)
+	dead.FetchFromSeeds(context.Background(), []string{"a", "b"}, kindT)
 	is.True(time.Since(started) < greetStart+2*greetPause)
 	blank := startingNode(map[string]*peerOf{"a": {gossip: startingNode(nil)}})
-	blank.Greet(context.Background(), []string{"a"}, kindT)
+	blank.FetchFromSeeds(context.Background(), []string{"a"}, kindT)
 	is.True(time.Since(started) < greetFor+greetTimeout)
-	is.True(!blank.Cache.Knows(kindT))
+	is.True(!blank.Cache.EverVerified(kindT))
 }
 
 // TestPullsAreBounded: while all of a large fleet start again each datagram tells of
@@ -108,12 +108,12 @@
 	is := is.New(t)
 	peer := &peerOf{gossip: seedThatKnows()}
 	node := startingNode(map[string]*peerOf{"old": peer, "new": peer})
-	node.Pulls, node.Interval, node.Peers, node.Alone = NewPulls(), time.Hour, func() []string { return nil }, func() bool { return false }
+	node.PullQueue, node.Interval, node.Peers, node.Isolated = NewPullQueue(), time.Hour, func() []string { return nil }, func() bool { return false }
 	ctx, cancel := context.WithTimeout(context.Background(), 10*pullPause)
 	defer cancel()
 	go func() {
 		for ctx.Err() == nil {
-			node.Pulls.Put("old")
+			node.PullQueue.Put("old")
 			time.Sleep(time.Millisecond)
 		}
 	}()
@@ -130,7 +130,7 @@
 	for _, alone := range []bool{true, false} {
 		peer := &peerOf{gossip: seedThatKnows()}
 		node := startingNode(map[string]*peerOf{"p": peer})
-		node.Pulls, node.Interval, node.Peers, node.Alone = NewPulls(), time.Hour, func() []string { return []string{"p"} }, func() bool { return alone }
+		node.PullQueue, node.Interval, node.Peers, node.Isolated = NewPullQueue(), time.Hour, func() []string { return []string{"p"} }, func() bool { return alone }
 		ctx, cancel := context.WithTimeout(context.Background(), 2*aloneInterval)
 		node.Run(ctx)
 		cancel()
--- a/internal/version/follow/marks.go
+++ b/internal/version/follow/marks.go
@@ -8,21 +8,21 @@
 
 // PackMarks returns marks as they are sent. Copies that never held all that the
 // store held are left out.
-func PackMarks(marks map[string]Mark) []*v1.KindMark {
+func PackMarks(marks map[string]FreshnessMark) []*v1.KindMark {
 	var out []*v1.KindMark
 	for kind, m := range marks {
 		if m.Known {
-			out = append(out, &v1.KindMark{Kind: kind, Complete: m.Complete, Latest: m.Latest, Floor: m.Floor, AgeMs: uint32(m.Age.Milliseconds()), Question: m.Question})
+			out = append(out, &v1.KindMark{Kind: kind, Complete: m.Complete, Latest: m.Latest, Floor: m.Floor, AgeMs: uint32(m.Age.Milliseconds()), Question: m.QueryID})
 		}
 	}
 	return out
 }
 
 // UnpackMarks returns marks as they were sent.
-func UnpackMarks(marks []*v1.KindMark) map[string]Mark {
-	out := make(map[string]Mark, len(marks))
+func UnpackMarks(marks []*v1.KindMark) map[string]FreshnessMark {
+	out := make(map[string]FreshnessMark, len(marks))
 	for _, k := range marks {
-		out[k.Kind] = Mark{Complete: k.Complete, Latest: k.Latest, Floor: k.Floor, Age: time.Duration(k.AgeMs) * time.Millisecond, Question: k.Question, Known: true}
+		out[k.Kind] = FreshnessMark{Complete: k.Complete, Latest: k.Latest, Floor: k.Floor, Age: time.Duration(k.AgeMs) * time.Millisecond, QueryID: k.Question, Known: true}
 	}
 	return out
 }
--- a/internal/version/follow/refresh.go
+++ b/internal/version/follow/refresh.go
@@ -64,18 +64,18 @@
 	Cache    *Cache
 	Listener Listener
 	MaxAge   time.Duration
-	// Self is this node and DataCentre its own. Near returns the other nodes of it
-	// that are heard and follow the kind, and Centres the other data centres heard.
-	Self       string
-	DataCentre string
-	Near       func() []string
-	Centres    func() []string
+	// Self is this node and DataCentre its own. PeersInDataCentre returns the other nodes of it
+	// that are heard and follow the kind, and OtherDataCentres the other data centres heard.
+	Self              string
+	DataCentre        string
+	PeersInDataCentre func() []string
+	OtherDataCentres  func() []string
 
 	kicks chan struct{}
 }
 
-// Kick makes the refresher ask the store at once. It never blocks.
-func (r *Refresher) Kick() {
+// Trigger makes the refresher ask the store at once. It never blocks.
+func (r *Refresher) Trigger() {
 	select {
 	case r.kicks <- struct{}{}:
 	default: // a kick is waiting already
@@ -95,7 +95,7 @@
 			continue
 		}
 		if err := r.refresh(ctx); err != nil {
-			r.Listener.Failed(r.Kind, r.Cache.Complete(r.Kind), err)
+			r.Listener.Failed(r.Kind, r.Cache.CompleteRevision(r.Kind), err)
 			wait.For(ctx, time.Duration(1+r.rank())*(pause/2+rand.N(pause)))
 			pause = min(2*pause, mostFailurePause)
 			continue
@@ -134,18 +134,18 @@
 // centres are in an order, and so are the nodes of each. What decides it is known
 // the same everywhere, also where the fleet is too large to hear every node.
 func (r *Refresher) rank() int {
-	centre := rendezvous.Place(r.Kind, r.DataCentre, r.Centres(), mostRank)
-	return min(mostRank, centre+rendezvous.Place(r.Kind, r.Self, r.Near(), mostRank))
+	centre := rendezvous.Place(r.Kind, r.DataCentre, r.OtherDataCentres(), mostRank)
+	return min(mostRank, centre+rendezvous.Place(r.Kind, r.Self, r.PeersInDataCentre(), mostRank))
 }
 
 // refresh asks the store once.
 func (r *Refresher) refresh(ctx context.Context) error {
 	asked := r.Cache.Now()
-	since := r.Cache.Complete(r.Kind)
+	since := r.Cache.CompleteRevision(r.Kind)
 	if since > 0 {
 		page, err := r.Store.Changes(ctx, r.Kind, since)
 		if err == nil {
-			r.Cache.Verified(r.Kind, asked)
+			r.Cache.MarkVerified(r.Kind, asked)
 			r.take(r.Cache.Apply(r.Kind, page.Objects, since, page.Revision))
 			return nil
 		}
@@ -159,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	r.Cache.Verified(r.Kind, asked)
+	r.Cache.MarkVerified(r.Kind, asked)
 	r.take(r.Cache.Replace(r.Kind, page.Objects, page.Revision))
 	return nil
 }
--- a/internal/version/follow/refresh_test.go
+++ b/internal/version/follow/refresh_test.go
@@ -64,8 +64,8 @@
 	r := NewRefresher(kindT)
 	r.Store, r.Listener, r.MaxAge, r.Self = s, news, 30*time.Millisecond, "self"
 	r.Cache = NewCache(time.Now, kindT)
-	r.Near = func() []string { return slices.Clone(heard) }
-	r.Centres = func() []string { return nil }
+	r.PeersInDataCentre = func() []string { return slices.Clone(heard) }
+	r.OtherDataCentres = func() []string { return nil }
 	return r, news
 }
 
@@ -97,7 +97,7 @@
 	is.Equal(s.lists, 1)
 	is.True(news.failed >= 2)
 	is.True(s.asked <= 6)
-	is.Equal(r.Cache.Complete(kindT), int64(3))
+	is.Equal(r.Cache.CompleteRevision(kindT), int64(3))
 }
 
 // TestOthersAnswersSpareTheStore: a node that hears how new the copies of
@@ -111,7 +111,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		for ctx.Err() == nil {
-			r.Cache.HeardMark(kindT, Mark{Complete: 3, Question: rand.Uint64(), Known: true})
+			r.Cache.ReceiveMark(kindT, FreshnessMark{Complete: 3, QueryID: rand.Uint64(), Known: true})
 			time.Sleep(10 * time.Millisecond)
 		}
 	}()
@@ -128,10 +128,10 @@
 	s := &fakeStore{list: objects.Page{Revision: 3}, changes: objects.Page{Revision: 3}}
 	r, _ := newTestRefresher(s)
 	r.MaxAge = time.Minute
-	r.Kick()
+	r.Trigger()
 	go func() {
 		time.Sleep(50 * time.Millisecond)
-		r.Kick()
+		r.Trigger()
 	}()
 	runFor(r, 150*time.Millisecond)
 	is.True(s.lists+s.asked >= 2)
--- a/internal/version/follow/snapshot.go
+++ b/internal/version/follow/snapshot.go
@@ -32,8 +32,8 @@
 	Dir   string
 	Cache *Cache
 	Kinds []string
-	// Failed is told what could not be written.
-	Failed func(error)
+	// OnError is told what could not be written.
+	OnError func(error)
 
 	written map[string]int64 // by kind: revision of the newest change on the disk
 }
@@ -63,14 +63,14 @@
 func (s *Snapshot) Run(ctx context.Context) {
 	for wait.For(ctx, snapshotInterval) {
 		if err := s.Save(); err != nil {
-			s.Failed(err)
+			s.OnError(err)
 		}
 	}
 }
 
 // Save writes the copy if it holds a change that the disk lacks.
 func (s *Snapshot) Save() error {
-	marks := s.Cache.AgeMarks()
+	marks := s.Cache.FreshnessMarks()
 	news := false
 	for _, kind := range s.Kinds {
 		news = news || marks[kind].Latest > s.written[kind]
--- a/internal/version/follow/snapshot_test.go
+++ b/internal/version/follow/snapshot_test.go
@@ -33,7 +33,7 @@
 	s := &Snapshot{Dir: dir, Cache: first, Kinds: []string{kindT}}
 	is.NoErr(s.Load(&diskNews{})) // there is none yet
 	first.Replace(kindT, []objects.Object{{Name: "a", Revision: 3, Value: []byte("x")}, {Name: "b", Revision: 5}}, 7)
-	first.Verified(kindT, now.now)
+	first.MarkVerified(kindT, now.now)
 	is.NoErr(s.Save())
 	is.NoErr(os.Remove(filepath.Join(dir, snapshotName)))
 	is.NoErr(s.Save()) // nothing new: nothing written
@@ -47,7 +47,7 @@
 	is.NoErr((&Snapshot{Dir: dir, Cache: second, Kinds: []string{kindT}}).Load(news))
 	is.Equal(news.names, []string{"a"})
 	is.Equal(news.from, FromDisk)
-	is.Equal(second.Complete(kindT), int64(9))
+	is.Equal(second.CompleteRevision(kindT), int64(9))
 	_, known := second.Age(kindT)
 	is.True(!known) // never taken for fresh
 	second.Apply(kindT, []objects.Object{{Name: "a", Revision: 12, Value: []byte("y")}}, 9, 12)
@@ -63,5 +63,5 @@
 	is.NoErr(os.WriteFile(filepath.Join(dir, snapshotName), []byte{0x0a, 0xff, 0x01}, 0o600))
 	cache, _ := newTestCache()
 	is.True((&Snapshot{Dir: dir, Cache: cache, Kinds: []string{kindT}}).Load(&diskNews{}) != nil)
-	is.Equal(cache.Complete(kindT), int64(0))
+	is.Equal(cache.CompleteRevision(kindT), int64(0))
 }
--- a/internal/version/route/route.go
+++ b/internal/version/route/route.go
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// Service picks the service of one request; draw is uniform in [0, 1).
-func (r *Route) Service(draw float64) string {
+// PickService picks the service of one request; draw is uniform in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
--- a/internal/version/targets/gossip.go
+++ b/internal/version/targets/gossip.go
@@ -138,8 +138,8 @@
 	}()
 }
 
-// Names returns the sorted IDs of owned targets.
-func (m *Manager) Names() []string {
+// OwnedTargets returns the sorted IDs of owned targets.
+func (m *Manager) OwnedTargets() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var ids []string
--- a/internal/version/targets/targets.go
+++ b/internal/version/targets/targets.go
@@ -99,9 +99,9 @@
 	m.batch, m.onReport, m.onOwn = inFlight, onReport, onOwn
 }
 
-// OnEnded has a function told each target whose process has started again, with the
+// OnProcessEnd has a function told each target whose process has started again, with the
 // start that is over as incarnation; call it before Run.
-func (m *Manager) OnEnded(f func(t choose.Target)) { m.onEnded = f }
+func (m *Manager) OnProcessEnd(f func(t choose.Target)) { m.onEnded = f }
 
 // Run reads the VM list and the owned targets until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
@@ -162,7 +162,7 @@
 	m.table.SetTargets(list)
 	m.mu.Unlock()
 	m.membership.Learn(nodes)
-	m.Reown(m.membership.View())
+	m.UpdateOwners(m.membership.View())
 }
 
 func (m *Manager) leave(vm string, incarnation uint64, source string) {
@@ -172,8 +172,8 @@
 	}
 }
 
-// Evacuate replaces the data centres whose targets get no work.
-func (m *Manager) Evacuate(dataCentres []string) {
+// SetEvacuated replaces the data centres whose targets get no work.
+func (m *Manager) SetEvacuated(dataCentres []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.table.SetEvacuated(time.Now(), dataCentres)
@@ -187,8 +187,8 @@
 	return m.table.AllEvacuated(service)
 }
 
-// Reown computes the owners anew.
-func (m *Manager) Reown(view *member.View) {
+// UpdateOwners computes the owners anew.
+func (m *Manager) UpdateOwners(view *member.View) {
 	m.mu.Lock()
 	m.table.SetPosition(warmup.PositionOf(view.Self.ID, view.Duty))
 	var own []string
@@ -322,9 +322,9 @@
 	}
 }
 
-// Process returns a target with the start of its process as incarnation; false: the
+// WithProcessStart returns a target with the start of its process as incarnation; false: the
 // target does not say when that was.
-func (m *Manager) Process(t choose.Target) (choose.Target, bool) {
+func (m *Manager) WithProcessStart(t choose.Target) (choose.Target, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s, ok := m.table.Get(time.Now(), t.ID)
@@ -421,8 +421,8 @@
 	m.finish(id, outcome, m.table.End)
 }
 
-// Judge counts the outcome of a batch item, whose place the pacer counts.
-func (m *Manager) Judge(id string, outcome choose.Outcome) {
+// RecordOutcome counts the outcome of a batch item, whose place the pacer counts.
+func (m *Manager) RecordOutcome(id string, outcome choose.Outcome) {
 	m.finish(id, outcome, m.table.RecordOutcome)
 }
 
@@ -439,9 +439,9 @@
 	}
 }
 
-// Supply sums up the usable targets of a service. Targets with another version
+// ServiceTotals sums up the usable targets of a service. Targets with another version
 // of the model count while none has the wanted one.
-func (m *Manager) Supply(service, loaded string) (usable, capacity, inFlight, waiting int) {
+func (m *Manager) ServiceTotals(service, loaded string) (usable, capacity, inFlight, waiting int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	usable, capacity, inFlight, waiting = m.table.ServiceTotals(time.Now(), service, loaded)
@@ -461,8 +461,8 @@
 	return !listed || s.Leaving
 }
 
-// Serving returns how many targets of a service are listed.
-func (m *Manager) Serving(service string) int {
+// TargetCount returns how many targets of a service are listed.
+func (m *Manager) TargetCount(service string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.TargetCount(service)
--- a/internal/version/workspace/workspace.go
+++ b/internal/version/workspace/workspace.go
@@ -35,8 +35,8 @@
 	Priority *int
 }
 
-// May reports whether the workspace may use a service.
-func (w *Workspace) May(service string) bool {
+// MayUse reports whether the workspace may use a service.
+func (w *Workspace) MayUse(service string) bool {
 	return len(w.Services) == 0 || slices.Contains(w.Services, service)
 }
 
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -113,13 +113,13 @@
 mutant 6 internal/connection/dial/checked.go 's/c\.kept\.Swap\(false\) && c\.closed\(\)/c.kept.Swap(false) \&\& c.closed() \&\& c.raw == nil/' platform TestKeptConnectionsOfAnEndedProcess
 mutant 3 internal/request/job/run.go 's/\tm\.mu\.Lock\(\)\n\tdelete\(h\.stops, i\)\n\tm\.mu\.Unlock\(\)\n//' internal/request/job TestEndedItemsAreNotCountedAsYielding
 mutant 3 internal/request/choose/room.go 's/e\.itemsRefusedUntil = now/e.saturatedUntil = now/' internal/request/choose TestRefusedItemStopsNoOther
-mutant 3 internal/request/forward/place.go 's/f\.Targets\.RoomExpected\(req\.Service\)/f.Targets == nil/' internal/request/forward TestRoomOfItemsIsWaitedFor
+mutant 3 internal/request/forward/place.go 's/f\.Targets\.MayHaveItems\(req\.Service\)/f.Targets == nil/' internal/request/forward TestRoomOfItemsIsWaitedFor
 mutant 3 internal/process/hosted/peers.go 's/\]\.Boot != n\.boot \{/].Boot != n.boot \&\& n.boot < 0 {/' internal/process/hosted TestNodeJoinsOnceItIsKnown
 mutant 1 internal/request/homes/durable.go 's/case rp\.membership\(\)\.SilentSeeds:/case rp.membership().SilentSeeds \&\& centre == requestID:/' internal/request/homes TestUndiscoveredNodesAreNotTakenForUnknown
 mutant 1 internal/process/membership/membership.go 's/!m\.beat\(ctx, seed, ""\);/!m.beat(ctx, seed, "") \&\& pause < 0;/' internal/process/membership TestEverySeedIsAskedUntilItAnswers
 mutant 11 internal/request/choose/eligible.go 's/case t\.evacuated\[e\.DataCentre\]:/case t.evacuated[e.DataCentre] \&\& need.Batch:/' internal/request/choose TestEvacuatedTargetsGetNothing
 mutant 11 internal/request/choose/eligible.go 's/t\.startWarmUp\(now, e, t\.warmUpRate\(e\.Service\)\.Time\)/_ = e/' internal/request/choose TestReturnedTargetsWarmUp
-mutant 11 internal/process/hosted/evacuation.go 's/n\.pool\.Evacuate\(evacuated\)/n.pool.Evacuate(nil)/' lab/hosted TestEvacuatedDataCentreGetsNothing
+mutant 11 internal/process/hosted/evacuation.go 's/n\.pool\.SetEvacuated\(evacuated\)/n.pool.SetEvacuated(nil)/' lab/hosted TestEvacuatedDataCentreGetsNothing
 mutant 11 internal/request/job/evacuate.go 's/items := m\.runningWhere\(m\.Pool\.Evacuated\)/items := m.runningWhere(m.Pool.Evacuated)[:0]/' lab/hosted TestItemsLeaveAnEvacuatedDataCentre
 mutant 11 internal/request/forward/place.go 's/if f\.evacuated\(req, p\) \|\| /if /' internal/request/forward TestNoTargetLeftIsSaidAtOnce
 mutant 11 internal/process/node/remotes.go 's/ && !r\.node\.config\.Current\(\)\.IsEvacuated\(c\.DataCentre\)//' lab/e2e TestOperatorEvacuatesADataCentre
