--- a/internal/version/discovery/discovery.go
+++ b/internal/version/discovery/discovery.go
@@ -1,6 +1,7 @@
-// Package discovery keeps a node's targets as the object store lists them,
-// less what the node knows better: targets that refuse, that are other targets
-// now, or that fail.
+// Package discovery keeps a node's table of targets. It follows the list in the
+// object store, and leaves out targets that this node knows to be unusable before
+// the list shows it: those that refuse work, whose address now belongs to another
+// target, or that fail.
 package discovery
 
 import (
@@ -11,62 +12,66 @@
 	"github.com/marblepond/marblepond/internal/request/warmup"
 )
 
-// Record is what the store says of one target.
+// Record is the object store's entry for one target.
 type Record struct {
 	choose.Target
 	Draining bool
-	// WarmUpLeft is how long the target stays cold.
+	// WarmUpLeft is how long the target's slow start still lasts.
 	WarmUpLeft time.Duration
 }
 
 // Pool is the table of targets. It is safe for concurrent use.
 type Pool struct {
-	now      func() time.Time
-	doubtful func() bool // the store's list may lack targets that live
-	onChange func(id, what string)
-
-	mu      sync.Mutex
-	table   *choose.Table
-	records map[string]Record
-	lapsed  map[string]Record // taken from the list while the store was in doubt
-	newest  map[string]uint64 // newest incarnation heard of, by target; kept after the target is gone
-	running map[string][]*run // attempts that end when their target has started again, by target
-	onOwn   func()            // told each change of what this node has in flight
-	onHeard func()            // told each change of what others have in flight
-
-	displacer Preemptor
+	now           func() time.Time
+	listUncertain func() bool // whether the store's list may lack live targets
+	onChange      func(id, what string)
+
+	mu                sync.Mutex
+	table             *choose.Table
+	records           map[string]Record
+	lapsed            map[string]Record     // removed from the list while it was uncertain
+	newestIncarnation map[string]uint64     // newest incarnation seen, by target; kept after the target is removed
+	attempts          map[string][]*attempt // running attempts, by target; they end when the target restarts
+	onOwnChange       func()                // called after each change of this node's counts in flight
+	onOthersChange    func()                // called after each change of other nodes' counts in flight
+
+	preemptor Preemptor
 	joined    func() bool
 }
 
-// Preemptor makes room at full targets. Its methods must not block.
+// Preemptor frees slots at full targets for online requests. Its methods must not
+// block.
 type Preemptor interface {
 	// PreemptItem stops one of this node's items at a target.
 	PreemptItem(target string)
-	// NotifyHolders lets others that have items at a target know at once that an
+	// NotifyHolders tells other nodes that have items at a target at once that an
 	// online request waits for a slot there.
 	NotifyHolders(target string)
 }
 
-// New returns an empty pool. doubtful reports whether the store has been in
-// trouble lately; onChange hears of each change for the log.
-func New(cfg choose.Config, now func() time.Time, doubtful func() bool, onChange func(id, what string)) *Pool {
-	return &Pool{now: now, doubtful: doubtful, onChange: onChange, table: choose.New(cfg),
-		records: map[string]Record{}, lapsed: map[string]Record{}, newest: map[string]uint64{}, running: map[string][]*run{}, onOwn: func() {}, onHeard: func() {}, joined: func() bool { return true }}
+// New returns an empty pool. listUncertain reports whether the store had an outage
+// lately, so that its list may lack live targets; onChange is called with each
+// change of a target, for the log.
+func New(cfg choose.Config, now func() time.Time, listUncertain func() bool, onChange func(id, what string)) *Pool {
+	return &Pool{now: now, listUncertain: listUncertain, onChange: onChange, table: choose.New(cfg),
+		records: map[string]Record{}, lapsed: map[string]Record{}, newestIncarnation: map[string]uint64{}, attempts: map[string][]*attempt{}, onOwnChange: func() {}, onOthersChange: func() {}, joined: func() bool { return true }}
 }
 
-// OnInFlightChange sets the functions that are told each change of what this node has in
-// flight and of what it hears of others. They must not block.
-func (p *Pool) OnInFlightChange(own, heard func()) { p.onOwn, p.onHeard = own, heard }
+// OnInFlightChange sets the functions that are called after each change of this node's
+// counts in flight and of those that other nodes report. They must not block.
+func (p *Pool) OnInFlightChange(onOwnChange, onOthersChange func()) {
+	p.onOwnChange, p.onOthersChange = onOwnChange, onOthersChange
+}
 
-// SetPreemptor sets what makes room; call it before the pool is used.
-func (p *Pool) SetPreemptor(d Preemptor) { p.displacer = d }
+// SetPreemptor sets the preemptor; call it before the pool is used.
+func (p *Pool) SetPreemptor(preemptor Preemptor) { p.preemptor = preemptor }
 
-// SetJoined sets the function that reports whether this node and the others know of each
+// SetJoined sets the function that reports whether this node and the other nodes know each
 // other; call it before the pool is used.
 func (p *Pool) SetJoined(joined func() bool) { p.joined = joined }
 
-// MayHaveItems reports whether batch items of any node are at usable targets of a service,
-// or may be, as long as this node does not know what others have there.
+// MayHaveItems reports whether any node has batch items at usable targets of a service.
+// It returns true as long as this node does not know what other nodes have there.
 func (p *Pool) MayHaveItems(service string) bool {
 	if !p.joined() {
 		return true
@@ -84,80 +89,81 @@
 }
 
 // DataCentreInFlight returns what all nodes of this data centre have in flight, by
-// target, as far as this one knows.
+// target, as far as this node knows.
 func (p *Pool) DataCentreInFlight() map[string]choose.InFlight {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.DataCentreInFlight()
 }
 
-// GroupInFlight returns the same of this node's group.
+// GroupInFlight returns what all nodes of this node's group have in flight, by target,
+// as far as this node knows.
 func (p *Pool) GroupInFlight() map[string]choose.InFlight {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.GroupInFlight()
 }
 
-// Counts returns what is held against the slots of a target.
+// Counts returns the counts that are compared with the slots of a target.
 func (p *Pool) Counts(target string) choose.Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Counts(target)
 }
 
-// Holders returns who else has batch items at a target.
+// Holders returns which other nodes have batch items at a target.
 func (p *Pool) Holders(target string) choose.Holders {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Holders(target)
 }
 
-// JoinGroup says which group of its data centre this node belongs to, and forgets
-// what nodes and groups there were heard to have in flight.
+// JoinGroup sets the group of its data centre that this node belongs to, and drops the
+// counts that nodes and groups there have reported.
 func (p *Pool) JoinGroup(group string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.table.JoinGroup(group)
 }
 
-// SetNode takes what another node of this node's group has in flight; nil: it is
-// not heard of any more. It reports whether that is news.
-func (p *Pool) SetNode(node string, counts map[string]choose.InFlight) (news bool) {
-	return p.hear(func() bool { return p.table.SetNode(node, counts) })
+// SetNode replaces the counts in flight of another node of this node's group; nil means
+// that the node is no longer reachable. It reports whether anything changed.
+func (p *Pool) SetNode(node string, counts map[string]choose.InFlight) (changed bool) {
+	return p.updateOthers(func() bool { return p.table.SetNode(node, counts) })
 }
 
-// SetGroup takes what the nodes of another group of this data centre, so many in
-// number, have in flight; nil: it is not heard of any more. It reports whether that
-// is news.
-func (p *Pool) SetGroup(group string, members int, counts map[string]choose.InFlight) (news bool) {
-	return p.hear(func() bool { return p.table.SetGroup(group, members, counts) })
+// SetGroup replaces the counts in flight of another group of this data centre, which has
+// the number of members given; nil means that the group is no longer reachable. It
+// reports whether anything changed.
+func (p *Pool) SetGroup(group string, members int, counts map[string]choose.InFlight) (changed bool) {
+	return p.updateOthers(func() bool { return p.table.SetGroup(group, members, counts) })
 }
 
-// SetDataCentre takes what another data centre has in flight; nil: it is not
-// heard of any more. It reports whether that is news.
-func (p *Pool) SetDataCentre(name string, counts map[string]choose.InFlight) (news bool) {
-	return p.hear(func() bool { return p.table.SetDataCentre(name, counts) })
+// SetDataCentre replaces the counts in flight of another data centre; nil means that it
+// is no longer reachable. It reports whether anything changed.
+func (p *Pool) SetDataCentre(name string, counts map[string]choose.InFlight) (changed bool) {
+	return p.updateOthers(func() bool { return p.table.SetDataCentre(name, counts) })
 }
 
-// hear changes what others have in flight.
-func (p *Pool) hear(set func() bool) (news bool) {
+// updateOthers changes the counts in flight of other nodes by calling set.
+func (p *Pool) updateOthers(set func() bool) (changed bool) {
 	p.mu.Lock()
-	news = set()
+	changed = set()
 	p.mu.Unlock()
-	if news {
-		p.onHeard()
+	if changed {
+		p.onOthersChange()
 	}
-	return news
+	return changed
 }
 
-// Excess returns how many of this node's batch items are to make room, by target.
+// Excess returns how many of this node's batch items are to yield their slots, by target.
 func (p *Pool) Excess() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Excess(p.now())
 }
 
-// MarkYielding notes that an item at a target was told to make room.
+// MarkYielding records that an item at a target was told to yield its slot.
 func (p *Pool) MarkYielding(t choose.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,18 +172,18 @@
 	}
 }
 
-// MarkLeaving stops new requests to a target that turned out to be leaving, or to be
-// another one.
-func (p *Pool) MarkLeaving(t choose.Target, why string) {
+// MarkLeaving stops new requests to a target that turned out to be leaving, or whose
+// address turned out to belong to another target.
+func (p *Pool) MarkLeaving(t choose.Target, reason string) {
 	p.mu.Lock()
-	news := p.table.MarkLeaving(t.ID, t.Incarnation)
+	marked := p.table.MarkLeaving(t.ID, t.Incarnation)
 	p.mu.Unlock()
-	if news {
-		p.onChange(t.ID, why)
+	if marked {
+		p.onChange(t.ID, reason)
 	}
 }
 
-// Leaving reports whether a target is known to leave, or is not listed.
+// Leaving reports whether a target is known to be leaving, or is not listed.
 func (p *Pool) Leaving(t choose.Target) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -191,14 +197,14 @@
 	p.table.SetEvacuated(p.now(), dataCentres)
 }
 
-// Evacuated reports whether a target stands in a data centre that is evacuated.
+// Evacuated reports whether a target is in a data centre that is evacuated.
 func (p *Pool) Evacuated(t choose.Target) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Evacuated(t)
 }
 
-// AllEvacuated reports whether all targets of a service stand in data centres that are
+// AllEvacuated reports whether all targets of a service are in data centres that are
 // evacuated.
 func (p *Pool) AllEvacuated(service string) bool {
 	p.mu.Lock()
@@ -206,14 +212,15 @@
 	return p.table.AllEvacuated(service)
 }
 
-// SetPosition says which of the nodes that send work this one is.
-func (p *Pool) SetPosition(s warmup.Position) {
+// SetPosition sets this node's position among the nodes that send work, by which targets
+// in slow start take turns.
+func (p *Pool) SetPosition(position warmup.Position) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.table.SetPosition(s)
+	p.table.SetPosition(position)
 }
 
-// List returns all targets, with the reason why any of them gets no work.
+// List returns all targets, each with the reason why it gets no work, if there is one.
 func (p *Pool) List() []choose.Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -241,30 +248,31 @@
 	}
 	own, others := p.table.Preemption(p.now(), target.ID)
 	p.mu.Unlock()
-	p.displaced(target.ID, own, others)
-	p.onOwn()
+	p.preempt(target.ID, own, others)
+	p.onOwnChange()
 	return target, true
 }
 
-// displaced has room made for an online request that was sent to a full target.
-func (p *Pool) displaced(id string, own bool, others choose.Holders) {
+// preempt frees a slot for an online request that was sent to a full target: by one of
+// this node's items, or else by items of other nodes.
+func (p *Pool) preempt(id string, own bool, others choose.Holders) {
 	switch {
 	case own:
-		p.displacer.PreemptItem(id)
+		p.preemptor.PreemptItem(id)
 	case !others.Empty():
-		p.displacer.NotifyHolders(id)
+		p.preemptor.NotifyHolders(id)
 	}
 }
 
-// BetterElsewhere reports whether a request that waits for an event of a target would come
-// sooner to it at another; see choose.Table.BetterElsewhere.
-func (p *Pool) BetterElsewhere(id string, need choose.Need, heard time.Duration) bool {
+// BetterElsewhere reports whether a request that waits for an event of a target would get
+// it sooner at another target; see choose.Table.BetterElsewhere.
+func (p *Pool) BetterElsewhere(id string, need choose.Need, within time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.BetterElsewhere(p.now(), id, need, heard)
+	return p.table.BetterElsewhere(p.now(), id, need, within)
 }
 
-// RecordEvent notes an event of a target.
+// RecordEvent records that an event of a target has arrived.
 func (p *Pool) RecordEvent(t choose.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -285,18 +293,19 @@
 	return target, ok
 }
 
-// End takes the result of an online request.
+// End records the outcome of an online request and frees its slot.
 func (p *Pool) End(t choose.Target, outcome choose.Outcome) {
 	p.end(t, func() (ejected, readmitted bool) { return p.table.End(p.now(), t.ID, outcome) })
 }
 
-// EndBatch takes the result of a batch item.
+// EndBatch records the outcome of a batch item and frees its slot; yielded says whether
+// the item was stopped to free the slot for an online request.
 func (p *Pool) EndBatch(t choose.Target, outcome choose.Outcome, yielded bool) {
 	p.end(t, func() (ejected, readmitted bool) { return p.table.EndBatch(p.now(), t.ID, outcome, yielded) })
 }
 
-// end has the table count the end of an attempt, unless the target has started
-// again: the counts of the new incarnation began without it.
+// end calls count to end an attempt in the table, unless the target has restarted: the
+// counts of the new incarnation never included the attempt.
 func (p *Pool) end(t choose.Target, count func() (ejected, readmitted bool)) {
 	p.mu.Lock()
 	if !p.table.IsCurrent(t) {
@@ -308,11 +317,11 @@
 	}
 	ejected, readmitted := count()
 	p.mu.Unlock()
-	p.onOwn()
-	p.tell(t.ID, ejected, readmitted)
+	p.onOwnChange()
+	p.logEjection(t.ID, ejected, readmitted)
 }
 
-func (p *Pool) tell(id string, ejected, readmitted bool) {
+func (p *Pool) logEjection(id string, ejected, readmitted bool) {
 	switch {
 	case ejected:
 		p.onChange(id, "ejected after failures in a row")
@@ -321,7 +330,7 @@
 	}
 }
 
-// RecordFirstEvent takes the time from sending a request to its first event.
+// RecordFirstEvent records the time from sending a request to its first event.
 func (p *Pool) RecordFirstEvent(t choose.Target, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -330,7 +339,7 @@
 	}
 }
 
-// MarkItemRefused notes that a target refused a batch item because it was full.
+// MarkItemRefused records that a target refused a batch item because it was full.
 func (p *Pool) MarkItemRefused(t choose.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -339,33 +348,33 @@
 	}
 }
 
-// MarkSaturated notes that a target refused an online request because it was full.
+// MarkSaturated records that a target refused an online request because it was full.
 func (p *Pool) MarkSaturated(t choose.Target) {
 	p.mu.Lock()
 	if p.table.IsCurrent(t) {
 		p.table.MarkSaturated(p.now(), t.ID)
 	}
 	p.mu.Unlock()
-	p.onOwn() // batch items there make room
+	p.onOwnChange() // batch items there yield their slots
 }
 
 // BatchCapacity returns how many batch items the usable targets of a data centre
-// have room for beside online requests.
+// have slots for besides online requests.
 func (p *Pool) BatchCapacity(dataCentre string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.BatchCapacity(p.now(), dataCentre)
 }
 
-// Reserve returns the function that tells, by what is known now, how many slots
-// of a target items leave free.
+// Reserve returns a function that says how many slots of a target batch items must leave
+// free, by what is known at the call of Reserve.
 func (p *Pool) Reserve() func(choose.Target) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Reserve()
 }
 
-// RecordSlotTime takes how long an online request of a service held a slot.
+// RecordSlotTime records how long an online request of a service held a slot.
 func (p *Pool) RecordSlotTime(service string, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/version/discovery/discovery_test.go
+++ b/internal/version/discovery/discovery_test.go
@@ -9,12 +9,12 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// doubt is whether the store's list is in doubt.
-type doubt bool
+// uncertain says whether the store's list is uncertain.
+type uncertain bool
 
-func (d *doubt) read() bool { return bool(*d) }
+func (d *uncertain) read() bool { return bool(*d) }
 
-func newTestPool(d *doubt) (*Pool, *[]string) {
+func newTestPool(d *uncertain) (*Pool, *[]string) {
 	var log []string
 	return New(choose.Config{EjectAfter: 2, EjectTime: time.Hour, Policy: choose.LeastOfFew}, time.Now, d.read,
 		func(id, what string) { log = append(log, id+" "+what) }), &log
@@ -24,24 +24,24 @@
 	return Record{Target: choose.Target{ID: id, Incarnation: incarnation, Service: "s", Addr: "10.0.0.1:80", DataCentre: "a", Slots: 2}}
 }
 
-func place(t *testing.T, p *Pool) choose.Target {
+func chooseTarget(t *testing.T, p *Pool) choose.Target {
 	t.Helper()
 	target, ok := p.Choose(choose.Need{Service: "s"})
 	if !ok {
-		t.Fatal("no target has room")
+		t.Fatal("no target has a free slot")
 	}
 	return target
 }
 
-// TestRestartedTargetStartsAnew: a target that starts again under its ID has none
-// of what ran there before, no failures, and is not leaving because the one before
-// it was. What ends late at the one before changes nothing.
-func TestRestartedTargetStartsAnew(t *testing.T) {
+// TestRestartedTargetHasFreshState: a target that restarts under its ID begins without
+// the requests in flight, the failures and the leaving mark of its earlier incarnation.
+// Requests to the earlier incarnation that end late change nothing.
+func TestRestartedTargetHasFreshState(t *testing.T) {
 	is := is.New(t)
-	var in doubt
-	p, _ := newTestPool(&in)
+	var listUncertain uncertain
+	p, _ := newTestPool(&listUncertain)
 	p.Update([]Record{record("t", 100)}, nil, nil)
-	first, second := place(t, p), place(t, p)
+	first, second := chooseTarget(t, p), chooseTarget(t, p)
 	p.End(first, choose.Failure)
 	p.MarkLeaving(second, "it says so")
 	_, ok := p.Choose(choose.Need{Service: "s"})
@@ -49,27 +49,27 @@
 
 	p.Update([]Record{record("t", 200)}, nil, nil)
 	is.Equal(len(p.OwnInFlight()), 0)
-	again := place(t, p)
+	again := chooseTarget(t, p)
 	is.Equal(again.Incarnation, uint64(200))
 	is.Equal(p.OwnInFlight()["t"].Online, 1)
 	p.End(second, choose.Failure) // of the incarnation before
 	p.MarkSaturated(second)
 	p.MarkLeaving(second, "late")
 	is.Equal(p.OwnInFlight()["t"].Online, 1)
-	place(t, p) // it takes requests all the same
+	chooseTarget(t, p) // it still takes requests
 }
 
-// TestOlderWordOverridesNoNewerOne: a late entry of an earlier start changes
-// nothing, also after the target was taken off.
-func TestOlderWordOverridesNoNewerOne(t *testing.T) {
+// TestStaleRecordIsIgnored: a late entry of an earlier incarnation changes nothing,
+// also after the target was removed.
+func TestStaleRecordIsIgnored(t *testing.T) {
 	is := is.New(t)
-	var in doubt
-	p, _ := newTestPool(&in)
+	var listUncertain uncertain
+	p, _ := newTestPool(&listUncertain)
 	p.Update([]Record{record("t", 200)}, nil, nil)
 	late := record("t", 100)
 	late.Draining = true
 	p.Update([]Record{late}, nil, nil)
-	chosen := place(t, p)
+	chosen := chooseTarget(t, p)
 	is.Equal(chosen.Incarnation, uint64(200))
 	p.End(chosen, choose.Success)
 	p.Update(nil, []string{"t"}, nil)
@@ -78,48 +78,48 @@
 	is.True(!ok)
 }
 
-// TestAttemptsHearOfARestart: those at the incarnation that is gone, once, and no
-// others.
-func TestAttemptsHearOfARestart(t *testing.T) {
+// TestAttemptsAreNotifiedOfRestart: a new incarnation notifies each running attempt at an
+// earlier one once, and no other attempts.
+func TestAttemptsAreNotifiedOfRestart(t *testing.T) {
 	is := is.New(t)
-	var in doubt
-	p, _ := newTestPool(&in)
+	var listUncertain uncertain
+	p, _ := newTestPool(&listUncertain)
 	p.Update([]Record{record("t", 100), record("u", 100)}, nil, nil)
-	told := map[string]int{}
+	calls := map[string]int{}
 	watch := func(name, id string, incarnation uint64) func() {
-		return p.OnRestart(choose.Target{ID: id, Incarnation: incarnation}, func() { told[name]++ })
+		return p.OnRestart(choose.Target{ID: id, Incarnation: incarnation}, func() { calls[name]++ })
 	}
 	watch("running", "t", 100)
 	stop := watch("ended", "t", 100)
 	watch("other", "u", 100)
 	stop()
 	p.Update([]Record{record("t", 100)}, nil, nil) // a heartbeat
-	is.Equal(len(told), 0)
+	is.Equal(len(calls), 0)
 	p.Update([]Record{record("t", 200)}, nil, nil)
 	watch("new", "t", 200)
 	p.Update([]Record{record("t", 200)}, nil, nil)
-	is.Equal(told, map[string]int{"running": 1})
+	is.Equal(calls, map[string]int{"running": 1})
 
 	late := make(chan struct{})
 	p.OnRestart(choose.Target{ID: "t", Incarnation: 100}, func() { close(late) }) // chosen before, sent after
 	select {
 	case <-late:
 	case <-time.After(time.Second):
-		t.Fatal("an attempt at a target that is gone is not told")
+		t.Fatal("an attempt at an earlier incarnation is not notified")
 	}
 }
 
-// TestUnreadableEntryIsTakenOff: an entry that names no target any more is taken
-// off at once, also while the store is in doubt; one that is missing then is kept.
-func TestUnreadableEntryIsTakenOff(t *testing.T) {
+// TestUnusableEntryIsRemoved: a target whose entry cannot be used is removed at once, also
+// while the store's list is uncertain; a target that is missing from the list is kept then.
+func TestUnusableEntryIsRemoved(t *testing.T) {
 	is := is.New(t)
-	in := doubt(true)
-	p, log := newTestPool(&in)
+	listUncertain := uncertain(true)
+	p, log := newTestPool(&listUncertain)
 	p.Update([]Record{record("t", 1), record("u", 1)}, nil, nil)
 	p.Update(nil, []string{"u"}, []string{"t"})
-	is.Equal(place(t, p).ID, "u")
-	is.Equal(place(t, p).ID, "u")
+	is.Equal(chooseTarget(t, p).ID, "u")
+	is.Equal(chooseTarget(t, p).ID, "u")
 	_, ok := p.Choose(choose.Need{Service: "s", Overflow: 1, Exclude: map[string]bool{"u": true}})
 	is.True(!ok)
-	is.Equal((*log)[2:], []string{"u lapsed while the store was away; kept until it has settled", "t gone"})
+	is.Equal((*log)[2:], []string{"u missing from the store's list after an outage; kept until the list is reliable again", "t gone"})
 }
--- a/internal/version/discovery/list.go
+++ b/internal/version/discovery/list.go
@@ -6,38 +6,38 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// run is an attempt at one incarnation of a target.
-type run struct {
+// attempt is a running attempt at one incarnation of a target.
+type attempt struct {
 	incarnation uint64
-	ended       func() // told when that incarnation is known to be gone
+	onRestart   func() // called when a newer incarnation is seen
 }
 
-// change is a line of the log about one target.
-type change struct{ id, what string }
+// logEntry is a change of one target for the log.
+type logEntry struct{ id, what string }
 
-// Update takes what the store says of targets: those that are listed, those that
-// are taken off the list, and those whose entries name no target to use. The table
-// is made anew once, however many they are.
-func (p *Pool) Update(listed []Record, gone, refused []string) {
+// Update applies changes of the object store's list: targets that are listed, targets
+// that were removed, and targets whose entries cannot be used. The table is rebuilt
+// once for all of them.
+func (p *Pool) Update(listed []Record, removed, unusable []string) {
 	p.mu.Lock()
-	var changes []change
-	var ended []*run
+	var changes []logEntry
+	var ended []*attempt
 	for _, r := range listed {
-		if r.Incarnation < p.newest[r.ID] {
-			continue // a late word of an earlier incarnation
+		if r.Incarnation < p.newestIncarnation[r.ID] {
+			continue // a late entry of an earlier incarnation
 		}
-		if r.Incarnation > p.newest[r.ID] {
-			ended = append(ended, p.startedAgain(r)...)
+		if r.Incarnation > p.newestIncarnation[r.ID] {
+			ended = append(ended, p.recordRestart(r)...)
 		}
-		changes = append(changes, p.put(r)...)
+		changes = append(changes, p.recordListed(r)...)
 	}
-	for _, id := range gone {
-		changes = append(changes, p.remove(id, p.doubtful())...)
+	for _, id := range removed {
+		changes = append(changes, p.remove(id, p.listUncertain())...)
 	}
-	for _, id := range refused {
+	for _, id := range unusable {
 		changes = append(changes, p.remove(id, false)...)
 	}
-	p.set()
+	p.updateTable()
 	for _, r := range listed {
 		if r.Draining {
 			p.table.MarkLeaving(r.ID, r.Incarnation)
@@ -45,102 +45,102 @@
 		p.table.MarkWarmingUp(p.now(), r.ID, r.Incarnation, r.WarmUpLeft)
 	}
 	p.mu.Unlock()
-	for _, attempt := range ended {
-		attempt.ended()
+	for _, a := range ended {
+		a.onRestart()
 	}
 	for _, c := range changes {
 		p.onChange(c.id, c.what)
 	}
 }
 
-// startedAgain notes a new incarnation of a target, and returns the attempts at
-// earlier ones, which are gone with them. The caller holds p.mu.
-func (p *Pool) startedAgain(r Record) (ended []*run) {
-	p.newest[r.ID] = r.Incarnation
+// recordRestart records a new incarnation of a target and returns the attempts at
+// earlier incarnations, which are lost. The caller holds p.mu.
+func (p *Pool) recordRestart(r Record) (ended []*attempt) {
+	p.newestIncarnation[r.ID] = r.Incarnation
 	if old, known := p.records[r.ID]; known && old.Incarnation < r.Incarnation {
-		delete(p.records, r.ID) // what is put is a new target
+		delete(p.records, r.ID) // the caller lists it as a new target
 	}
-	ended = p.running[r.ID]
-	delete(p.running, r.ID)
+	ended = p.attempts[r.ID]
+	delete(p.attempts, r.ID)
 	return ended
 }
 
-// OnRestart has a function called when a target is known to have started again: what
-// was sent to the incarnation given before it ended is lost with it, whether or not its
-// connection shows it. stop takes the function back. It is called at once when that is
-// known already.
-func (p *Pool) OnRestart(t choose.Target, ended func()) (stop func()) {
+// OnRestart calls onRestart when a newer incarnation of a target is seen, at once if it was
+// seen already. What was sent to the incarnation given is then lost, even if its connection
+// still looks open. stop removes the function.
+func (p *Pool) OnRestart(t choose.Target, onRestart func()) (stop func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.newest[t.ID] > t.Incarnation {
-		go ended()
+	if p.newestIncarnation[t.ID] > t.Incarnation {
+		go onRestart()
 		return func() {}
 	}
-	attempt := &run{t.Incarnation, ended}
-	p.running[t.ID] = append(p.running[t.ID], attempt)
-	return func() { p.forget(t.ID, attempt) }
+	a := &attempt{t.Incarnation, onRestart}
+	p.attempts[t.ID] = append(p.attempts[t.ID], a)
+	return func() { p.removeAttempt(t.ID, a) }
 }
 
-func (p *Pool) forget(id string, attempt *run) {
+func (p *Pool) removeAttempt(id string, a *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	left := slices.DeleteFunc(p.running[id], func(r *run) bool { return r == attempt })
+	left := slices.DeleteFunc(p.attempts[id], func(other *attempt) bool { return other == a })
 	if len(left) == 0 {
-		delete(p.running, id)
+		delete(p.attempts, id)
 		return
 	}
-	p.running[id] = left
+	p.attempts[id] = left
 }
 
-// put notes what the store says of a target. The caller holds p.mu.
-func (p *Pool) put(r Record) []change {
+// recordListed takes over the store's entry for a target. The caller holds p.mu.
+func (p *Pool) recordListed(r Record) []logEntry {
 	old, known := p.records[r.ID]
 	p.records[r.ID] = r
 	delete(p.lapsed, r.ID)
 	switch {
 	case !known && !r.Draining:
-		return []change{{r.ID, "listed"}}
+		return []logEntry{{r.ID, "listed"}}
 	case r.Draining && !old.Draining:
-		return []change{{r.ID, "draining"}}
+		return []logEntry{{r.ID, "draining"}}
 	}
 	return nil
 }
 
-// remove takes a target off. While the store's list is in doubt the target is
-// kept until RemoveLapsed, because it may only have missed its heartbeat there. The
-// caller holds p.mu.
-func (p *Pool) remove(id string, doubtful bool) []change {
+// remove removes a target that is no longer listed. With keep set, because the store's
+// list is uncertain, the target stays in the table until RemoveLapsed: it may live and
+// only have missed its heartbeat to the store. The caller holds p.mu.
+func (p *Pool) remove(id string, keep bool) []logEntry {
 	r, known := p.records[id]
 	delete(p.records, id)
 	switch {
-	case known && !r.Draining && doubtful:
+	case known && !r.Draining && keep:
 		p.lapsed[id] = r
-		return []change{{id, "lapsed while the store was away; kept until it has settled"}}
+		return []logEntry{{id, "missing from the store's list after an outage; kept until the list is reliable again"}}
 	case known:
-		return []change{{id, "gone"}}
+		return []logEntry{{id, "gone"}}
 	}
 	return nil
 }
 
-// RemoveLapsed removes targets that lapsed once the store's list is trusted again.
+// RemoveLapsed removes the targets that were kept while the store's list was uncertain,
+// once it is reliable again.
 func (p *Pool) RemoveLapsed() {
 	p.mu.Lock()
-	var gone []string
-	if len(p.lapsed) > 0 && !p.doubtful() {
+	var removed []string
+	if len(p.lapsed) > 0 && !p.listUncertain() {
 		for id := range p.lapsed {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 		clear(p.lapsed)
-		p.set()
+		p.updateTable()
 	}
 	p.mu.Unlock()
-	for _, id := range gone {
+	for _, id := range removed {
 		p.onChange(id, "gone")
 	}
 }
 
-// set hands the list to the table. The caller holds p.mu.
-func (p *Pool) set() {
+// updateTable sets the listed and the lapsed targets in the table. The caller holds p.mu.
+func (p *Pool) updateTable() {
 	list := make([]choose.Target, 0, len(p.records)+len(p.lapsed))
 	for _, records := range []map[string]Record{p.records, p.lapsed} {
 		for _, r := range records {
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -70,8 +70,8 @@
 mutant 9 internal/version/follow/cache.go 's/old\.Revision > o\.Revision \|\|/old.Revision > o.Revision+9 ||/' internal/version/follow TestOrderOfDeliveryDoesNotMatter
 mutant 9 internal/version/follow/refresh.go 's/objects\.ErrHistoryGone\)/objects.ErrNotFound)/' internal/version/follow TestLostHistoryIsListedAgain
 mutant 7 internal/version/discovery/list.go 's/if r\.Draining \{\n\t\t\tp\.table\.MarkLeaving/if r.Draining \&\& r.Slots == 0 {\n\t\t\tp.table.MarkLeaving/' lab/hosted TestDrainingTarget
-mutant 7 internal/version/discovery/list.go 's/if r\.Incarnation < p\.newest\[r\.ID\] \{/if r.Incarnation < p.newest[r.ID] \&\& r.Slots == 0 {/' internal/version/discovery TestOlderWordOverridesNoNewerOne
-mutant 6 internal/version/discovery/list.go 's/ended = p\.running\[r\.ID\]/_ = p.running[r.ID]/' internal/version/discovery TestAttemptsHearOfARestart
+mutant 7 internal/version/discovery/list.go 's/if r\.Incarnation < p\.newestIncarnation\[r\.ID\] \{/if r.Incarnation < p.newestIncarnation[r.ID] \&\& r.Slots == 0 {/' internal/version/discovery TestStaleRecordIsIgnored
+mutant 6 internal/version/discovery/list.go 's/ended = p\.attempts\[r\.ID\]/_ = p.attempts[r.ID]/' internal/version/discovery TestAttemptsAreNotifiedOfRestart
 mutant 7 platform/wire.go 's/\*w\.State != stateDraining\)/*w.State == "")/' platform TestEntriesOfAnotherWriterNameNoTarget
 mutant 1 internal/request/job/heads.go 's/return !fresh && k\.holderUsable/return k.holderUsable/' internal/request/job TestStaleHeadDoesNotHideResults
 mutant 1 internal/request/job/verify.go 's/head\.Epoch > h\.head\.Epoch/head.Epoch > h.head.Epoch+9/' internal/request/job TestFormerHolderStopsAfterTakeover
