--- a/internal/request/job/manager.go
+++ b/internal/request/job/manager.go
@@ -31,12 +31,12 @@
 	// ChooseBatch chooses a target for an item and counts the item there.
 	ChooseBatch(need choose.Need) (choose.Target, bool)
 	// EndBatch records the end of an item's attempt; yielded says whether the attempt was
-	// stopped for an online request and counted by Yielding.
+	// stopped for an online request and counted by MarkYielding.
 	EndBatch(t choose.Target, outcome choose.Outcome, yielded bool)
 	// Excess returns how many of this node's items have to stop for online requests, by
 	// target.
 	Excess() map[string]int
-	// Yielding counts an item at a target that was stopped for an online request.
+	// MarkYielding counts an item at a target that was stopped for an online request.
 	MarkYielding(t choose.Target)
 	// MarkItemRefused records that a target refused an item because it was full.
 	MarkItemRefused(t choose.Target)
