--- a/internal/version/targets/gossip.go
+++ b/internal/version/targets/gossip.go
@@ -12,9 +12,9 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// Pack implements membership.Passenger: owned targets' loads and leaving VMs
-// go to the nodes of the same data centre. Names and marks that are not new
-// are sent only when all state is.
+// Pack implements membership.Passenger: it adds the loads of owned targets and the
+// leaving VMs to heartbeats within the data centre. Loaded names and leaving VMs that
+// have not changed lately are added only when full is set.
 func (m *Manager) Pack(state *v1.HeartbeatRequest, sameDataCentre, full bool) {
 	if !sameDataCentre {
 		return
@@ -24,17 +24,17 @@
 	now := time.Now()
 	for id, p := range m.polls {
 		if s, ok := m.table.Get(now, id); ok && s.Known {
-			state.Loads = append(state.Loads, loadProto(s, full || now.Sub(p.renamed) < m.membership.News()))
+			state.Loads = append(state.Loads, loadToProto(s, full || now.Sub(p.loadedChanged) < m.membership.News()))
 		}
 	}
 	for vm, incarnation := range m.table.LeavingIncarnations() {
-		if full || now.Sub(m.marked[vm]) < m.membership.News() {
+		if full || now.Sub(m.leavingSince[vm]) < m.membership.News() {
 			state.Leaving = append(state.Leaving, &v1.LeavingVM{Vm: vm, Incarnation: incarnation})
 		}
 	}
 }
 
-func loadProto(s choose.Status, names bool) *v1.TargetLoad {
+func loadToProto(s choose.Status, names bool) *v1.TargetLoad {
 	load := &v1.TargetLoad{Target: s.ID, Incarnation: s.Incarnation, Running: uint32(s.Load.Running), Waiting: uint32(s.Load.Waiting),
 		MaxRunning: uint32(s.Load.MaxRunning), Batch: uint32(s.Load.Batch), Healthy: s.Load.Healthy, Names: names, StartedMs: s.Load.Started}
 	if names {
@@ -49,21 +49,22 @@
 		return
 	}
 	var ended []choose.Target
-	defer func() { m.tellEnded(ended) }() // after m.mu is free
+	defer func() { m.notifyProcessEnds(ended) }() // after m.mu is unlocked
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range state.Loads {
 		if m.owners[l.Target] == m.membership.View().Self.ID {
-			continue // own readings are newer
+			continue // this node owns the target, and its own readings are newer
 		}
-		ended = append(ended, m.report(l.Target, l.Incarnation, m.loadFromProto(l))...)
+		ended = append(ended, m.recordLoad(l.Target, l.Incarnation, m.loadFromProto(l))...)
 	}
 	for _, vm := range state.Leaving {
-		m.leave(vm.Vm, vm.Incarnation, "node "+from.Id)
+		m.markLeaving(vm.Vm, vm.Incarnation, "node "+from.Id)
 	}
 }
 
-// loadFromProto completes a load that was sent without names.
+// loadFromProto converts a received load. A load that was sent without loaded names keeps
+// those received before from the same incarnation.
 func (m *Manager) loadFromProto(l *v1.TargetLoad) choose.Load {
 	now := time.Now()
 	load := choose.Load{Running: int(l.Running), Waiting: int(l.Waiting), MaxRunning: int(l.MaxRunning),
@@ -74,33 +75,34 @@
 	return load
 }
 
-// pressurePause is the least time between two pressure reports to one owner.
-const pressurePause = 5 * time.Millisecond
+// minPressureInterval is the least time between two pressure reports to one owner:
+// changes in quick succession go out together.
+const minPressureInterval = 5 * time.Millisecond
 
-// SendPressure tells owners how many online requests this node has at their
-// targets, soon after a count changes, until ctx ends. local takes the counts
-// of targets this node owns itself.
+// SendPressure reports to owners how many online requests this node has at their
+// targets, soon after a count changes, until ctx ends. local receives the reports on
+// targets that this node owns itself.
 func (m *Manager) SendPressure(ctx context.Context, pool *peer.Pool, local func(*v1.PressureRequest)) {
 	for {
 		changed := map[string]bool{}
 		select {
 		case <-ctx.Done():
 			return
-		case id := <-m.touched.Out():
+		case id := <-m.countChanged.Out():
 			changed[id] = true
 		}
-		for len(changed) > 0 && m.touched.Len() > 0 {
-			changed[<-m.touched.Out()] = true
+		for len(changed) > 0 && m.countChanged.Len() > 0 {
+			changed[<-m.countChanged.Out()] = true
 		}
-		for owner, req := range m.pressure(changed) {
+		for owner, req := range m.pressureReports(changed) {
 			m.deliver(ctx, pool, owner, req, local)
 		}
-		wait.For(ctx, pressurePause)
+		wait.For(ctx, minPressureInterval)
 	}
 }
 
-// pressure builds one report per owner of the changed targets.
-func (m *Manager) pressure(changed map[string]bool) map[string]*v1.PressureRequest {
+// pressureReports returns one report for each owner of the changed targets, by owner.
+func (m *Manager) pressureReports(changed map[string]bool) map[string]*v1.PressureRequest {
 	self := m.membership.View().Self
 	seq := m.seq.Add(1)
 	m.mu.Lock()
@@ -132,7 +134,7 @@
 		if _, err := pool.Client(to.PeerAddr).Pressure(ctx, req); err != nil {
 			m.recorder.Record(timeline.RingOverflow, "", owner, "pressure report not delivered")
 			for _, t := range req.Targets {
-				m.touched.Put(t.Target) // counts are absolute: send again
+				m.countChanged.Put(t.Target) // counts are absolute: send again
 			}
 		}
 	}()
--- a/internal/version/targets/targets.go
+++ b/internal/version/targets/targets.go
@@ -1,10 +1,10 @@
-// Package targets keeps a node's picture of the targets of its data centre:
-// the VM list, load reports, who owns which target, and the orders that make
-// targets what the configuration asks for.
+// Package targets keeps a node's table of the targets of its data centre: the VM
+// list, load reports, the owner of each target, and the orders by which targets
+// load and unload models until they match the configuration.
 //
 // Each target is owned by one node of its data centre, found by rendezvous
-// hashing over the live members. The owner reads the target's load, passes it
-// on with its heartbeats, and holds the target's batch slots.
+// hashing over the live members. The owner reads the target's load, sends it to
+// other nodes with its heartbeats, and allots the target's batch slots.
 package targets
 
 import (
@@ -32,7 +32,7 @@
 	"github.com/marblepond/marblepond/internal/version/order"
 )
 
-// Config of a manager.
+// Config configures a Manager.
 type Config struct {
 	VMListInterval time.Duration
 	LoadInterval   time.Duration
@@ -49,33 +49,33 @@
 	checker    *invariant.Checker
 	config     func() *fleet.Config
 
-	mu     sync.Mutex
-	table  *choose.Table
-	owners map[string]string    // target to node
-	marked map[string]time.Time // when a VM was learned to be leaving
-	// touched carries targets whose online count changed to the pressure
-	// duty; dropping one is safe because counts sent are absolute.
-	touched  *ring.Ring[string]
-	batch    func(target string) int // own batch items in flight
-	onReport func(target string, load choose.Load, usable bool)
-	onOwn    func(ids []string)
-	onEnded  func(t choose.Target)
-	polls    map[string]*poll
-	seq      atomic.Uint64
-}
-
-// poll is the state of reading one owned target.
+	mu           sync.Mutex
+	table        *choose.Table
+	owners       map[string]string    // node ID by target ID
+	leavingSince map[string]time.Time // by VM: when this node learned that it is leaving
+	// countChanged queues targets whose online count changed for SendPressure;
+	// dropping one is safe because the counts sent are absolute.
+	countChanged  *ring.Ring[string]
+	batchInFlight func(target string) int // this node's batch items in flight at a target
+	onLoad        func(target string, load choose.Load, usable bool)
+	onOwnedChange func(ids []string)
+	onProcessEnd  func(t choose.Target)
+	polls         map[string]*poll
+	seq           atomic.Uint64
+}
+
+// poll is the state of load readings of one owned target.
 type poll struct {
-	misses  int
-	renamed time.Time // when what is loaded last changed
-	ordered time.Time
-	busy    bool
+	misses        int       // failed readings in a row
+	loadedChanged time.Time // when the loaded names last changed
+	lastOrder     time.Time
+	busy          bool
 }
 
-// touchedSize bounds the touched ring.
-const touchedSize = 4096
+// countChangedSize bounds the queue countChanged.
+const countChangedSize = 4096
 
-// New returns a manager.
+// New returns a manager; config returns the configuration in force.
 func New(cfg Config, p *platform.Client, e *engine.Client, m *membership.Manager, r *timeline.Recorder, c *invariant.Checker, config func() *fleet.Config) *Manager {
 	cfg.Choose.WarmUp = func(service string) warmup.Rate {
 		if s := config().Services[service]; s != nil {
@@ -85,23 +85,26 @@
 	}
 	return &Manager{
 		cfg: cfg, platform: p, engines: e, membership: m, recorder: r, checker: c, config: config,
-		table: choose.New(cfg.Choose), owners: map[string]string{}, marked: map[string]time.Time{}, polls: map[string]*poll{},
-		touched:  ring.New[string](touchedSize, ring.DropOldest),
-		batch:    func(string) int { return 0 },
-		onReport: func(string, choose.Load, bool) {},
-		onOwn:    func([]string) {},
-		onEnded:  func(choose.Target) {},
+		table: choose.New(cfg.Choose), owners: map[string]string{}, leavingSince: map[string]time.Time{}, polls: map[string]*poll{},
+		countChanged:  ring.New[string](countChangedSize, ring.DropOldest),
+		batchInFlight: func(string) int { return 0 },
+		onLoad:        func(string, choose.Load, bool) {},
+		onOwnedChange: func([]string) {},
+		onProcessEnd:  func(choose.Target) {},
 	}
 }
 
-// SetBatch connects the batch side; call it before Run.
-func (m *Manager) SetBatch(inFlight func(string) int, onReport func(string, choose.Load, bool), onOwn func([]string)) {
-	m.batch, m.onReport, m.onOwn = inFlight, onReport, onOwn
+// SetBatch sets the functions that connect the batch worker: inFlight returns this node's
+// batch items at a target, onLoad is called with each load reading of an owned target, and
+// onOwnedChange with the IDs of the owned targets. Call it before Run.
+func (m *Manager) SetBatch(inFlight func(string) int, onLoad func(string, choose.Load, bool), onOwnedChange func([]string)) {
+	m.batchInFlight, m.onLoad, m.onOwnedChange = inFlight, onLoad, onOwnedChange
 }
 
-// OnProcessEnd has a function told each target whose process has started again, with the
-// start that is over as incarnation; call it before Run.
-func (m *Manager) OnProcessEnd(f func(t choose.Target)) { m.onEnded = f }
+// OnProcessEnd sets the function that is called with each target whose process has
+// restarted; the target's incarnation is the start of the process that ended. Call it
+// before Run.
+func (m *Manager) OnProcessEnd(f func(t choose.Target)) { m.onProcessEnd = f }
 
 // Run reads the VM list and the owned targets until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
@@ -112,28 +115,28 @@
 }
 
 const (
-	// vmReadersPerDC is how many nodes of a data centre read the VM list at
-	// the full rate; the others hear of leaving VMs by heartbeat and read it
-	// every slowReads intervals.
-	vmReadersPerDC = 2
-	slowReads      = 5
+	// vmReadersPerDataCentre is how many nodes of a data centre read the VM list
+	// every VMListInterval. The others learn of leaving VMs by heartbeat, and read
+	// the list every slowReadIntervals intervals.
+	vmReadersPerDataCentre = 2
+	slowReadIntervals      = 5
 )
 
 func (m *Manager) readVMs(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		if n%slowReads == 0 || m.readsVMs() {
+		if n%slowReadIntervals == 0 || m.isVMReader() {
 			view := m.membership.View()
 			if vms, err := m.platform.VMs(ctx, view.Self.DataCentre); err == nil {
-				m.takeVMs(vms, view.Self)
+				m.applyVMs(vms, view.Self)
 			}
 		}
 		wait.For(ctx, jitter(m.cfg.VMListInterval))
 	}
 }
 
-func (m *Manager) readsVMs() bool {
+func (m *Manager) isVMReader() bool {
 	view := m.membership.View()
-	for _, id := range rendezvous.Rank("vm-list", view.Duty, vmReadersPerDC) {
+	for _, id := range rendezvous.Rank("vm-list", view.Duty, vmReadersPerDataCentre) {
 		if id == view.Self.ID {
 			return true
 		}
@@ -141,7 +144,7 @@
 	return false
 }
 
-func (m *Manager) takeVMs(vms []platform.VM, self member.Info) {
+func (m *Manager) applyVMs(vms []platform.VM, self member.Info) {
 	var list []choose.Target
 	var nodes []member.Info
 	for _, vm := range vms {
@@ -156,7 +159,7 @@
 	m.mu.Lock()
 	for _, vm := range vms {
 		if vm.Leaving {
-			m.leave(vm.ID, vm.Incarnation, "VM list")
+			m.markLeaving(vm.ID, vm.Incarnation, "VM list")
 		}
 	}
 	m.table.SetTargets(list)
@@ -165,9 +168,9 @@
 	m.UpdateOwners(m.membership.View())
 }
 
-func (m *Manager) leave(vm string, incarnation uint64, source string) {
+func (m *Manager) markLeaving(vm string, incarnation uint64, source string) {
 	if m.table.MarkLeaving(vm, incarnation) {
-		m.marked[vm] = time.Now()
+		m.leavingSince[vm] = time.Now()
 		m.recorder.Record(timeline.VMLeaving, "", vm, source)
 	}
 }
@@ -179,7 +182,7 @@
 	m.table.SetEvacuated(time.Now(), dataCentres)
 }
 
-// AllEvacuated reports whether all targets of a service stand in data centres that are
+// AllEvacuated reports whether all targets of a service are in data centres that are
 // evacuated.
 func (m *Manager) AllEvacuated(service string) bool {
 	m.mu.Lock()
@@ -187,16 +190,16 @@
 	return m.table.AllEvacuated(service)
 }
 
-// UpdateOwners computes the owners anew.
+// UpdateOwners recomputes the owner of each target from the members in view.
 func (m *Manager) UpdateOwners(view *member.View) {
 	m.mu.Lock()
 	m.table.SetPosition(warmup.PositionOf(view.Self.ID, view.Duty))
-	var own []string
+	var owned []string
 	for _, s := range m.table.List(time.Now()) {
 		owner := rendezvous.First(s.ID, view.Duty)
 		m.owners[s.ID] = owner
 		if owner == view.Self.ID {
-			own = append(own, s.ID)
+			owned = append(owned, s.ID)
 			if m.polls[s.ID] == nil {
 				m.polls[s.ID] = &poll{}
 			}
@@ -205,10 +208,10 @@
 		}
 	}
 	m.mu.Unlock()
-	m.onOwn(own)
+	m.onOwnedChange(owned)
 }
 
-// readLoads reads every owned target once an interval.
+// readLoads reads the load of every owned target once per LoadInterval.
 func (m *Manager) readLoads(ctx context.Context) {
 	ticker := time.NewTicker(m.cfg.LoadInterval)
 	defer ticker.Stop()
@@ -224,7 +227,8 @@
 	}
 }
 
-// ownedIdle returns the owned targets that are not being read now.
+// ownedIdle returns the owned targets without a load reading in progress, and marks them
+// as being read.
 func (m *Manager) ownedIdle() []choose.Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -238,23 +242,23 @@
 	return out
 }
 
-// missesAllowed is how many readings in a row may fail before a target counts
+// unhealthyAfterMisses is how many readings in a row have to fail for a target to count
 // as unhealthy.
-const missesAllowed = 3
+const unhealthyAfterMisses = 3
 
-// readTimeouts is how many intervals one reading may take.
-const readTimeouts = 5
+// readTimeoutIntervals is the timeout of one load reading, in multiples of LoadInterval.
+const readTimeoutIntervals = 5
 
 func (m *Manager) readLoad(ctx context.Context, s choose.Status) {
-	ctx, cancel := context.WithTimeout(ctx, readTimeouts*m.cfg.LoadInterval)
+	ctx, cancel := context.WithTimeout(ctx, readTimeoutIntervals*m.cfg.LoadInterval)
 	defer cancel()
 	report, err := m.engines.Load(ctx, s.Addr)
-	batch := m.batch(s.ID) // before m.mu: the batch side calls Usable under its own lock
+	batch := m.batchInFlight(s.ID) // before m.mu: the batch worker calls Usable under its own lock
 	m.mu.Lock()
 	p := m.polls[s.ID]
 	if p == nil {
 		m.mu.Unlock()
-		return // owned by another node by now
+		return // another node owns it now
 	}
 	p.busy = false
 	p.misses++
@@ -266,40 +270,41 @@
 	if err != nil {
 		load = s.Load
 		load.At = time.Now()
-		load.Healthy = p.misses < missesAllowed && s.Known
-		if p.misses == missesAllowed {
+		load.Healthy = p.misses < unhealthyAfterMisses && s.Known
+		if p.misses == unhealthyAfterMisses {
 			m.recorder.Record(timeline.TargetLost, "", s.ID, err.Error())
 		}
 	}
 	if !slices.Equal(load.Loaded, s.Load.Loaded) {
-		p.renamed = time.Now()
+		p.loadedChanged = time.Now()
 	}
-	ended := m.report(s.ID, s.Incarnation, load)
+	ended := m.recordLoad(s.ID, s.Incarnation, load)
 	now, _ := m.table.Get(time.Now(), s.ID)
-	due := err == nil && time.Since(p.ordered) > orderPause
+	due := err == nil && time.Since(p.lastOrder) > minOrderInterval
 	m.mu.Unlock()
-	m.tellEnded(ended)
-	m.onReport(s.ID, load, now.Reason == "")
+	m.notifyProcessEnds(ended)
+	m.onLoad(s.ID, load, now.Reason == "")
 	if due {
-		m.order(ctx, s, report, p)
+		m.sendOrder(ctx, s, report, p)
 	}
 }
 
-// report takes a load report, and returns the process that it shows to have ended: the
-// target with its start as incarnation. The caller holds m.mu.
-func (m *Manager) report(id string, incarnation uint64, load choose.Load) (ended []choose.Target) {
+// recordLoad records a load report. If the report shows that the target's process has
+// restarted, it returns the target with the start of the ended process as incarnation.
+// The caller holds m.mu.
+func (m *Manager) recordLoad(id string, incarnation uint64, load choose.Load) (ended []choose.Target) {
 	before, known := m.table.Get(time.Now(), id)
 	m.table.RecordLoad(id, incarnation, load)
-	m.warmUp(id, incarnation, load.Started)
+	m.markWarmingUp(id, incarnation, load.Started)
 	if known && before.Load.Started > 0 && load.Started > before.Load.Started {
-		ended = append(ended, ofProcess(before))
+		ended = append(ended, withProcessStart(before))
 	}
 	return ended
 }
 
-// warmUp notes that a target is cold if its process, whose start is given in Unix
-// milliseconds, has not run for long. The caller holds m.mu.
-func (m *Manager) warmUp(id string, incarnation, started uint64) {
+// markWarmingUp puts a target in slow start for what is left of its service's warm-up
+// time; started is the start of its process in Unix milliseconds. The caller holds m.mu.
+func (m *Manager) markWarmingUp(id string, incarnation, started uint64) {
 	s, known := m.table.Get(time.Now(), id)
 	if !known || started == 0 {
 		return
@@ -308,34 +313,34 @@
 	m.table.MarkWarmingUp(time.Now(), id, incarnation, m.cfg.Choose.WarmUp(s.Service).Time-ran)
 }
 
-// ofProcess returns a target whose incarnation is the start of its process, which
-// changes more often than that of its VM.
-func ofProcess(s choose.Status) choose.Target {
+// withProcessStart returns a target with the start of its process as incarnation: a
+// process restarts more often than its VM.
+func withProcessStart(s choose.Status) choose.Target {
 	t := s.Target
 	t.Incarnation = s.Load.Started
 	return t
 }
 
-func (m *Manager) tellEnded(ended []choose.Target) {
+func (m *Manager) notifyProcessEnds(ended []choose.Target) {
 	for _, t := range ended {
-		m.onEnded(t)
+		m.onProcessEnd(t)
 	}
 }
 
-// WithProcessStart returns a target with the start of its process as incarnation; false: the
-// target does not say when that was.
+// WithProcessStart returns a target with the start of its process as incarnation; false if
+// the target does not report the start.
 func (m *Manager) WithProcessStart(t choose.Target) (choose.Target, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s, ok := m.table.Get(time.Now(), t.ID)
-	return ofProcess(s), ok && s.Load.Started > 0
+	return withProcessStart(s), ok && s.Load.Started > 0
 }
 
-// orderPause is the least time between two orders to one target, above the
-// lag of its load reports.
-const orderPause = time.Second
+// minOrderInterval is the least time between two orders to one target. It is longer than
+// the delay of load reports, so that the next order sees the effect of the last one.
+const minOrderInterval = time.Second
 
-func (m *Manager) order(ctx context.Context, s choose.Status, report engine.Report, p *poll) {
+func (m *Manager) sendOrder(ctx context.Context, s choose.Status, report engine.Report, p *poll) {
 	config := m.config()
 	service := config.Services[s.Service]
 	if service == nil {
@@ -345,28 +350,28 @@
 	if !ok {
 		return
 	}
-	p.ordered = time.Now()
+	p.lastOrder = time.Now()
 	err := m.engines.Order(ctx, s.Addr, next)
 	result := "taken"
 	if errors.Is(err, engine.ErrFenced) {
-		result = "refused: an owner with a newer configuration was here"
+		result = "refused: the target has an order of a newer configuration version"
 	} else if err != nil {
 		result = err.Error()
 	}
 	m.recorder.Record(timeline.TargetOrdered, "", s.ID, fmt.Sprintf("%s %s fence %d: %s", next.Op, next.Name, next.Fence, result))
 }
 
-// Choose picks a target and counts the request there. When no target has the
-// wanted version, one with another version of the same model is taken: while a
-// version is rolled out, the one before it goes on serving.
+// Choose chooses a target and counts the request there. When no target has the
+// wanted version, it chooses one with another version of the same model: while a
+// version is rolled out, the previous version continues to serve.
 func (m *Manager) Choose(need choose.Need) (choose.Target, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	target, ok := m.table.Choose(now, need)
 	if !ok {
-		if older := m.otherVersion(need); older != "" {
-			need.Loaded = older
+		if other := m.otherVersion(need); other != "" {
+			need.Loaded = other
 			target, ok = m.table.Choose(now, need)
 		}
 	}
@@ -395,11 +400,12 @@
 	s, ok := m.table.Get(time.Now(), target.ID)
 	m.checker.Assert(ok && !s.Leaving, invariant.NoWorkLeaving, "", target.ID, "chosen while leaving")
 	m.table.Begin(target.ID)
-	m.touched.Put(target.ID)
+	m.countChanged.Put(target.ID)
 }
 
-// LoadedName returns the name to ask a target for: the wanted one if loaded,
-// else another version of the same model.
+// LoadedName returns the model name to request from a target: the wanted one if the
+// target has it loaded, else another loaded version of the same model, else the wanted
+// one.
 func (m *Manager) LoadedName(id, wanted string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -416,12 +422,12 @@
 	return other
 }
 
-// End ends a request counted by Choose.
+// End records the outcome of a request that Choose counted.
 func (m *Manager) End(id string, outcome choose.Outcome) {
 	m.finish(id, outcome, m.table.End)
 }
 
-// RecordOutcome counts the outcome of a batch item, whose place the pacer counts.
+// RecordOutcome records the outcome of a batch item; its slot is counted by the pacer.
 func (m *Manager) RecordOutcome(id string, outcome choose.Outcome) {
 	m.finish(id, outcome, m.table.RecordOutcome)
 }
@@ -430,30 +436,30 @@
 	m.mu.Lock()
 	ejected, readmitted := end(time.Now(), id, outcome)
 	m.mu.Unlock()
-	m.touched.Put(id)
+	m.countChanged.Put(id)
 	if ejected {
 		m.recorder.Record(timeline.TargetEjected, "", id, "failures in a row")
 	}
 	if readmitted {
-		m.recorder.Record(timeline.TargetReadmitted, "", id, "a trial request succeeded")
+		m.recorder.Record(timeline.TargetReadmitted, "", id, "a probe request succeeded")
 	}
 }
 
 // ServiceTotals sums up the usable targets of a service. Targets with another version
-// of the model count while none has the wanted one.
+// of the model count only while no target has the wanted one.
 func (m *Manager) ServiceTotals(service, loaded string) (usable, capacity, inFlight, waiting int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	usable, capacity, inFlight, waiting = m.table.ServiceTotals(time.Now(), service, loaded)
 	if usable == 0 {
-		if older := m.otherVersion(choose.Need{Service: service, Loaded: loaded}); older != "" {
-			return m.table.ServiceTotals(time.Now(), service, older)
+		if other := m.otherVersion(choose.Need{Service: service, Loaded: loaded}); other != "" {
+			return m.table.ServiceTotals(time.Now(), service, other)
 		}
 	}
 	return usable, capacity, inFlight, waiting
 }
 
-// Leaving reports whether a target is known to leave, or is not listed.
+// Leaving reports whether a target is known to be leaving, or is not listed.
 func (m *Manager) Leaving(t choose.Target) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -468,7 +474,7 @@
 	return m.table.TargetCount(service)
 }
 
-// Usable reports whether a target may get new work now.
+// Usable returns a target and whether it may get new work now.
 func (m *Manager) Usable(id string) (choose.Target, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -476,7 +482,7 @@
 	return s.Target, ok && s.Reason == ""
 }
 
-// List returns all targets with their owners.
+// List returns all targets, and the owner of each by target ID.
 func (m *Manager) List() (list []choose.Status, owners map[string]string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -487,7 +493,7 @@
 	return m.table.List(time.Now()), owners
 }
 
-// jitter spreads a pause over 0.8 to 1.2 times d.
+// jitter returns a random duration between 0.8 and 1.2 times d.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.8 + 0.4*rand.Float64()))
 }
--- a/internal/version/targets/targets_test.go
+++ b/internal/version/targets/targets_test.go
@@ -25,16 +25,16 @@
 	"github.com/marblepond/marblepond/internal/version/fleet"
 )
 
-// newManager returns a manager alone in its data centre, with one target that
+// newManager returns a manager of the only node in its data centre, with one target that
 // has m@1 loaded.
 func newManager(t *testing.T) *Manager {
 	t.Helper()
-	return managerOf(t, fleet.Empty(), time.Time{})
+	return newManagerWith(t, fleet.Empty(), time.Time{})
 }
 
-// managerOf returns the same with a configuration, and a target whose process started at
-// a time; zero: it does not tell.
-func managerOf(t *testing.T, config *fleet.Config, started time.Time) *Manager {
+// newManagerWith is newManager with a configuration, and with a target whose process
+// started at the time given; the target does not report a zero time.
+func newManagerWith(t *testing.T, config *fleet.Config, started time.Time) *Manager {
 	t.Helper()
 	report := engine.Report{MaxRunning: 8, Loaded: []string{"m@1"}}
 	if !started.IsZero() {
@@ -49,14 +49,14 @@
 	members := membership.New(self, member.Timing{Heartbeat: time.Second, SuspectAfter: 3 * time.Second, DeadAfter: 6 * time.Second}, nil, nil, recorder)
 	m := New(Config{LoadInterval: time.Second, Choose: choose.Config{EjectAfter: 3, EjectTime: time.Second, Policy: choose.Affinity}},
 		nil, engine.New(server.Client(), time.Second), members, recorder, invariant.New(recorder, false), func() *fleet.Config { return config })
-	m.takeVMs([]platform.VM{{ID: "t", Incarnation: 1, DataCentre: "dc", Role: platform.RoleTarget, Service: "s", Addr: strings.TrimPrefix(server.URL, "http://")}}, self)
+	m.applyVMs([]platform.VM{{ID: "t", Incarnation: 1, DataCentre: "dc", Role: platform.RoleTarget, Service: "s", Addr: strings.TrimPrefix(server.URL, "http://")}}, self)
 	return m
 }
 
-// TestReadingAskedByTheBatchSide: the batch side asks for usable targets under
-// its own lock, and a reading asks the batch side for its count. Neither may
-// hold its lock over the other's; a node hung when one did.
-func TestReadingAskedByTheBatchSide(t *testing.T) {
+// TestLoadReadingDoesNotDeadlockWithBatch: the batch worker calls Usable under its own
+// lock, and a load reading asks the worker for its count. A node hung when the reading
+// held the manager's lock during that call.
+func TestLoadReadingDoesNotDeadlockWithBatch(t *testing.T) {
 	is := is.New(t)
 	m := newManager(t)
 	m.SetBatch(func(id string) int { m.Usable(id); return 0 }, func(string, choose.Load, bool) {}, func([]string) {})
@@ -70,14 +70,15 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("a reading holds the table's lock while it asks the batch side")
+		t.Fatal("a load reading holds the manager's lock while it asks the batch worker")
 	}
 	_, usable := m.Usable("t")
 	is.True(usable)
 }
 
-// TestNamesAreKept: a load without names leaves what is loaded as it was.
-func TestNamesAreKept(t *testing.T) {
+// TestLoadWithoutNamesKeepsLoaded: a load that is sent without names leaves the loaded
+// names unchanged.
+func TestLoadWithoutNamesKeepsLoaded(t *testing.T) {
 	is := is.New(t)
 	m := newManager(t)
 	m.owners["t"] = "other"
@@ -90,17 +91,18 @@
 	is.Equal(list[0].Load.Running, 3)
 	m.Unpack(from, &v1.HeartbeatRequest{Loads: []*v1.TargetLoad{{Target: "t", Incarnation: 1, MaxRunning: 8, Healthy: true, Names: true}}})
 	list, _ = m.List()
-	is.Equal(len(list[0].Load.Loaded), 0) // names given: none
+	is.Equal(len(list[0].Load.Loaded), 0) // names were sent, and there are none
 }
 
-// TestStartedProcessIsSparedWhileItWarmsUp: a target whose process has just started gets
-// requests at the rate that its service names, and is used whole once it is warm.
-func TestStartedProcessIsSparedWhileItWarmsUp(t *testing.T) {
+// TestStartedProcessIsLimitedDuringWarmUp: a target whose process has just started gets
+// requests at the warm-up rate of its service, and without that limit after its warm-up
+// time.
+func TestStartedProcessIsLimitedDuringWarmUp(t *testing.T) {
 	is := is.New(t)
 	config, err := fleet.Parse([]byte("[service \"s\"]\nwarm_up = 1s\nwarm_up_rate = 10\n"))
 	is.NoErr(err)
 	began := time.Now()
-	m := managerOf(t, config, began)
+	m := newManagerWith(t, config, began)
 	for _, s := range m.ownedIdle() {
 		m.readLoad(context.Background(), s)
 	}
@@ -113,7 +115,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	is.True(sent >= 1)
-	is.True(sent <= 10) // the rate, for nine tenths of a second, and the turn at its start
+	is.True(sent <= 10) // 0.9 s at 10 requests a second, and the one at its start
 	time.Sleep(time.Until(began.Add(1100 * time.Millisecond)))
 	for range 20 {
 		_, ok := m.Choose(choose.Need{Service: "s"})
