--- a/internal/process/hosted/batchwork.go
+++ b/internal/process/hosted/batchwork.go
@@ -45,7 +45,7 @@
 // ownClaim returns the batch work of this data centre.
 func (w *batchWork) ownClaim() choose.Claim {
 	demand := total(w.demandByGroup())
-	room := w.node.pool.BatchRoom(w.node.settings.DataCentre)
+	room := w.node.pool.BatchCapacity(w.node.settings.DataCentre)
 	return choose.Claim{Demand: demand, Overflow: max(0, demand-room)}
 }
 
--- a/internal/process/hosted/changes.go
+++ b/internal/process/hosted/changes.go
@@ -27,11 +27,11 @@
 	}
 }
 
-// MakeRoom implements discovery.Displacer.
-func (n *Node) MakeRoom(target string) { n.jobs.PreemptItemAt(target) }
+// PreemptItem implements discovery.Preemptor.
+func (n *Node) PreemptItem(target string) { n.jobs.PreemptItemAt(target) }
 
-// TellHolders implements discovery.Displacer.
-func (n *Node) TellHolders(target string) { n.beacon.NotifyHolders(target) }
+// NotifyHolders implements discovery.Preemptor.
+func (n *Node) NotifyHolders(target string) { n.beacon.NotifyHolders(target) }
 
 // preemptOnLoadChange stops batch items where online requests need their slots, after each
 // change of the load until ctx ends.
@@ -83,13 +83,13 @@
 // list of nodes yet.
 func (n *Node) pullFrom(node string) {
 	if r, ok := n.registered()[node]; ok {
-		n.gossip.Pulls.Put(r.Address)
+		n.gossip.PullQueue.Put(r.Address)
 		return
 	}
 	if refresher := n.nodeRefresher.Load(); refresher != nil {
-		refresher.Kick() // the node has registered since the list was read
+		refresher.Trigger() // the node has registered since the list was read
 	}
-	n.gossip.Pulls.Put(n.anySeed())
+	n.gossip.PullQueue.Put(n.anySeed())
 }
 
 func (n *Node) configChanged(o objects.Object, from follow.Source) {
--- a/internal/process/hosted/evacuation.go
+++ b/internal/process/hosted/evacuation.go
@@ -18,7 +18,7 @@
 	for _, o := range n.cache.List(n.adapter.Kinds.Evacuations) {
 		evacuated = append(evacuated, o.Name)
 	}
-	n.pool.Evacuate(evacuated)
+	n.pool.SetEvacuated(evacuated)
 	for _, o := range changes {
 		code := timeline.DataCentreReturned
 		if slices.Contains(evacuated, o.Name) {
@@ -32,7 +32,7 @@
 // knowsEvacuations reports whether this node knows which data centres are evacuated, or
 // evacuations are not followed.
 func (n *Node) knowsEvacuations() bool {
-	return n.settings.EvacuatedWithin == 0 || n.cache.Complete(n.adapter.Kinds.Evacuations) > 0
+	return n.settings.EvacuatedWithin == 0 || n.cache.CompleteRevision(n.adapter.Kinds.Evacuations) > 0
 }
 
 // warmUp returns the slow-start rate of the targets of a service.
--- a/internal/process/hosted/following.go
+++ b/internal/process/hosted/following.go
@@ -62,7 +62,7 @@
 // startSnapshot loads the snapshot of the cache from the disk and then keeps it up to date.
 func (n *Node) startSnapshot(ctx context.Context, wg *sync.WaitGroup) {
 	failed := func(err error) { n.recorder.Record(timeline.SnapshotFailed, "", n.settings.DataDir, err.Error()) }
-	s := &follow.Snapshot{Dir: n.settings.DataDir, Cache: n.cache, Failed: failed,
+	s := &follow.Snapshot{Dir: n.settings.DataDir, Cache: n.cache, OnError: failed,
 		Kinds: []string{n.adapter.Kinds.Config, n.adapter.Kinds.Targets, n.adapter.Kinds.Evacuations, kindNodes}}
 	if err := s.Load(n); err != nil {
 		failed(err)
@@ -122,7 +122,7 @@
 	if n.settings.EvacuatedWithin > 0 {
 		kinds = append(kinds, n.adapter.Kinds.Evacuations)
 	}
-	n.gossip.Greet(ctx, *n.seeds.Load(), kinds...)
+	n.gossip.FetchFromSeeds(ctx, *n.seeds.Load(), kinds...)
 }
 
 // anySeed returns the address of a seed other than this node, "" if there is none.
--- a/internal/process/hosted/log.go
+++ b/internal/process/hosted/log.go
@@ -38,7 +38,7 @@
 
 // ownInFlightAt returns how many requests and items this node has in flight at a target.
 func (n *Node) ownInFlightAt(t choose.Target) int {
-	here := n.pool.InFlight()[t.ID]
+	here := n.pool.OwnInFlight()[t.ID]
 	return here.Online + here.Batch
 }
 
--- a/internal/process/hosted/registration.go
+++ b/internal/process/hosted/registration.go
@@ -87,7 +87,7 @@
 	n.nodes.Store(&nodes)
 	if viewChanged {
 		n.view.Store(n.viewOf(nodes))
-		n.pool.SetShare(n.warmUpPosition(nodes))
+		n.pool.SetPosition(n.warmUpPosition(nodes))
 		n.lenders.Store(n.lendersOf(nodes))
 	}
 }
@@ -157,7 +157,7 @@
 		pause = firstSyncDelay + rand.N(maxRefreshDelay)
 	}
 	if wait.For(ctx, pause) && (refreshForAll || n.registered()[n.settings.NodeID].Boot != n.boot) {
-		n.nodeRefresher.Load().Kick()
+		n.nodeRefresher.Load().Trigger()
 	}
 }
 
--- a/internal/process/hosted/run.go
+++ b/internal/process/hosted/run.go
@@ -151,7 +151,7 @@
 	for kind, age := range n.followedKinds() {
 		r := follow.NewRefresher(kind)
 		r.Store, r.Cache, r.Listener, r.MaxAge = n.adapter.Store, n.cache, n, age
-		r.Self, r.DataCentre, r.Near, r.Centres = n.settings.NodeID, n.settings.DataCentre, n.followers(kind), n.beacon.ReachableDataCentres
+		r.Self, r.DataCentre, r.PeersInDataCentre, r.OtherDataCentres = n.settings.NodeID, n.settings.DataCentre, n.followers(kind), n.beacon.ReachableDataCentres
 		if kind == kindNodes {
 			n.nodeRefresher.Store(r)
 		}
@@ -184,7 +184,7 @@
 // removeLapsedTargets removes targets that lapsed during an outage of the object store,
 // once the store's list of targets is trusted again.
 func (n *Node) removeLapsedTargets(ctx context.Context) {
-	every(ctx, tickInterval, n.pool.Settle)
+	every(ctx, tickInterval, n.pool.RemoveLapsed)
 }
 
 // every calls f each d until ctx ends.
