--- a/cmd/marblepond/main.go
+++ b/cmd/marblepond/main.go
@@ -60,7 +60,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	if s.Front == settings.FrontHosted {
-		hosted := platform.New(node.Parts(s, log))
+		hosted := platform.New(node.HostedDependencies(s, log))
 		go hosted.WatchSettings(ctx, path, hangups)
 		return hosted.Run(ctx)
 	}
--- a/internal/process/clock/clock.go
+++ b/internal/process/clock/clock.go
@@ -53,9 +53,9 @@
 	return c
 }
 
-// NewShifted returns the clock of this machine with the suspensions that a function
+// NewWithSuspensions returns the clock of this machine with the suspensions that a function
 // returns added up; for tests.
-func NewShifted(suspended func() time.Duration) *Clock {
+func NewWithSuspensions(suspended func() time.Duration) *Clock {
 	return newClock(func() (time.Duration, bool) {
 		ahead, ok := readMachine()
 		return ahead + suspended(), ok
--- a/internal/process/clock/clock_test.go
+++ b/internal/process/clock/clock_test.go
@@ -14,7 +14,7 @@
 func TestSuspensionsCount(t *testing.T) {
 	is := is.New(t)
 	var away atomic.Int64
-	c := NewShifted(func() time.Duration { return time.Duration(away.Load()) })
+	c := NewWithSuspensions(func() time.Duration { return time.Duration(away.Load()) })
 	before := c.Now()
 	is.Equal(c.Suspended(), time.Duration(0))
 	away.Store(int64(10 * time.Second))
--- a/internal/process/hosted/hosted.go
+++ b/internal/process/hosted/hosted.go
@@ -130,7 +130,7 @@
 	n.batch = newBatchWork(n)
 	n.view.Store(beacon.NewView(s.NodeID, s.DataCentre, nil))
 	n.seeds.Store(&s.Seeds)
-	n.checker = invariant.New(n.recorder, s.StopOnViolated)
+	n.checker = invariant.New(n.recorder, s.StopOnViolation)
 	n.peers = newPeers(s)
 	n.cache = follow.NewCache(n.clock.Now, adapter.Kinds.Config, adapter.Kinds.Targets, adapter.Kinds.Retirements, adapter.Kinds.Evacuations, kindNodes, job.KindEnds)
 	n.pool = discovery.New(choose.Config{EjectAfter: s.EjectAfter, EjectTime: s.EjectTime, Policy: choose.LeastOfFew, Node: s.NodeID, LocalDataCentre: s.DataCentre, Seed: uint64(n.boot) ^ xxhash.Sum64String(s.NodeID), WarmUp: n.warmUp},
--- a/internal/process/invariant/invariant.go
+++ b/internal/process/invariant/invariant.go
@@ -15,17 +15,17 @@
 
 // The invariants, numbered by the point of the brief's "What must always hold".
 const (
-	AnswerWhole       Name = "1-answer-whole-once"
-	CommitFenced      Name = "1-commit-fenced"
-	NoWorkCancelled   Name = "2-no-dispatch-after-cancelled"
-	BatchWithinShare  Name = "3-batch-within-share"
-	PieceOwnAttempt   Name = "4-piece-of-own-attempt"
-	NotRunTrue        Name = "5-not-run-is-true"
-	AtMostOnce        Name = "6-dispatch-at-most-once"
-	NoWorkLeaving     Name = "7-no-work-to-leaving"
-	DrainCutsNothing  Name = "8-drain-cuts-nothing"
-	ConfigOnlyForward Name = "9-config-only-forward"
-	PositionKept      Name = "1-result-keeps-its-position"
+	CompleteAnswerOnce      Name = "1-answer-whole-once"
+	CommitFenced            Name = "1-commit-fenced"
+	NoDispatchAfterCancel   Name = "2-no-dispatch-after-cancelled"
+	BatchWithinShare        Name = "3-batch-within-share"
+	PieceOfOwnAttempt       Name = "4-piece-of-own-attempt"
+	NotRunIsTrue            Name = "5-not-run-is-true"
+	AtMostOnce              Name = "6-dispatch-at-most-once"
+	NoDispatchToLeaving     Name = "7-no-work-to-leaving"
+	DrainCompletesWork      Name = "8-drain-cuts-nothing"
+	ConfigVersionMonotonic  Name = "9-config-only-forward"
+	ResultPositionUnchanged Name = "1-result-keeps-its-position"
 )
 
 // Checker reports violations to the time line.
--- a/internal/process/member/member.go
+++ b/internal/process/member/member.go
@@ -65,8 +65,8 @@
 	deadAskEvery = 4
 )
 
-// Machine is the state machine. It is not safe for concurrent use.
-type Machine struct {
+// StateMachine is the state machine. It is not safe for concurrent use.
+type StateMachine struct {
 	self     Info
 	timing   Timing
 	members  map[string]*Member
@@ -75,21 +75,21 @@
 }
 
 // New returns a machine that knows only itself.
-func New(self Info, timing Timing) *Machine {
-	return &Machine{self: self, timing: timing, members: map[string]*Member{}, contacts: map[string][]Member{}}
+func New(self Info, timing Timing) *StateMachine {
+	return &StateMachine{self: self, timing: timing, members: map[string]*Member{}, contacts: map[string][]Member{}}
 }
 
 // Self returns the node's own info.
-func (m *Machine) Self() Info { return m.self }
+func (m *StateMachine) Self() Info { return m.self }
 
 // SetLeaving marks the node itself as leaving, for good.
-func (m *Machine) SetLeaving() { m.self.Leaving = true }
+func (m *StateMachine) SetLeaving() { m.self.Leaving = true }
 
 // SetConfigVersion sets the version the node has in force.
-func (m *Machine) SetConfigVersion(v uint64) { m.self.ConfigVersion = v }
+func (m *StateMachine) SetConfigVersion(v uint64) { m.self.ConfigVersion = v }
 
-// Heard notes a message from a node itself.
-func (m *Machine) Heard(now time.Time, info Info) []Transition {
+// ObserveDirect notes a message from a node itself.
+func (m *StateMachine) ObserveDirect(now time.Time, info Info) []Transition {
 	if info.ID == m.self.ID {
 		return nil
 	}
@@ -100,8 +100,8 @@
 	return m.update(now, info, true)
 }
 
-// Learned notes a node that another one spoke of.
-func (m *Machine) Learned(now time.Time, info Info) []Transition {
+// ObserveIndirect notes a node that another one spoke of.
+func (m *StateMachine) ObserveIndirect(now time.Time, info Info) []Transition {
 	if info.ID == m.self.ID {
 		return nil
 	}
@@ -112,7 +112,7 @@
 	return m.update(now, info, false)
 }
 
-func (m *Machine) update(now time.Time, info Info, direct bool) []Transition {
+func (m *StateMachine) update(now time.Time, info Info, direct bool) []Transition {
 	known, ok := m.members[info.ID]
 	switch {
 	case !ok:
@@ -145,7 +145,7 @@
 	return nil
 }
 
-func (m *Machine) contact(now time.Time, info Info) {
+func (m *StateMachine) contact(now time.Time, info Info) {
 	list := m.contacts[info.DataCentre]
 	for i := range list {
 		if list[i].ID == info.ID {
@@ -172,7 +172,7 @@
 
 // Tick advances time: it returns the nodes to send a heartbeat to and the
 // changes of state that silence brought.
-func (m *Machine) Tick(now time.Time) (send []Info, changes []Transition) {
+func (m *StateMachine) Tick(now time.Time) (send []Info, changes []Transition) {
 	m.ticks++
 	for _, id := range m.sortedIDs() {
 		member := m.members[id]
@@ -194,11 +194,11 @@
 
 // begins reports whether this node starts the exchange with a member: of each
 // pair the node with the lower ID does, and the other one too after silence.
-func (m *Machine) begins(member *Member, silent time.Duration) bool {
+func (m *StateMachine) begins(member *Member, silent time.Duration) bool {
 	return m.self.ID < member.ID || member.State != Alive || silent > m.timing.Heartbeat*3/2
 }
 
-func (m *Machine) judge(now time.Time, member *Member) []Transition {
+func (m *StateMachine) judge(now time.Time, member *Member) []Transition {
 	silent := now.Sub(member.heard)
 	next := Alive
 	switch {
@@ -216,7 +216,7 @@
 }
 
 // nextContact returns one node of the next other data centre in turn.
-func (m *Machine) nextContact() (Info, bool) {
+func (m *StateMachine) nextContact() (Info, bool) {
 	names := make([]string, 0, len(m.contacts))
 	for name := range m.contacts {
 		names = append(names, name)
@@ -229,7 +229,7 @@
 	return list[(m.ticks/len(names))%len(list)].Info, true
 }
 
-func (m *Machine) sortedIDs() []string {
+func (m *StateMachine) sortedIDs() []string {
 	ids := make([]string, 0, len(m.members))
 	for id := range m.members {
 		ids = append(ids, id)
@@ -240,30 +240,30 @@
 
 // View is an immutable picture of the membership.
 type View struct {
-	Self     Info
-	Members  []Member // own data centre without self, sorted by ID
-	Contacts []Member // of other data centres
-	Duty     []string // IDs that carry duties: alive, not leaving, self included; sorted
-	// Unlisted and SilentSeeds say what the picture may lack: nodes of the own data centre
+	Self      Info
+	Members   []Member // own data centre without self, sorted by ID
+	Contacts  []Member // of other data centres
+	ActiveIDs []string // IDs that carry duties: alive, not leaving, self included; sorted
+	// MemberListPending and SeedsPending say what the picture may lack: nodes of the own data centre
 	// until their list was read, and data centres while a seed has not answered.
-	Unlisted    bool
-	SilentSeeds bool
+	MemberListPending bool
+	SeedsPending      bool
 }
 
 // View returns the present picture.
-func (m *Machine) View() *View {
+func (m *StateMachine) View() *View {
 	v := &View{Self: m.self}
 	for _, id := range m.sortedIDs() {
 		member := *m.members[id]
 		v.Members = append(v.Members, member)
 		if member.State == Alive && !member.Leaving {
-			v.Duty = append(v.Duty, id)
+			v.ActiveIDs = append(v.ActiveIDs, id)
 		}
 	}
 	if !m.self.Leaving {
-		v.Duty = append(v.Duty, m.self.ID)
+		v.ActiveIDs = append(v.ActiveIDs, m.self.ID)
 	}
-	sort.Strings(v.Duty)
+	sort.Strings(v.ActiveIDs)
 	for _, dc := range sortedDCs(m.contacts) {
 		v.Contacts = append(v.Contacts, m.contacts[dc]...)
 	}
@@ -299,9 +299,9 @@
 	return Member{}, false
 }
 
-// Gone reports whether the given run of a node is known to have ended or to
+// Departed reports whether the given run of a node is known to have ended or to
 // be dead by silence.
-func (v *View) Gone(id string, incarnation uint64) bool {
+func (v *View) Departed(id string, incarnation uint64) bool {
 	if id == v.Self.ID {
 		return incarnation != v.Self.Incarnation
 	}
--- a/internal/process/member/member_test.go
+++ b/internal/process/member/member_test.go
@@ -11,14 +11,14 @@
 
 var timing = Timing{Heartbeat: time.Second, SuspectAfter: 3 * time.Second, DeadAfter: 6 * time.Second}
 
-func machine() (*Machine, time.Time) {
+func machine() (*StateMachine, time.Time) {
 	return New(Info{ID: "self", Incarnation: 1, DataCentre: "dc"}, timing), time.Unix(1000, 0)
 }
 
 func TestSilenceIsJudged(t *testing.T) {
 	is := is.New(t)
 	m, now := machine()
-	m.Heard(now, Info{ID: "b", Incarnation: 1, DataCentre: "dc"})
+	m.ObserveDirect(now, Info{ID: "b", Incarnation: 1, DataCentre: "dc"})
 	for _, c := range []struct {
 		silent time.Duration
 		state  State
@@ -27,15 +27,15 @@
 		m.Tick(now.Add(c.silent))
 		b, _ := m.View().Find("b")
 		is.Equal(b.State, c.state)
-		is.Equal(slices.Contains(m.View().Duty, "b"), c.duty)
+		is.Equal(slices.Contains(m.View().ActiveIDs, "b"), c.duty)
 	}
-	m.Heard(now.Add(7*time.Second), Info{ID: "b", Incarnation: 1, DataCentre: "dc"})
+	m.ObserveDirect(now.Add(7*time.Second), Info{ID: "b", Incarnation: 1, DataCentre: "dc"})
 	b, _ := m.View().Find("b")
 	is.Equal(b.State, Alive) // it was cut off only
-	is.True(!m.View().Gone("b", 1))
-	m.Heard(now.Add(8*time.Second), Info{ID: "b", Incarnation: 2, DataCentre: "dc"})
-	is.True(m.View().Gone("b", 1)) // restarted: the former run has ended
-	is.True(!m.View().Gone("b", 2))
+	is.True(!m.View().Departed("b", 1))
+	m.ObserveDirect(now.Add(8*time.Second), Info{ID: "b", Incarnation: 2, DataCentre: "dc"})
+	is.True(m.View().Departed("b", 1)) // restarted: the former run has ended
+	is.True(!m.View().Departed("b", 2))
 }
 
 // TestStaleNewsChangesNothing feeds news in any order: the newest incarnation
@@ -52,9 +52,9 @@
 				left[newest] = left[newest] || info.Leaving
 			}
 			if rapid.Bool().Draw(t, "direct") {
-				m.Heard(now, info)
+				m.ObserveDirect(now, info)
 			} else {
-				m.Learned(now, info)
+				m.ObserveIndirect(now, info)
 			}
 			b, _ := m.View().Find("b")
 			if b.Incarnation != newest || b.Leaving != left[newest] {
@@ -68,7 +68,7 @@
 	is := is.New(t)
 	m, now := machine()
 	for i := range 50 {
-		m.Heard(now, Info{ID: string(rune('A' + i)), Incarnation: 1, DataCentre: "far"})
+		m.ObserveDirect(now, Info{ID: string(rune('A' + i)), Incarnation: 1, DataCentre: "far"})
 	}
 	is.Equal(len(m.View().Contacts), contactsPerDC)
 	send, _ := m.Tick(now)
--- a/internal/process/membership/membership.go
+++ b/internal/process/membership/membership.go
@@ -15,8 +15,8 @@
 	"github.com/marblepond/marblepond/internal/process/wait"
 )
 
-// Passenger is state that travels with heartbeats.
-type Passenger interface {
+// Payload is state that travels with heartbeats.
+type Payload interface {
 	// Pack adds the node's state for a receiver of the given data centre: what
 	// is new, or all of it when full.
 	Pack(state *v1.HeartbeatRequest, sameDataCentre, full bool)
@@ -32,11 +32,11 @@
 	seeds      []string
 	answered   atomic.Int32 // seeds that have answered once
 	listed     atomic.Bool  // the nodes of the data centre were listed once
-	passengers []Passenger
+	passengers []Payload
 	onChange   []func(*member.View)
 
 	mu      sync.Mutex
-	machine *member.Machine
+	machine *member.StateMachine
 	view    atomic.Pointer[member.View]
 	ticks   atomic.Uint64
 	changed atomic.Int64 // Unix nanoseconds of the last change of a member
@@ -56,8 +56,8 @@
 	return m.ticks.Load()%fullEvery == 0 || quiet < newFor*m.timing.Heartbeat
 }
 
-// News is how long a passenger's change is to be sent along.
-func (m *Manager) News() time.Duration { return newFor * m.timing.Heartbeat }
+// DisseminationTime is how long a passenger's change is to be sent along.
+func (m *Manager) DisseminationTime() time.Duration { return newFor * m.timing.Heartbeat }
 
 // New returns a manager; Run starts it.
 func New(self member.Info, timing member.Timing, seeds []string, pool *peer.Pool, recorder *timeline.Recorder) *Manager {
@@ -66,8 +66,8 @@
 	return m
 }
 
-// Carry adds a passenger; call it before Run.
-func (m *Manager) Carry(p Passenger) { m.passengers = append(m.passengers, p) }
+// AddPayload adds a passenger; call it before Run.
+func (m *Manager) AddPayload(p Payload) { m.passengers = append(m.passengers, p) }
 
 // OnChange adds a function called when a member's state changed; call it
 // before Run.
@@ -87,13 +87,13 @@
 	m.change(func(time.Time) []member.Transition { m.machine.SetConfigVersion(v); return nil })
 }
 
-// Learn adds the nodes of the own data centre as the VM list has them.
-func (m *Manager) Learn(infos []member.Info) {
+// AddListed adds the nodes of the own data centre as the VM list has them.
+func (m *Manager) AddListed(infos []member.Info) {
 	m.listed.Store(true)
 	m.change(func(now time.Time) []member.Transition {
 		var changes []member.Transition
 		for _, info := range infos {
-			changes = append(changes, m.machine.Learned(now, info)...)
+			changes = append(changes, m.machine.ObserveIndirect(now, info)...)
 		}
 		return changes
 	})
@@ -116,8 +116,8 @@
 // publish makes the present picture known. The caller holds m.mu, but for New.
 func (m *Manager) publish() {
 	view := m.machine.View()
-	view.Unlisted = !m.listed.Load()
-	view.SilentSeeds = int(m.answered.Load()) < len(m.seeds)
+	view.MemberListPending = !m.listed.Load()
+	view.SeedsPending = int(m.answered.Load()) < len(m.seeds)
 	m.view.Store(view)
 }
 
@@ -176,8 +176,8 @@
 	}
 }
 
-// Tell sends a heartbeat to every member at once, outside the usual rhythm.
-func (m *Manager) Tell(ctx context.Context) {
+// Broadcast sends a heartbeat to every member at once, outside the usual rhythm.
+func (m *Manager) Broadcast(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, to := range m.View().Members {
 		if to.State != member.Dead {
@@ -238,9 +238,9 @@
 func (m *Manager) absorb(req *v1.HeartbeatRequest) {
 	m.recorder.Clock.Observe(timeline.HLC(req.Hlc))
 	m.change(func(now time.Time) []member.Transition {
-		changes := m.machine.Heard(now, FromProto(req.From))
+		changes := m.machine.ObserveDirect(now, FromProto(req.From))
 		for _, other := range req.Members {
-			changes = append(changes, m.machine.Learned(now, FromProto(other))...)
+			changes = append(changes, m.machine.ObserveIndirect(now, FromProto(other))...)
 		}
 		return changes
 	})
--- a/internal/process/membership/membership_test.go
+++ b/internal/process/membership/membership_test.go
@@ -58,7 +58,7 @@
 	recorder := timeline.NewRecorder("n", 100, &log.Logger{Handler: discard.New()}, tally.NoopScope)
 	timing := member.Timing{Heartbeat: 20 * time.Millisecond, SuspectAfter: 200 * time.Millisecond, DeadAfter: time.Second}
 	m := New(member.Info{ID: "n", DataCentre: "here"}, timing, []string{first.Addr().String(), late.Addr().String()}, peer.NewPool(http.DefaultClient, ""), recorder)
-	m.Learn([]member.Info{{ID: "m", DataCentre: "here", PeerAddr: "127.0.0.1:1"}})
+	m.AddListed([]member.Info{{ID: "m", DataCentre: "here", PeerAddr: "127.0.0.1:1"}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -71,11 +71,11 @@
 	}()
 	time.Sleep(300 * time.Millisecond)
 	is.Equal(len(m.View().Contacts), 1)
-	is.True(m.View().SilentSeeds)
+	is.True(m.View().SeedsPending)
 	serve(t, listen(t, late.Addr().String()), "late")
-	for until := time.Now().Add(2 * lastGreeting); time.Now().Before(until) && m.View().SilentSeeds; {
+	for until := time.Now().Add(2 * lastGreeting); time.Now().Before(until) && m.View().SeedsPending; {
 		time.Sleep(10 * time.Millisecond)
 	}
-	is.True(!m.View().SilentSeeds)
+	is.True(!m.View().SeedsPending)
 	is.Equal(len(m.View().Contacts), 2)
 }
--- a/internal/process/node/crashes.go
+++ b/internal/process/node/crashes.go
@@ -36,10 +36,10 @@
 // crashNews carries the digest of what is known of crashed targets with heartbeats.
 type crashNews struct{ crashes *crashes.Watch }
 
-// Pack implements membership.Passenger.
+// Pack implements membership.Payload.
 func (c crashNews) Pack(state *v1.HeartbeatRequest, _, _ bool) { state.Crashes = c.crashes.Digest() }
 
-// Unpack implements membership.Passenger.
+// Unpack implements membership.Payload.
 func (c crashNews) Unpack(from *v1.NodeInfo, state *v1.HeartbeatRequest) {
 	c.crashes.ReceiveDigest(from.Id, state.Crashes)
 }
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -89,8 +89,8 @@
 // New connects the parts of a node, which writes its log to out.
 func New(s *settings.Settings, out io.Writer) *Node { return NewVariant(s, out, Variant{}) }
 
-// Parts returns what a hosted node is assembled from.
-func Parts(s *settings.Settings, out io.Writer) hosted.Parts {
+// HostedDependencies returns what a hosted node is assembled from.
+func HostedDependencies(s *settings.Settings, out io.Writer) hosted.Parts {
 	m := newMetrics()
 	return hosted.Parts{Settings: s, Metrics: m.scope, MetricsPage: m, Clock: clock.New(),
 		Recorder: timeline.NewRecorder(s.NodeID, s.TimelineEvents, newLogger(s, out), m.scope)}
@@ -105,7 +105,7 @@
 	n.self = member.Info{ID: s.NodeID, Incarnation: uint64(time.Now().UnixNano()), DataCentre: s.DataCentre,
 		PeerAddr: s.PeerAdvertise, CallerAddr: s.CallerAdvertise}
 	n.recorder = timeline.NewRecorder(s.NodeID, s.TimelineEvents, newLogger(s, out), n.metrics.scope)
-	n.checker = invariant.New(n.recorder, s.StopOnViolated)
+	n.checker = invariant.New(n.recorder, s.StopOnViolation)
 	n.connect()
 	n.assemble()
 	return n
@@ -175,9 +175,9 @@
 			Allowances: n.lending, Replicas: n.keeper, Claims: n.claims, Store: n.store, Recorder: n.recorder, Checker: n.checker, Metrics: n.metrics.scope, PeerKey: s.PeerKey})
 	n.server.Handle("GET /metrics", n.metrics)
 	n.targets.SetBatch(n.worker.InFlight, n.worker.HandleLoadReport, n.worker.SetOwnedTargets)
-	n.membership.Carry(n.config)
-	n.membership.Carry(n.targets)
-	n.membership.Carry(crashNews{n.crashes})
+	n.membership.AddPayload(n.config)
+	n.membership.AddPayload(n.targets)
+	n.membership.AddPayload(crashNews{n.crashes})
 	n.config.OnChange(func(c *fleet.Config) { n.targets.Evacuate(c.Evacuated) })
 	n.targets.OnEnded(func(t choose.Target) { n.crashes.Ended(t, quarantine.Restarted) })
 	n.membership.OnChange(n.targets.Reown)
@@ -283,7 +283,7 @@
 	defer cancel()
 	n.server.AnnounceLeaving()
 	n.membership.SetLeaving()
-	n.membership.Tell(ctx)
+	n.membership.Broadcast(ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() { n.worker.Drain(ctx) })
 	time.Sleep(settleTime)
@@ -291,7 +291,7 @@
 	err := n.callerHTTP.Shutdown(ctx)
 	err = errors.Join(err, n.server.Drain(ctx))
 	wg.Wait()
-	n.checker.Assert(err == nil, invariant.DrainCutsNothing, "", n.self.ID, "drain: %v", err)
+	n.checker.Assert(err == nil, invariant.DrainCompletesWork, "", n.self.ID, "drain: %v", err)
 	if left := n.keeper.FlushAll(ctx); left > 0 {
 		n.recorder.Record(timeline.ResultsFlushed, "", n.self.ID, fmt.Sprintf("%d results not written", left))
 	}
--- a/internal/process/settings/keys.go
+++ b/internal/process/settings/keys.go
@@ -91,5 +91,5 @@
 
 	{"log", "level", "info", "level", "Lowest level logged.", choice(func(s *Settings) *string { return &s.LogLevel }, "debug", "info", "warn", "error")},
 	{"log", "timeline_events", "20000", "events", "Events kept in memory for the time line.", count(func(s *Settings) *int { return &s.TimelineEvents }, 100, 10000000)},
-	{"log", "stop_on_violation", "false", "true/false", "End the process when an invariant is violated (proof runs).", boolean(func(s *Settings) *bool { return &s.StopOnViolated })},
+	{"log", "stop_on_violation", "false", "true/false", "End the process when an invariant is violated (proof runs).", boolean(func(s *Settings) *bool { return &s.StopOnViolation })},
 }
--- a/internal/process/settings/settings.go
+++ b/internal/process/settings/settings.go
@@ -98,9 +98,9 @@
 	CheckpointInterval time.Duration
 	CheckpointMemory   int
 
-	LogLevel       string
-	TimelineEvents int
-	StopOnViolated bool
+	LogLevel        string
+	TimelineEvents  int
+	StopOnViolation bool
 }
 
 // The callers' interfaces.
--- a/internal/request/batch/closer.go
+++ b/internal/request/batch/closer.go
@@ -93,7 +93,7 @@
 func (w *Worker) shouldClose(v *jobView) bool {
 	job, _ := v.current()
 	members := w.members()
-	if rendezvous.First(job.ID, members.Duty) == members.Self.ID {
+	if rendezvous.First(job.ID, members.ActiveIDs) == members.Self.ID {
 		return true
 	}
 	v.mu.Lock()
--- a/internal/request/batch/item.go
+++ b/internal/request/batch/item.go
@@ -59,7 +59,7 @@
 func (w *Worker) dispatch(ctx context.Context, it *item, target choose.Target) {
 	l := it.lease
 	job, _ := l.view.current()
-	w.checker.Assert(!job.State.Final(), invariant.NoWorkCancelled, it.id(), l.job.ID, "dispatch in state %s", job.State)
+	w.checker.Assert(!job.State.Final(), invariant.NoDispatchAfterCancel, it.id(), l.job.ID, "dispatch in state %s", job.State)
 	w.checker.Assert(!l.job.NonIdempotent || it.claimed, invariant.AtMostOnce, it.id(), l.job.ID, "dispatch without a committed start")
 	if it.answer == nil {
 		it.answer = run.NewAnswer(it.id())
@@ -177,7 +177,7 @@
 
 func (w *Worker) modelResult(it *item) itemResult {
 	text, tokens, finish := it.answer.Text()
-	w.checker.Assert(finish != "", invariant.AnswerWhole, it.id(), it.lease.job.ID, "item finished without a finish reason")
+	w.checker.Assert(finish != "", invariant.CompleteAnswerOnce, it.id(), it.lease.job.ID, "item finished without a finish reason")
 	answer := openai.Answer{ID: it.id(), Path: it.line.URL, Model: it.loaded, Created: it.lease.job.Created}
 	return it.result(&Response{http.StatusOK, it.id(), answer.Whole(text, finish, tokens)}, nil)
 }
--- a/internal/request/batch/lease.go
+++ b/internal/request/batch/lease.go
@@ -77,7 +77,7 @@
 	if h.Node == w.self.Node {
 		return h.Incarnation != w.self.Incarnation
 	}
-	return w.expired(o) || w.members().Gone(h.Node, h.Incarnation)
+	return w.expired(o) || w.members().Departed(h.Node, h.Incarnation)
 }
 
 // acquire leases one chunk of the job. It returns nil if that failed.
--- a/internal/request/batch/lease_test.go
+++ b/internal/request/batch/lease_test.go
@@ -18,7 +18,7 @@
 	is := is.New(t)
 	var suspended atomic.Int64
 	w := &Worker{cfg: Config{LeaseTTL: 10 * time.Second, OutageGrace: 30 * time.Second},
-		clock: clock.NewShifted(func() time.Duration { return time.Duration(suspended.Load()) })}
+		clock: clock.NewWithSuspensions(func() time.Duration { return time.Duration(suspended.Load()) })}
 	nonIdempotent := &lease{job: record.Job{NonIdempotent: true}, renewed: w.clock.Now()}
 	idempotent := &lease{renewed: w.clock.Now()}
 	is.True(w.valid(nonIdempotent) && w.valid(idempotent))
--- a/internal/request/forward/forward.go
+++ b/internal/request/forward/forward.go
@@ -106,7 +106,7 @@
 	p := &progress{exclude: map[string]bool{}, lastEventID: req.ResumeAfter}
 	err = f.run(ctx, req, caller, p)
 	if err != nil {
-		f.Checker.Assert(errkind.Of(err).NotRun != errkind.NotRunTrue || p.ran == 0, invariant.NotRunTrue, req.ID, "", "refused as not run after %d attempts that may have run: %v", p.ran, err)
+		f.Checker.Assert(errkind.Of(err).NotRun != errkind.NotRunTrue || p.ran == 0, invariant.NotRunIsTrue, req.ID, "", "refused as not run after %d attempts that may have run: %v", p.ran, err)
 		f.Log.Refused(req, err)
 	}
 	return p.begun, err
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -316,7 +316,7 @@
 func TestDeadlineCountsSuspensions(t *testing.T) {
 	is := is.New(t)
 	var suspended atomic.Int64
-	shifted := clock.NewShifted(func() time.Duration { return time.Duration(suspended.Load()) })
+	shifted := clock.NewWithSuspensions(func() time.Duration { return time.Duration(suspended.Load()) })
 	targets := &fakeTargets{restartAfter: map[string]time.Duration{"a": 100 * time.Millisecond}}
 	time.AfterFunc(50*time.Millisecond, func() { suspended.Store(int64(10 * time.Second)) })
 	err := forwardWithClock(shifted.Now, targets, slowSender{"a": time.Minute}, &fakeLog{}, &fakeCaller{}, true)
--- a/internal/request/homes/durable.go
+++ b/internal/request/homes/durable.go
@@ -231,7 +231,7 @@
 		return k.FindInDataCentre(ctx, requestID, workspace, wait)
 	case k.known(ctx, centre):
 		return k.askThere(ctx, centre, requestID, workspace, wait)
-	case k.membership().SilentSeeds:
+	case k.membership().SeedsPending:
 		return unknown, errUnheard
 	}
 	return unknown, nil
@@ -264,7 +264,7 @@
 	if answer.State != hold.Unknown {
 		return answer, nil
 	}
-	if view.Unlisted {
+	if view.MemberListPending {
 		return answer, errUnheard
 	}
 	return answer, errors.Join(err, silent)
--- a/internal/request/homes/find_test.go
+++ b/internal/request/homes/find_test.go
@@ -78,17 +78,17 @@
 		want hold.State
 		sure bool
 	}{
-		{"a data centre that is not there", member.View{Self: here, Duty: duty[:1]}, NewID("there", "", now, "w", ""), hold.Unknown, true},
-		{"a data centre that may not be heard yet", member.View{Self: here, Duty: duty[:1], SilentSeeds: true}, NewID("there", "", now, "w", ""), hold.Unknown, false},
-		{"nodes here that are not listed yet", member.View{Self: here, Duty: duty[:1], Unlisted: true}, NewID("here", "", now, "w", ""), hold.Unknown, false},
-		{"a listed node that was not heard yet", member.View{Self: here, Duty: duty[:1], Members: []member.Member{node("m0", "here", knowing, member.Suspect)}}, NewID("here", "", now, "w", ""), hold.Done, true},
-		{"a listed node that does not answer", member.View{Self: here, Duty: duty[:1], Members: []member.Member{node("m0", "here", "127.0.0.1:1", member.Suspect)}}, NewID("here", "", now, "w", ""), hold.Unknown, false},
-		{"many nodes that started since", member.View{Self: here, Duty: duty, Members: append([]member.Member{node("k", "here", knowing, member.Alive)}, many...)}, NewID("here", "", now, "w", ""), hold.Done, true},
-		{"many nodes, none of which knows it", member.View{Self: here, Duty: duty, Members: many}, NewID("here", "", now, "w", ""), hold.Unknown, true},
-		{"a contact that is not sure before one that knows", member.View{Self: here, Duty: duty[:1],
+		{"a data centre that is not there", member.View{Self: here, ActiveIDs: duty[:1]}, NewID("there", "", now, "w", ""), hold.Unknown, true},
+		{"a data centre that may not be heard yet", member.View{Self: here, ActiveIDs: duty[:1], SeedsPending: true}, NewID("there", "", now, "w", ""), hold.Unknown, false},
+		{"nodes here that are not listed yet", member.View{Self: here, ActiveIDs: duty[:1], MemberListPending: true}, NewID("here", "", now, "w", ""), hold.Unknown, false},
+		{"a listed node that was not heard yet", member.View{Self: here, ActiveIDs: duty[:1], Members: []member.Member{node("m0", "here", knowing, member.Suspect)}}, NewID("here", "", now, "w", ""), hold.Done, true},
+		{"a listed node that does not answer", member.View{Self: here, ActiveIDs: duty[:1], Members: []member.Member{node("m0", "here", "127.0.0.1:1", member.Suspect)}}, NewID("here", "", now, "w", ""), hold.Unknown, false},
+		{"many nodes that started since", member.View{Self: here, ActiveIDs: duty, Members: append([]member.Member{node("k", "here", knowing, member.Alive)}, many...)}, NewID("here", "", now, "w", ""), hold.Done, true},
+		{"many nodes, none of which knows it", member.View{Self: here, ActiveIDs: duty, Members: many}, NewID("here", "", now, "w", ""), hold.Unknown, true},
+		{"a contact that is not sure before one that knows", member.View{Self: here, ActiveIDs: duty[:1],
 			Contacts: []member.Member{node("t0", "there", doubting, member.Alive), node("t1", "there", knowing, member.Alive)}}, NewID("there", "", now, "w", ""), hold.Done, true},
-		{"a contact that is not sure alone", member.View{Self: here, Duty: duty[:1], Contacts: []member.Member{node("t0", "there", doubting, member.Alive)}}, NewID("there", "", now, "w", ""), hold.Unknown, false},
-		{"an old ID asks no further", member.View{Self: here, Duty: duty[:1], Unlisted: true}, NewID("here", "", now-3600, "w", ""), hold.Unknown, true},
+		{"a contact that is not sure alone", member.View{Self: here, ActiveIDs: duty[:1], Contacts: []member.Member{node("t0", "there", doubting, member.Alive)}}, NewID("there", "", now, "w", ""), hold.Unknown, false},
+		{"an old ID asks no further", member.View{Self: here, ActiveIDs: duty[:1], MemberListPending: true}, NewID("here", "", now-3600, "w", ""), hold.Unknown, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/request/homes/homes_test.go
+++ b/internal/request/homes/homes_test.go
@@ -92,13 +92,13 @@
 		id          string
 		sure        bool
 	}{
-		{"all answered", empty.URL, member.View{Self: here, Duty: []string{"n0"}}, NewID("here", "", 1000, "w", ""), true},
-		{"a data centre that is not there", empty.URL, member.View{Self: here, Duty: []string{"n0"}}, NewID("nowhere", "", 1000, "w", ""), true},
-		{"a home is silent", empty.URL, member.View{Self: here, Duty: []string{"n0", "n1"},
+		{"all answered", empty.URL, member.View{Self: here, ActiveIDs: []string{"n0"}}, NewID("here", "", 1000, "w", ""), true},
+		{"a data centre that is not there", empty.URL, member.View{Self: here, ActiveIDs: []string{"n0"}}, NewID("nowhere", "", 1000, "w", ""), true},
+		{"a home is silent", empty.URL, member.View{Self: here, ActiveIDs: []string{"n0", "n1"},
 			Members: []member.Member{{Info: member.Info{ID: "n1", DataCentre: "here", PeerAddr: silent}}}}, NewID("here", "", 1000, "w", ""), false},
-		{"a data centre is silent", empty.URL, member.View{Self: here, Duty: []string{"n0"},
+		{"a data centre is silent", empty.URL, member.View{Self: here, ActiveIDs: []string{"n0"},
 			Contacts: []member.Member{{Info: member.Info{ID: "m0", DataCentre: "there", PeerAddr: silent}}}}, NewID("there", "here", 1000, "w", ""), false},
-		{"the store is silent", closed.URL, member.View{Self: here, Duty: []string{"n0"}}, NewID("here", "", 1000, "w", ""), false},
+		{"the store is silent", closed.URL, member.View{Self: here, ActiveIDs: []string{"n0"}}, NewID("here", "", 1000, "w", ""), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/request/homes/seats.go
+++ b/internal/request/homes/seats.go
@@ -15,7 +15,7 @@
 func (k *Replicator) ranked(requestID string) []string {
 	id, _ := ParseID(requestID)
 	view := k.membership()
-	members := view.Duty
+	members := view.ActiveIDs
 	if len(members) == 0 { // everyone is leaving, this node too
 		members = []string{view.Self.ID}
 	}
@@ -70,7 +70,7 @@
 	for {
 		view := k.membership()
 		known := slices.ContainsFunc(view.Contacts, func(c member.Member) bool { return c.DataCentre == dataCentre })
-		if known || !view.SilentSeeds || !wait.For(ctx, unheardLook) {
+		if known || !view.SeedsPending || !wait.For(ctx, unheardLook) {
 			return known
 		}
 	}
--- a/internal/request/homes/watch.go
+++ b/internal/request/homes/watch.go
@@ -26,7 +26,7 @@
 func (k *Replicator) orphans(view *member.View) []hold.Request {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return slices.DeleteFunc(k.table.Orphans(view.Gone), func(r hold.Request) bool {
+	return slices.DeleteFunc(k.table.Orphans(view.Departed), func(r hold.Request) bool {
 		id, _ := ParseID(r.ID)
 		return id.DataCentre != view.Self.DataCentre
 	})
@@ -148,7 +148,7 @@
 
 func (k *Replicator) first(requestID string, view *member.View) bool {
 	id, _ := ParseID(requestID)
-	return rendezvous.First(id.Placement, view.Duty) == view.Self.ID || len(view.Duty) == 0
+	return rendezvous.First(id.Placement, view.ActiveIDs) == view.Self.ID || len(view.ActiveIDs) == 0
 }
 
 // Size returns the number of entries held and their bytes.
--- a/internal/request/job/manager_test.go
+++ b/internal/request/job/manager_test.go
@@ -225,7 +225,7 @@
 	store := newMemoryStore()
 	var suspended atomic.Int64
 	holder, other := newTestManager("holder", store), newTestManager("other", store)
-	holder.Clock = clock.NewShifted(func() time.Duration { return time.Duration(suspended.Load()) })
+	holder.Clock = clock.NewWithSuspensions(func() time.Duration { return time.Duration(suspended.Load()) })
 	holder.cfg.SweepInterval, holder.cfg.CheckpointInterval = time.Hour, time.Hour
 	is.NoErr(holder.Submit(context.Background(), submission("job")))
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/request/job/read.go
+++ b/internal/request/job/read.go
@@ -233,7 +233,7 @@
 // cacheResults caches listed results.
 func (m *Manager) cacheResults(id string, first int, results []Result) {
 	conflict := m.results.put(id, first, results)
-	m.Checker.Assert(conflict < 0, invariant.PositionKept, id, "", "position %d had another result", conflict)
+	m.Checker.Assert(conflict < 0, invariant.ResultPositionUnchanged, id, "", "position %d had another result", conflict)
 }
 
 func (m *Manager) readSegment(ctx context.Context, s Segment) ([]Result, error) {
--- a/internal/request/job/run.go
+++ b/internal/request/job/run.go
@@ -175,7 +175,7 @@
 		cancel(cause)
 		return errors.Is(context.Cause(attempt), cause)
 	}
-	m.Checker.Assert(!m.endKnown(h.id), invariant.NoWorkCancelled, h.items[i].ID, t.ID, "item sent after its job was ended")
+	m.Checker.Assert(!m.endKnown(h.id), invariant.NoDispatchAfterCancel, h.items[i].ID, t.ID, "item sent after its job was ended")
 	m.Recorder.Record(timeline.ItemSent, h.items[i].ID, t.ID, "", timeline.Field{Name: "job", Value: h.id},
 		timeline.Field{Name: "resume_after", Value: h.progress.items[i].lastEvent}, timeline.Field{Name: "due_ms", Value: time.Until(dueTime(&h.head, r)).Milliseconds()})
 	go m.run(attempt, cancel, h, i, t, r)
--- a/internal/request/run/run.go
+++ b/internal/request/run/run.go
@@ -104,7 +104,7 @@
 	r.budget.RecordAccepted()
 	r.mu.Unlock()
 	err := r.runAttempts(ctx, req, a)
-	r.checker.Assert(err != nil || a.complete(), invariant.AnswerWhole, req.ID, "", "success without a complete answer")
+	r.checker.Assert(err != nil || a.complete(), invariant.CompleteAnswerOnce, req.ID, "", "success without a complete answer")
 	a.finish(err)
 	return err
 }
@@ -290,7 +290,7 @@
 		return err
 	}
 	r.recorder.Record(timeline.RequestDispatched, req.ID, target.ID, "attempt "+call.StreamID())
-	r.checker.Assert(call.RequestID == req.ID, invariant.PieceOwnAttempt, req.ID, target.ID, "call for %s", call.RequestID)
+	r.checker.Assert(call.RequestID == req.ID, invariant.PieceOfOwnAttempt, req.ID, target.ID, "call for %s", call.RequestID)
 	err = r.engines.Stream(ctx, call, a.add)
 	if errors.Is(err, engine.ErrLinkLost) && a.Held() > call.Held {
 		call.Held = a.Held()
--- a/internal/request/serve/answer.go
+++ b/internal/request/serve/answer.go
@@ -114,7 +114,7 @@
 // was received.
 func (s *Server) assertNotRun(e *execution, err error) {
 	if err != nil && errkind.Of(err).NotRun == errkind.NotRunTrue {
-		s.Checker.Assert(e.answer.Held() == 0, invariant.NotRunTrue, e.request.ID, e.request.Service, "tokens arrived for a request refused as not run")
+		s.Checker.Assert(e.answer.Held() == 0, invariant.NotRunIsTrue, e.request.ID, e.request.Service, "tokens arrived for a request refused as not run")
 	}
 }
 
--- a/internal/version/config/config.go
+++ b/internal/version/config/config.go
@@ -80,12 +80,12 @@
 // Loaded reports whether a version was read from the platform or a peer.
 func (m *Manager) Loaded() bool { return m.loaded.Load() }
 
-// Pack implements membership.Passenger.
+// Pack implements membership.Payload.
 func (m *Manager) Pack(state *v1.HeartbeatRequest, _, _ bool) {
 	state.HeadVersion = m.Current().Version
 }
 
-// Unpack implements membership.Passenger.
+// Unpack implements membership.Payload.
 func (m *Manager) Unpack(from *v1.NodeInfo, state *v1.HeartbeatRequest) {
 	if state.HeadVersion > m.Current().Version {
 		select {
@@ -148,7 +148,7 @@
 
 func (m *Manager) watches() bool {
 	view := m.membership.View()
-	for _, id := range rendezvous.Rank("config-watch", view.Duty, watchersPerDC) {
+	for _, id := range rendezvous.Rank("config-watch", view.ActiveIDs, watchersPerDC) {
 		if id == view.Self.ID {
 			return true
 		}
@@ -250,7 +250,7 @@
 	if s.head.Version <= old {
 		return
 	}
-	m.checker.Assert(s.config.Version > old, invariant.ConfigOnlyForward, "", "config", "version %d after %d", s.config.Version, old)
+	m.checker.Assert(s.config.Version > old, invariant.ConfigVersionMonotonic, "", "config", "version %d after %d", s.config.Version, old)
 	m.current.Store(s)
 	m.membership.SetConfigVersion(s.config.Version)
 	m.recorder.Record(timeline.ConfigAdopted, "", fmt.Sprintf("version %d", s.config.Version), "from "+source)
--- a/internal/version/targets/gossip.go
+++ b/internal/version/targets/gossip.go
@@ -12,7 +12,7 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// Pack implements membership.Passenger: owned targets' loads and leaving VMs
+// Pack implements membership.Payload: owned targets' loads and leaving VMs
 // go to the nodes of the same data centre. Names and marks that are not new
 // are sent only when all state is.
 func (m *Manager) Pack(state *v1.HeartbeatRequest, sameDataCentre, full bool) {
@@ -24,11 +24,11 @@
 	now := time.Now()
 	for id, p := range m.polls {
 		if s, ok := m.table.Get(now, id); ok && s.Known {
-			state.Loads = append(state.Loads, loadProto(s, full || now.Sub(p.renamed) < m.membership.News()))
+			state.Loads = append(state.Loads, loadProto(s, full || now.Sub(p.renamed) < m.membership.DisseminationTime()))
 		}
 	}
 	for vm, incarnation := range m.table.LeavingIncarnations() {
-		if full || now.Sub(m.marked[vm]) < m.membership.News() {
+		if full || now.Sub(m.marked[vm]) < m.membership.DisseminationTime() {
 			state.Leaving = append(state.Leaving, &v1.LeavingVM{Vm: vm, Incarnation: incarnation})
 		}
 	}
@@ -43,7 +43,7 @@
 	return load
 }
 
-// Unpack implements membership.Passenger.
+// Unpack implements membership.Payload.
 func (m *Manager) Unpack(from *v1.NodeInfo, state *v1.HeartbeatRequest) {
 	if from.DataCentre != m.membership.View().Self.DataCentre {
 		return
--- a/internal/version/targets/targets.go
+++ b/internal/version/targets/targets.go
@@ -133,7 +133,7 @@
 
 func (m *Manager) readsVMs() bool {
 	view := m.membership.View()
-	for _, id := range rendezvous.Rank("vm-list", view.Duty, vmReadersPerDC) {
+	for _, id := range rendezvous.Rank("vm-list", view.ActiveIDs, vmReadersPerDC) {
 		if id == view.Self.ID {
 			return true
 		}
@@ -161,7 +161,7 @@
 	}
 	m.table.SetTargets(list)
 	m.mu.Unlock()
-	m.membership.Learn(nodes)
+	m.membership.AddListed(nodes)
 	m.Reown(m.membership.View())
 }
 
@@ -190,10 +190,10 @@
 // Reown computes the owners anew.
 func (m *Manager) Reown(view *member.View) {
 	m.mu.Lock()
-	m.table.SetPosition(warmup.PositionOf(view.Self.ID, view.Duty))
+	m.table.SetPosition(warmup.PositionOf(view.Self.ID, view.ActiveIDs))
 	var own []string
 	for _, s := range m.table.List(time.Now()) {
-		owner := rendezvous.First(s.ID, view.Duty)
+		owner := rendezvous.First(s.ID, view.ActiveIDs)
 		m.owners[s.ID] = owner
 		if owner == view.Self.ID {
 			own = append(own, s.ID)
@@ -393,7 +393,7 @@
 
 func (m *Manager) begin(target choose.Target) {
 	s, ok := m.table.Get(time.Now(), target.ID)
-	m.checker.Assert(ok && !s.Leaving, invariant.NoWorkLeaving, "", target.ID, "chosen while leaving")
+	m.checker.Assert(ok && !s.Leaving, invariant.NoDispatchToLeaving, "", target.ID, "chosen while leaving")
 	m.table.Begin(target.ID)
 	m.touched.Put(target.ID)
 }
--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -123,7 +123,7 @@
 		now = now.Add(heartbeat)
 		m.Tick(now)
 		for k := 1; k < n; k++ {
-			m.Heard(now, nodeInfo(0, k))
+			m.ObserveDirect(now, nodeInfo(0, k))
 		}
 		m.View()
 	})
@@ -137,8 +137,8 @@
 // spread counts the heartbeat intervals until every node has heard of a
 // version that one node has, when nodes tell by heartbeats alone.
 func spread(out io.Writer, n int) {
-	var machines []*member.Machine
-	byID := map[string]*member.Machine{}
+	var machines []*member.StateMachine
+	byID := map[string]*member.StateMachine{}
 	now := time.Now()
 	for dc := range centres {
 		for i := range n {
@@ -151,7 +151,7 @@
 	}
 	for _, a := range machines {
 		for _, b := range machines {
-			a.Heard(now, b.Self())
+			a.ObserveDirect(now, b.Self())
 		}
 	}
 	machines[0].SetConfigVersion(1)
@@ -177,17 +177,17 @@
 }
 
 // pair is one exchange of heartbeats.
-type pair struct{ a, b *member.Machine }
+type pair struct{ a, b *member.StateMachine }
 
 // deliver carries out the exchanges of one interval. What a machine learns in
 // an interval it tells in the next.
 func deliver(now time.Time, pairs []pair) {
-	learned := map[*member.Machine]uint64{}
+	learned := map[*member.StateMachine]uint64{}
 	for _, p := range pairs {
 		newest := max(p.a.Self().ConfigVersion, p.b.Self().ConfigVersion)
 		learned[p.a], learned[p.b] = max(learned[p.a], newest), max(learned[p.b], newest)
-		p.a.Heard(now, p.b.Self())
-		p.b.Heard(now, p.a.Self())
+		p.a.ObserveDirect(now, p.b.Self())
+		p.b.ObserveDirect(now, p.a.Self())
 	}
 	for m, version := range learned {
 		m.SetConfigVersion(max(version, m.Self().ConfigVersion))
--- a/lab/hosted/fleet.go
+++ b/lab/hosted/fleet.go
@@ -219,7 +219,7 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &Node{Node: platform.New(node.Parts(s, f.Log)), Settings: s, cancel: cancel, done: make(chan struct{})}
+	n := &Node{Node: platform.New(node.HostedDependencies(s, f.Log)), Settings: s, cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(n.done)
 		n.err = n.Run(ctx)
