--- a/internal/process/node/allowances.go
+++ b/internal/process/node/allowances.go
@@ -14,14 +14,14 @@
 	"github.com/marblepond/marblepond/internal/version/workspace"
 )
 
-// newLending returns what lends and borrows tokens of workspaces' allowances.
+// newLending returns the exchange that lends and borrows tokens of workspaces' rate limits.
 func (n *Node) newLending() *lending.Exchange {
 	s := n.settings
 	return lending.New(lending.Options{Node: s.NodeID, DataCentre: s.DataCentre, Boot: int64(n.self.Incarnation), Now: n.clock.Now, Fleet: lendingFleet{n}, Limit: n.allowanceOf, Metrics: n.metrics.scope,
 		Tolerance: allowance.Tolerance{Window: s.AllowanceWindow, Share: s.AllowanceTolerance, Slack: float64(s.AllowanceSlack)}})
 }
 
-// allowanceOf returns the allowance of a workspace in force.
+// allowanceOf returns the rate limit of a workspace in the configuration in force.
 func (n *Node) allowanceOf(name string) (workspace.Allowance, bool) {
 	w := n.config.Current().Workspaces.ByName(name)
 	if w == nil {
@@ -30,26 +30,26 @@
 	return w.Allowance, true
 }
 
-// lendingFleet implements lending.Fleet. A node knows the nodes of its own data centre and
-// a few contacts of each other one, so that the owner is found in two steps: the data
-// centre by the workspace's order of data centres, and the node there by those that
-// know it. Nodes take datagrams at the address where they take calls of other nodes.
+// lendingFleet implements lending.Fleet. A node knows all nodes of its own data centre but
+// only a few contacts in each other one, so the owner is found in two steps: the data
+// centre in the workspace's rendezvous order, then the node by the nodes of that data
+// centre. Nodes receive datagrams at the address of their peer service.
 type lendingFleet struct{ n *Node }
 
-// owners is how many nodes of one data centre are worth asking.
-const owners = 2
+// maxOwners is how many data centres, and how many nodes in each, are tried as owners.
+const maxOwners = 2
 
 func (f lendingFleet) Owners(name string, skip func(node string) bool) []lending.Lender {
 	view := f.n.membership.View()
 	var out []lending.Lender
-	for _, dc := range rendezvous.Rank(name, f.dataCentres(view), owners) {
-		list := f.alive(view, dc)
+	for _, dc := range rendezvous.Rank(name, f.dataCentres(view), maxOwners) {
+		list := f.aliveNodes(view, dc)
 		list = slices.DeleteFunc(list, func(l lending.Lender) bool { return skip(l.Node) })
 		names := make([]string, len(list))
 		for i, l := range list {
 			names[i] = l.Node
 		}
-		for _, owner := range rendezvous.Rank(name, names, owners) {
+		for _, owner := range rendezvous.Rank(name, names, maxOwners) {
 			out = append(out, list[slices.Index(names, owner)])
 		}
 	}
@@ -81,14 +81,14 @@
 }
 
 func (f lendingFleet) Reachable(dataCentre string) bool {
-	return len(f.alive(f.n.membership.View(), dataCentre)) > 0
+	return len(f.aliveNodes(f.n.membership.View(), dataCentre)) > 0
 }
 
-// LastReceived implements lending.Fleet. No node of another data centre is told from its
-// contacts, and no time with it.
+// LastReceived implements lending.Fleet. Contacts carry no receive time, so every data
+// centre counts as received from just now.
 func (f lendingFleet) LastReceived(string) time.Time { return f.n.clock.Now() }
 
-// dataCentres returns the data centres that are known.
+// dataCentres returns the known data centres, in no order.
 func (f lendingFleet) dataCentres(view *member.View) []string {
 	names := map[string]bool{view.Self.DataCentre: true}
 	for _, c := range view.Contacts {
@@ -97,8 +97,9 @@
 	return slices.Collect(maps.Keys(names))
 }
 
-// alive returns the nodes of a data centre that are heard.
-func (f lendingFleet) alive(view *member.View, dc string) []lending.Lender {
+// aliveNodes returns the nodes of a data centre that are alive and not leaving; in its own
+// data centre, this node is always included.
+func (f lendingFleet) aliveNodes(view *member.View, dc string) []lending.Lender {
 	var out []lending.Lender
 	list, own := view.Contacts, dc == view.Self.DataCentre
 	if own {
--- a/internal/process/node/crashes.go
+++ b/internal/process/node/crashes.go
@@ -14,14 +14,14 @@
 func (n *Node) newCrashWatch(client *http.Client) *crashes.Watch {
 	s := n.settings
 	return crashes.New(crashes.Options{Config: quarantine.Config{Limit: s.CrashLimit, Retention: s.CrashMemory}, Now: n.clock.Now,
-		Serving: n.targets.Serving, Leaving: n.targets.Leaving, OnChange: func() {}, // the next heartbeat tells it
+		Serving: n.targets.Serving, Leaving: n.targets.Leaving, OnChange: func() {}, // the next heartbeat sends the digest
 		Client: func(node string) (marblepondv1connect.QuarantineServiceClient, bool) {
 			address := peerAddress(n.membership.View(), node)
 			return marblepondv1connect.NewQuarantineServiceClient(client, "http://"+address, peer.ClientOptions(s.PeerKey)...), address != ""
 		}, Recorder: n.recorder, Metrics: n.metrics.scope})
 }
 
-// peerAddress returns where a node is reached, "" when that is not known.
+// peerAddress returns the peer address of a node, "" if it is unknown.
 func peerAddress(view *member.View, node string) string {
 	for _, list := range [][]member.Member{view.Members, view.Contacts} {
 		for _, m := range list {
@@ -33,13 +33,13 @@
 	return ""
 }
 
-// crashNews carries the digest of what is known of crashed targets with heartbeats.
-type crashNews struct{ crashes *crashes.Watch }
+// crashDigest adds the digest of the known crashes of targets to heartbeats.
+type crashDigest struct{ crashes *crashes.Watch }
 
 // Pack implements membership.Payload.
-func (c crashNews) Pack(state *v1.HeartbeatRequest, _, _ bool) { state.Crashes = c.crashes.Digest() }
+func (c crashDigest) Pack(state *v1.HeartbeatRequest, _, _ bool) { state.Crashes = c.crashes.Digest() }
 
 // Unpack implements membership.Payload.
-func (c crashNews) Unpack(from *v1.NodeInfo, state *v1.HeartbeatRequest) {
+func (c crashDigest) Unpack(from *v1.NodeInfo, state *v1.HeartbeatRequest) {
 	c.crashes.ReceiveDigest(from.Id, state.Crashes)
 }
--- a/internal/process/node/metrics.go
+++ b/internal/process/node/metrics.go
@@ -15,8 +15,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metrics is the node's scope and the page that shows it as text, one metric
-// a line: name, tags and value.
+// metrics is the node's metrics scope and the HTTP handler that exposes it as text, one
+// metric per line: name, tags and value.
 type metrics struct {
 	scope tally.TestScope
 }
@@ -34,7 +34,7 @@
 		lines = append(lines, fmt.Sprintf("%s%s %g", g.Name(), tags(g.Tags()), g.Value()))
 	}
 	for _, h := range snapshot.Histograms() {
-		lines = append(lines, histogram(h)...)
+		lines = append(lines, histogramLines(h)...)
 	}
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -44,9 +44,9 @@
 	fmt.Fprintln(w, strings.Join(lines, "\n"))
 }
 
-// histogram returns the lines of a latency histogram, cumulative by upper bound
-// in seconds as Prometheus reads it.
-func histogram(h tally.HistogramSnapshot) []string {
+// histogramLines returns the lines of a latency histogram in the format of Prometheus:
+// cumulative counts by upper bound in seconds.
+func histogramLines(h tally.HistogramSnapshot) []string {
 	bounds := slices.Sorted(maps.Keys(h.Durations()))
 	var lines []string
 	total := int64(0)
--- a/internal/process/node/metrics_test.go
+++ b/internal/process/node/metrics_test.go
@@ -10,8 +10,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// TestMetricsPage: counters, gauges and latency histograms stand there as text,
-// histograms cumulative.
+// TestMetricsPage checks the text format of counters and histograms, whose counts are
+// cumulative.
 func TestMetricsPage(t *testing.T) {
 	is := is.New(t)
 	m := newMetrics()
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -1,6 +1,5 @@
-// Package node assembles the process: it connects the parts, starts a
-// goroutine for each duty, and takes the node down again without cutting
-// anything in progress.
+// Package node assembles the process: it creates the components, starts a goroutine for
+// each background task, and shuts the node down without interrupting requests in progress.
 package node
 
 import (
@@ -47,56 +46,55 @@
 	"github.com/marblepond/marblepond/internal/version/targets"
 )
 
-// Node is one agent.
+// Node is one process of the fleet, as started by "marblepond agent".
 type Node struct {
 	settings *settings.Settings
 	variant  Variant
 	self     member.Info
 
-	recorder   *timeline.Recorder
-	checker    *invariant.Checker
-	metrics    *metrics
-	pool       *peer.Pool
-	peerClient *http.Client // behind pool
-	crashes    *crashes.Watch
-	lending    *lending.Exchange
-	clock      *clock.Clock
-	platform   *platform.Client
-	membership *membership.Manager
-	config     *config.Manager
-	targets    *targets.Manager
-	keeper     *homes.Replicator
-	claims     *claim.Claims
-	store      *batch.Store
-	worker     *batch.Worker
-	runner     *run.Runner
-	server     *serve.Server
+	recorder       *timeline.Recorder
+	checker        *invariant.Checker
+	metrics        *metrics
+	pool           *peer.Pool
+	peerHTTPClient *http.Client // used by pool
+	crashes        *crashes.Watch
+	lending        *lending.Exchange
+	clock          *clock.Clock
+	platform       *platform.Client
+	membership     *membership.Manager
+	config         *config.Manager
+	targets        *targets.Manager
+	replicator     *homes.Replicator
+	claims         *claim.Claims
+	store          *batch.Store
+	worker         *batch.Worker
+	runner         *run.Runner
+	server         *serve.Server
 
 	callerHTTP *http.Server
 	peerHTTP   *http.Server
 }
 
-// stallTimeout is how long a target's stream may stay silent.
+// stallTimeout is the longest time without data on a target's stream.
 const stallTimeout = 10 * time.Second
 
-// Variant replaces decisions by baselines, for measurements only; no setting
-// leads to it.
+// Variant replaces policies by simpler baselines to measure against. No setting selects it.
 type Variant struct {
 	Policy      choose.Policy // empty: choose.Affinity
-	Unthrottled bool          // batch fills targets whatever online does
+	Unthrottled bool          // batch fills targets regardless of online requests
 }
 
-// New connects the parts of a node, which writes its log to out.
+// New returns a node that writes its log to out; Run starts it.
 func New(s *settings.Settings, out io.Writer) *Node { return NewVariant(s, out, Variant{}) }
 
-// HostedDependencies returns what a hosted node is assembled from.
+// HostedDependencies returns the settings, clock, metrics and recorder of a hosted node.
 func HostedDependencies(s *settings.Settings, out io.Writer) hosted.Parts {
 	m := newMetrics()
 	return hosted.Parts{Settings: s, Metrics: m.scope, MetricsPage: m, Clock: clock.New(),
 		Recorder: timeline.NewRecorder(s.NodeID, s.TimelineEvents, newLogger(s, out), m.scope)}
 }
 
-// NewVariant connects the parts of a node with baselines in place.
+// NewVariant is New with the policies that v selects.
 func NewVariant(s *settings.Settings, out io.Writer, v Variant) *Node {
 	n := &Node{settings: s, variant: v, metrics: newMetrics(), clock: clock.New()}
 	if n.variant.Policy == "" {
@@ -106,8 +104,8 @@
 		PeerAddr: s.PeerAdvertise, CallerAddr: s.CallerAdvertise}
 	n.recorder = timeline.NewRecorder(s.NodeID, s.TimelineEvents, newLogger(s, out), n.metrics.scope)
 	n.checker = invariant.New(n.recorder, s.StopOnViolation)
-	n.connect()
-	n.assemble()
+	n.newClients()
+	n.newComponents()
 	return n
 }
 
@@ -116,17 +114,17 @@
 	return logger.WithField("node", s.NodeID)
 }
 
-// connect makes the clients towards peers, platform and targets.
-func (n *Node) connect() {
+// newClients creates the clients of the peers and of the platform.
+func (n *Node) newClients() {
 	s := n.settings
 	host, _, _ := net.SplitHostPort(s.PeerListen)
 	dialer := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}}
-	n.peerClient = peer.NewHTTPClient(&http.Transport{DialContext: dialer.DialContext})
-	n.pool = peer.NewPool(n.peerClient, s.PeerKey)
+	n.peerHTTPClient = peer.NewHTTPClient(&http.Transport{DialContext: dialer.DialContext})
+	n.pool = peer.NewPool(n.peerHTTPClient, s.PeerKey)
 	n.platform = platform.New(platform.Options{
 		URL: s.PlatformURL, Caller: s.NodeID, Timeout: s.PlatformTimeout, WriteRate: s.PlatformWriteRate, ReadRate: s.PlatformReadRate,
 		Metrics: n.metrics.scope, HTTP: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: platformConns}},
-		OnChange: n.platformChanged,
+		OnChange: n.recordPlatformState,
 	})
 }
 
@@ -135,7 +133,7 @@
 	targetConns   = 256
 )
 
-func (n *Node) platformChanged(up bool) {
+func (n *Node) recordPlatformState(up bool) {
 	code := timeline.PlatformDown
 	if up {
 		code = timeline.PlatformUp
@@ -143,25 +141,25 @@
 	n.recorder.Record(code, "", "platform", "")
 }
 
-func (n *Node) engineClient() *engine.Client {
+func (n *Node) newEngineClient() *engine.Client {
 	host, _, _ := net.SplitHostPort(n.settings.PeerListen)
 	dialer := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}}
 	transport := &http.Transport{DialContext: dial.Checked(dialer.DialContext), MaxIdleConnsPerHost: targetConns, IdleConnTimeout: time.Minute, DisableCompression: true}
 	return engine.New(&http.Client{Transport: transport}, stallTimeout)
 }
 
-// assemble makes the parts and joins them.
-func (n *Node) assemble() {
+// newComponents creates the components and connects them.
+func (n *Node) newComponents() {
 	s := n.settings
-	engines := n.engineClient()
+	engines := n.newEngineClient()
 	n.membership = membership.New(n.self, member.Timing{Heartbeat: s.Heartbeat, SuspectAfter: s.SuspectAfter, DeadAfter: s.DeadAfter}, s.Seeds, n.pool, n.recorder)
 	n.config = config.New(n.platform, n.pool, n.membership, n.recorder, n.checker, s.WatchTimeout)
 	n.targets = targets.New(targets.Config{VMListInterval: s.VMListInterval, LoadInterval: s.LoadInterval,
 		Choose: choose.Config{EjectAfter: s.EjectAfter, EjectTime: s.EjectTime, Policy: n.variant.Policy}},
 		n.platform, engines, n.membership, n.recorder, n.checker, n.config.Current)
-	n.crashes = n.newCrashWatch(n.peerClient)
+	n.crashes = n.newCrashWatch(n.peerHTTPClient)
 	n.runner = run.New(n.targets, engines, &remotes{n}, n.crashes, n.recorder, n.checker, s.RetryShare, s.LoadInterval, n.clock.Now)
-	n.keeper = homes.New(s.ResultMemory, n.membership.View, n.pool, n.platform, n.recorder, func(r hold.Request) { n.server.Rerun(r) })
+	n.replicator = homes.New(s.ResultMemory, n.membership.View, n.pool, n.platform, n.recorder, func(r hold.Request) { n.server.Rerun(r) })
 	n.claims = claim.New(n.platform, n.recorder)
 	n.store = batch.NewStore(n.platform, n.recorder, s.ChunkItems)
 	n.worker = batch.NewWorker(batch.Config{LeaseTTL: s.LeaseTTL, OutageGrace: s.OutageGrace, CommitEvery: s.CommitEvery,
@@ -172,24 +170,24 @@
 	n.lending = n.newLending()
 	n.server = serve.New(serve.Limits{MaxBody: s.MaxBody, MaxInFlight: s.MaxInFlight, RequestTimeout: s.RequestTimeout},
 		serve.Dependencies{Config: n.config.Current, Ready: n.ready, Members: n.membership.View, Targets: n.targets, Runner: n.runner,
-			Allowances: n.lending, Replicas: n.keeper, Claims: n.claims, Store: n.store, Recorder: n.recorder, Checker: n.checker, Metrics: n.metrics.scope, PeerKey: s.PeerKey})
+			Allowances: n.lending, Replicas: n.replicator, Claims: n.claims, Store: n.store, Recorder: n.recorder, Checker: n.checker, Metrics: n.metrics.scope, PeerKey: s.PeerKey})
 	n.server.Handle("GET /metrics", n.metrics)
 	n.targets.SetBatch(n.worker.InFlight, n.worker.HandleLoadReport, n.worker.SetOwnedTargets)
 	n.membership.AddPayload(n.config)
 	n.membership.AddPayload(n.targets)
-	n.membership.AddPayload(crashNews{n.crashes})
+	n.membership.AddPayload(crashDigest{n.crashes})
 	n.config.OnChange(func(c *fleet.Config) { n.targets.Evacuate(c.Evacuated) })
 	n.targets.OnEnded(func(t choose.Target) { n.crashes.Ended(t, quarantine.Restarted) })
 	n.membership.OnChange(n.targets.Reown)
-	n.membership.OnChange(n.keeper.TakeOverOrphans)
+	n.membership.OnChange(n.replicator.TakeOverOrphans)
 	n.membership.OnChange(n.worker.DropDeadNodes)
-	n.listenHandlers()
+	n.newHTTPServers()
 }
 
-// quietTime is how long room freed for an online rise stays free.
+// quietTime is how long sequences freed for a rise of online requests stay free of batch items.
 const quietTime = 100 * time.Millisecond
 
-func (n *Node) listenHandlers() {
+func (n *Node) newHTTPServers() {
 	peerMux := http.NewServeMux()
 	peerMux.Handle(marblepondv1connect.NewPeerServiceHandler(&peerService{n}, peer.Require(n.settings.PeerKey)...))
 	peerMux.Handle(marblepondv1connect.NewOperatorServiceHandler(&operatorService{n}, peer.Require(n.settings.OperatorKey)...))
@@ -202,7 +200,7 @@
 		ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: n.settings.MaxHeader}
 }
 
-// headerTimeout bounds how long a caller may take to send its header.
+// headerTimeout bounds how long a client may take to send its request header.
 const headerTimeout = 5 * time.Second
 
 func (n *Node) ready() error {
@@ -212,8 +210,8 @@
 	return nil
 }
 
-// Run serves until ctx ends, then drains and returns. A listen error or work
-// left unfinished at the drain timeout is returned.
+// Run serves until ctx ends, then drains. It returns an error if a listener can't be
+// opened or work is unfinished at the drain timeout.
 func (n *Node) Run(ctx context.Context) error {
 	peerListener, err := net.Listen("tcp", n.settings.PeerListen)
 	if err != nil {
@@ -228,55 +226,55 @@
 		return errors.Join(err, peerListener.Close(), callerListener.Close())
 	}
 	n.recorder.Record(timeline.NodeStarted, "", n.self.ID, fmt.Sprintf("incarnation %d", n.self.Incarnation))
-	work, stop := context.WithCancel(context.Background())
+	tasksCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	var duties sync.WaitGroup
-	n.startDuties(work, &duties)
-	duties.Go(func() { n.lending.Run(work, lendingConn) })
+	var tasks sync.WaitGroup
+	n.startTasks(tasksCtx, &tasks)
+	tasks.Go(func() { n.lending.Run(tasksCtx, lendingConn) })
 	go n.peerHTTP.Serve(peerListener)
 	go n.callerHTTP.Serve(callerListener)
 	<-ctx.Done()
-	err = n.drain(work)
+	err = n.drain(tasksCtx)
 	stop()
-	duties.Wait()
+	tasks.Wait()
 	n.peerHTTP.Close()
 	n.recorder.Record(timeline.NodeStopped, "", n.self.ID, "")
 	return err
 }
 
-func (n *Node) startDuties(ctx context.Context, wg *sync.WaitGroup) {
+func (n *Node) startTasks(ctx context.Context, wg *sync.WaitGroup) {
 	wg.Go(func() { n.membership.Run(ctx) })
 	wg.Go(func() { n.config.Run(ctx) })
-	wg.Go(func() { n.announceReady(ctx) })
+	wg.Go(func() { n.recordReady(ctx) })
 	wg.Go(func() { n.targets.Run(ctx) })
 	wg.Go(func() { n.targets.SendPressure(ctx, n.pool, n.worker.HandlePressure) })
-	wg.Go(func() { n.keeper.Flush(ctx, n.settings.FlushInterval) })
-	wg.Go(func() { n.keeper.Watch(ctx) })
+	wg.Go(func() { n.replicator.Flush(ctx, n.settings.FlushInterval) })
+	wg.Go(func() { n.replicator.Watch(ctx) })
 	wg.Go(func() { n.claims.Run(ctx) })
 	wg.Go(func() { n.worker.Run(ctx) })
 	wg.Go(func() { n.crashes.Run(ctx) })
 }
 
-// readyPoll is the time between looks at whether a starting node is ready.
-const readyPoll = 20 * time.Millisecond
+// readyPollInterval is the time between readiness checks of a starting node.
+const readyPollInterval = 20 * time.Millisecond
 
-func (n *Node) announceReady(ctx context.Context) {
+func (n *Node) recordReady(ctx context.Context) {
 	for n.ready() != nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 	}
 	n.recorder.Record(timeline.NodeReady, "", n.self.ID, fmt.Sprintf("configuration version %d", n.config.Current().Version))
 }
 
-// settleTime is how long a leaving node still takes calls after its health
-// answer fails, so that the balancer has seen it.
-const settleTime = 500 * time.Millisecond
+// deregistrationDelay is how long a leaving node still accepts requests after its health
+// check fails, so that the load balancer has noticed.
+const deregistrationDelay = 500 * time.Millisecond
 
-// drain takes the node out of service: health answer first, then no new
-// calls, then everything in progress to its end, then what it holds.
+// drain takes the node out of service: it fails the health check, stops accepting
+// requests, waits for those in progress, and writes the results it still holds.
 func (n *Node) drain(ctx context.Context) error {
 	n.recorder.Record(timeline.NodeDraining, "", n.self.ID, "asked to stop")
 	ctx, cancel := context.WithTimeout(ctx, n.settings.DrainTimeout)
@@ -286,13 +284,13 @@
 	n.membership.Broadcast(ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() { n.worker.Drain(ctx) })
-	time.Sleep(settleTime)
+	time.Sleep(deregistrationDelay)
 	n.server.Close()
 	err := n.callerHTTP.Shutdown(ctx)
 	err = errors.Join(err, n.server.Drain(ctx))
 	wg.Wait()
 	n.checker.Assert(err == nil, invariant.DrainCompletesWork, "", n.self.ID, "drain: %v", err)
-	if left := n.keeper.FlushAll(ctx); left > 0 {
+	if left := n.replicator.FlushAll(ctx); left > 0 {
 		n.recorder.Record(timeline.ResultsFlushed, "", n.self.ID, fmt.Sprintf("%d results not written", left))
 	}
 	return err
@@ -304,5 +302,5 @@
 // Violations returns how many invariants were violated.
 func (n *Node) Violations() int64 { return n.checker.Violations() }
 
-// Metrics returns the node's root scope.
+// Metrics returns the root scope of the node's metrics.
 func (n *Node) Metrics() tally.Scope { return n.metrics.scope }
--- a/internal/process/node/operators.go
+++ b/internal/process/node/operators.go
@@ -18,15 +18,15 @@
 	"github.com/marblepond/marblepond/internal/version/config"
 )
 
-// operatorService answers operators.
+// operatorService implements OperatorService.
 type operatorService struct{ node *Node }
 
-// askTimeout bounds how long another node is asked on an operator's behalf.
-const askTimeout = time.Second
+// nodeQueryTimeout bounds one call to another node on an operator's behalf.
+const nodeQueryTimeout = time.Second
 
 // Plan implements OperatorService.
 func (o *operatorService) Plan(ctx context.Context, req *v1.PlanRequest) (*v1.PlanResponse, error) {
-	intent, err := o.intentOf(req.Intent, req.Evacuation)
+	intent, err := o.parseIntent(req.Intent, req.Evacuation)
 	if err != nil {
 		return nil, err
 	}
@@ -37,8 +37,8 @@
 	return planToProto(plan), nil
 }
 
-// intentOf returns what an operator asks for.
-func (o *operatorService) intentOf(text string, evacuation *v1.Evacuation) (config.Intent, error) {
+// parseIntent returns the intent of an operator's request: an evacuation or INI text.
+func (o *operatorService) parseIntent(text string, evacuation *v1.Evacuation) (config.Intent, error) {
 	if evacuation == nil {
 		return config.TextIntent(text), nil
 	}
@@ -76,7 +76,7 @@
 
 // Apply implements OperatorService.
 func (o *operatorService) Apply(ctx context.Context, req *v1.ApplyRequest) (*v1.ApplyResponse, error) {
-	intent, err := o.intentOf(req.Intent, req.Evacuation)
+	intent, err := o.parseIntent(req.Intent, req.Evacuation)
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 	return &v1.ApplyResponse{Version: version}, nil
 }
 
-// Status implements OperatorService: every node known here is asked itself.
+// Status implements OperatorService by querying every known node.
 func (o *operatorService) Status(ctx context.Context, _ *v1.StatusRequest) (*v1.StatusResponse, error) {
 	n := o.node
 	view := n.membership.View()
@@ -102,7 +102,7 @@
 	statuses := make([]*v1.NodeStatus, len(known))
 	var wg sync.WaitGroup
 	for i, m := range known {
-		wg.Go(func() { statuses[i] = o.ask(ctx, m) })
+		wg.Go(func() { statuses[i] = o.queryStatus(ctx, m) })
 	}
 	wg.Wait()
 	current := n.config.Current()
@@ -113,13 +113,13 @@
 	return resp, nil
 }
 
-func (o *operatorService) ask(ctx context.Context, m member.Member) *v1.NodeStatus {
+func (o *operatorService) queryStatus(ctx context.Context, m member.Member) *v1.NodeStatus {
 	status := &v1.NodeStatus{Node: membership.ToProto(m.Info), State: string(m.State)}
 	if m.ID == o.node.self.ID {
 		status.Answered = true
 		return status
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, nodeQueryTimeout)
 	defer cancel()
 	resp, err := o.node.pool.Client(m.PeerAddr).Heartbeat(ctx, &v1.HeartbeatRequest{From: membership.ToProto(o.node.membership.View().Self)})
 	if err == nil {
@@ -128,8 +128,8 @@
 	return status
 }
 
-// summarise names cut-off data centres and says "in force everywhere" only
-// when every node was asked and has the newest version.
+// summarise lists the data centres and whether they are reachable. InForceEverywhere is
+// set only if every node answered and has the newest version.
 func summarise(statuses []*v1.NodeStatus, version uint64) *v1.StatusResponse {
 	resp := &v1.StatusResponse{Nodes: statuses, InForceEverywhere: true}
 	reachable := map[string]bool{}
@@ -174,7 +174,7 @@
 	var wg sync.WaitGroup
 	for _, m := range append(append([]member.Member{}, view.Members...), view.Contacts...) {
 		wg.Go(func() {
-			ctx, cancel := context.WithTimeout(ctx, askTimeout)
+			ctx, cancel := context.WithTimeout(ctx, nodeQueryTimeout)
 			defer cancel()
 			answer, err := n.pool.Client(m.PeerAddr).Events(ctx, &v1.EventsRequest{RequestId: req.RequestId, Limit: req.Limit})
 			mu.Lock()
--- a/internal/process/node/peers.go
+++ b/internal/process/node/peers.go
@@ -10,7 +10,7 @@
 	"github.com/marblepond/marblepond/internal/request/homes"
 )
 
-// peerService answers the other nodes.
+// peerService implements PeerService.
 type peerService struct{ node *Node }
 
 // Heartbeat implements PeerService.
@@ -27,35 +27,35 @@
 // Hold implements PeerService.
 func (p *peerService) Hold(ctx context.Context, req *v1.HoldRequest) (*v1.HoldResponse, error) {
 	if req.Relay {
-		answer, err := p.node.keeper.HoldInDataCentre(ctx, homes.RequestFromProto(req))
+		answer, err := p.node.replicator.HoldInDataCentre(ctx, homes.RequestFromProto(req))
 		return homes.AnswerToProto(answer), err
 	}
-	return homes.AnswerToProto(p.node.keeper.HoldLocal(homes.RequestFromProto(req))), nil
+	return homes.AnswerToProto(p.node.replicator.HoldLocal(homes.RequestFromProto(req))), nil
 }
 
 // Finish implements PeerService.
 func (p *peerService) Finish(ctx context.Context, req *v1.FinishRequest) (*v1.FinishResponse, error) {
 	if req.Relay {
-		return &v1.FinishResponse{Stored: true}, p.node.keeper.FinishInDataCentre(ctx, homes.ResultFromProto(req.Result))
+		return &v1.FinishResponse{Stored: true}, p.node.replicator.FinishInDataCentre(ctx, homes.ResultFromProto(req.Result))
 	}
-	return &v1.FinishResponse{Stored: p.node.keeper.FinishLocal(homes.ResultFromProto(req.Result), req.Durable)}, nil
+	return &v1.FinishResponse{Stored: p.node.replicator.FinishLocal(homes.ResultFromProto(req.Result), req.Durable)}, nil
 }
 
 // Flushed implements PeerService.
 func (p *peerService) Flushed(ctx context.Context, req *v1.FlushedRequest) (*v1.FlushedResponse, error) {
 	if req.Relay {
-		p.node.keeper.MarkFlushedInDataCentre(ctx, req.RequestIds)
+		p.node.replicator.MarkFlushedInDataCentre(ctx, req.RequestIds)
 	}
-	p.node.keeper.MarkFlushedLocal(req.RequestIds)
+	p.node.replicator.MarkFlushedLocal(req.RequestIds)
 	return &v1.FlushedResponse{}, nil
 }
 
 // Drop implements PeerService.
 func (p *peerService) Drop(ctx context.Context, req *v1.DropRequest) (*v1.DropResponse, error) {
 	if req.Relay {
-		return &v1.DropResponse{}, p.node.keeper.DropInDataCentre(ctx, req.RequestId)
+		return &v1.DropResponse{}, p.node.replicator.DropInDataCentre(ctx, req.RequestId)
 	}
-	p.node.keeper.DropLocal(req.RequestId)
+	p.node.replicator.DropLocal(req.RequestId)
 	return &v1.DropResponse{}, nil
 }
 
@@ -63,17 +63,17 @@
 func (p *peerService) Lookup(ctx context.Context, req *v1.LookupRequest) (*v1.LookupResponse, error) {
 	wait := time.Duration(req.WaitMs) * time.Millisecond
 	var answer hold.Answer
-	var silent error // a home did not answer
+	var replicaErr error // why the answer is uncertain: e.g. a replica did not respond
 	switch {
 	case req.Relay:
-		answer, silent = p.node.keeper.FindInDataCentre(ctx, req.RequestId, req.Workspace, wait)
-	case p.node.keeper.Workspace(req.RequestId) == req.Workspace:
-		answer = p.node.keeper.LookupLocal(ctx, req.RequestId, wait)
+		answer, replicaErr = p.node.replicator.FindInDataCentre(ctx, req.RequestId, req.Workspace, wait)
+	case p.node.replicator.Workspace(req.RequestId) == req.Workspace:
+		answer = p.node.replicator.LookupLocal(ctx, req.RequestId, wait)
 	default:
 		answer = hold.Answer{State: hold.Unknown}
 	}
 	resp := homes.AnswerToProto(answer)
-	return &v1.LookupResponse{State: resp.State, Result: resp.Result, Owner: resp.Owner, OwnerIncarnation: resp.OwnerIncarnation, Unsure: silent != nil}, nil
+	return &v1.LookupResponse{State: resp.State, Result: resp.Result, Owner: resp.Owner, OwnerIncarnation: resp.OwnerIncarnation, Unsure: replicaErr != nil}, nil
 }
 
 // FetchConfig implements PeerService.
--- a/internal/process/node/remotes.go
+++ b/internal/process/node/remotes.go
@@ -9,11 +9,12 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// remotes offers nodes of other data centres in place of targets when the own
-// data centre is empty or full.
+// remotes offers nodes of other data centres in place of targets, for requests that the
+// node's own data centre has no target or no capacity for.
 type remotes struct{ node *Node }
 
-var remoteTurn atomic.Uint64
+// nextRemote rotates over the contacts, so that successive requests go to different nodes.
+var nextRemote atomic.Uint64
 
 // Reachable implements run.Remote.
 func (r *remotes) Reachable() bool {
@@ -35,7 +36,7 @@
 	if len(contacts) == 0 {
 		return choose.Target{}, nil, false
 	}
-	turn := int(remoteTurn.Add(1))
+	turn := int(nextRemote.Add(1))
 	for i := range contacts {
 		c := contacts[(turn+i)%len(contacts)]
 		if exclude[c.ID] || !r.usable(c) {
