--- a/internal/process/settings/settings.go
+++ b/internal/process/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a node's INI settings and checks them whole before
-// the node starts: every fault is reported with file, section, key, what was
-// found and what is allowed.
+// Package settings reads a node's INI settings file and checks all of it before the node
+// starts: every fault is reported with file, section, key, the value found and the values
+// allowed.
 package settings
 
 import (
@@ -16,8 +16,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Settings is everything a node learns at its start. Configuration that may
-// change while it runs is in package fleet instead.
+// Settings is what a node reads at its start; package fleet has the configuration that may
+// change while the node runs. Keys states the key, unit and range of each field.
 type Settings struct {
 	NodeID          string
 	DataCentre      string
@@ -28,7 +28,7 @@
 	Seeds           []string
 	FirstStart      bool
 
-	Front         string // which callers' interface the node serves
+	Front         string // interface for callers: FrontOpenAI or FrontHosted
 	ReadyListen   string
 	MetricsListen string
 	BeaconListen  string
@@ -44,7 +44,7 @@
 	ConfigWithin  time.Duration
 	TargetsWithin time.Duration
 	EndsWithin    time.Duration
-	// EvacuatedWithin is 0 where evacuations are not followed.
+	// EvacuatedWithin is 0 if the store holds no evacuations.
 	EvacuatedWithin time.Duration
 
 	PlatformURL       string
@@ -103,13 +103,13 @@
 	StopOnViolation bool
 }
 
-// The callers' interfaces.
+// The interfaces for callers.
 const (
-	FrontOpenAI = "openai" // the product's own, with its own discovery
-	FrontHosted = "hosted" // the users' platform, with its object store
+	FrontOpenAI = "openai" // this project's own, with its own discovery of targets
+	FrontHosted = "hosted" // that of the users' platform, with its object store
 )
 
-// Key describes one setting: where it stands, its default, unit and meaning.
+// Key describes one setting: its section and name, default, unit and meaning.
 type Key struct {
 	Section string
 	Name    string
@@ -119,20 +119,20 @@
 	set     func(*Settings, string) error
 }
 
-// Fault is one thing wrong with a settings file.
+// Fault is one error in a settings file.
 type Fault struct {
 	File, Section, Key, Found, Allowed string
 }
 
-// String returns the fault in one line.
+// String returns the fault as one line.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s: [%s] %s: found %q, allowed: %s", f.File, f.Section, f.Key, f.Found, f.Allowed)
 }
 
-// Faults is the error Load returns: every fault of the file.
+// Faults is the error that Load and Parse return: every fault of the file.
 type Faults []Fault
 
-// Error joins the faults, one a line.
+// Error returns all faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -141,7 +141,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads and checks the file. The error is Faults when the content is wrong.
+// Load reads and checks the file at path. Its error is always of type Faults.
 func Load(path string) (*Settings, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{}, path)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return parse(path, file)
 }
 
-// Parse reads and checks INI text; name stands for the file in faults.
+// Parse reads and checks INI text; name is the file name used in faults.
 func Parse(name string, text []byte) (*Settings, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{}, text)
 	if err != nil {
@@ -173,10 +173,10 @@
 			faults = append(faults, Fault{name, key.Section, key.Name, value, err.Error()})
 		}
 	}
-	faults = append(faults, frontChecks(name, s, faults)...)
-	faults = append(faults, unknownKeys(name, file, known)...)
+	faults = append(faults, checkRequired(name, s, faults)...)
+	faults = append(faults, checkUnknownKeys(name, file, known)...)
 	if len(faults) == 0 {
-		faults = append(faults, crossChecks(name, s)...)
+		faults = append(faults, checkRelations(name, s)...)
 	}
 	if len(faults) > 0 {
 		return nil, faults
@@ -184,7 +184,7 @@
 	return s, nil
 }
 
-func unknownKeys(name string, file *ini.File, known map[string]bool) Faults {
+func checkUnknownKeys(name string, file *ini.File, known map[string]bool) Faults {
 	var faults Faults
 	for _, section := range file.Sections() {
 		for _, key := range section.Keys() {
@@ -197,7 +197,7 @@
 	return faults
 }
 
-func crossChecks(name string, s *Settings) Faults {
+func checkRelations(name string, s *Settings) Faults {
 	var faults Faults
 	if s.SuspectAfter < 2*s.Heartbeat {
 		faults = append(faults, Fault{name, "membership", "suspect_after", s.SuspectAfter.String(), "at least twice [membership] heartbeat"})
@@ -217,9 +217,9 @@
 	return faults
 }
 
-// frontChecks reports settings that the chosen interface needs and that are not
-// among the faults found already.
-func frontChecks(name string, s *Settings, found Faults) Faults {
+// checkRequired reports empty settings that the chosen interface requires, unless found
+// already has a fault for them.
+func checkRequired(name string, s *Settings, found Faults) Faults {
 	wrong := map[string]bool{}
 	for _, f := range found {
 		wrong[f.Section+"."+f.Key] = true
@@ -240,7 +240,8 @@
 	return faults
 }
 
-// setters
+// The functions below return setters, which parse and check the value of one setting. The
+// text of a setter's error is what Fault.Allowed states: the values that are allowed.
 
 func text(field func(*Settings) *string, required bool) func(*Settings, string) error {
 	return func(s *Settings, value string) error {
@@ -252,12 +253,12 @@
 	}
 }
 
-// nameForm is the form of names that become part of request IDs and objects.
-var nameForm = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9.-]*$`)
+// namePattern matches names that may be part of request IDs and object names.
+var namePattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9.-]*$`)
 
 func name(field func(*Settings) *string) func(*Settings, string) error {
 	return func(s *Settings, value string) error {
-		if !nameForm.MatchString(value) {
+		if !namePattern.MatchString(value) {
 			return fmt.Errorf("letters, digits, '-' and '.', at least one (required)")
 		}
 		*field(s) = value
--- a/internal/process/settings/settings_test.go
+++ b/internal/process/settings/settings_test.go
@@ -59,11 +59,11 @@
 	is := is.New(t)
 	s, err := Parse("f", []byte(valid))
 	is.NoErr(err)
-	is.Equal(s.CallerAdvertise, "10.0.0.1:7070") // as listened on
+	is.Equal(s.CallerAdvertise, "10.0.0.1:7070") // the listen address by default
 	is.Equal(s.RetryShare, 0.1)
 }
 
-// TestFaults is a golden table: what is wrong, and the line that says so.
+// TestFaults compares the message of each kind of fault with the expected text.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"unknown key", valid + "[node]\nidd = x\n", `f: [node] idd: found "x", allowed: no such setting; see docs/SETTINGS.md`},
