--- a/internal/process/timeline/timeline.go
+++ b/internal/process/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package timeline records the decisions of a node as numbered events in a
-// bounded ring and orders them over all nodes by hybrid logical time
-// (Kulkarni et al., "Logical Physical Clocks", 2014).
+// Package timeline records the decisions of a node as numbered events in a ring buffer.
+// Hybrid logical time orders the events of all nodes (Kulkarni et al., "Logical Physical
+// Clocks", 2014).
 package timeline
 
 import (
@@ -12,26 +12,27 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// hlcLogicalBits is the width of the logical counter below the milliseconds.
+// hlcLogicalBits is the number of low bits of an HLC that hold the logical counter.
 const hlcLogicalBits = 16
 
-// HLC is a hybrid logical time: Unix milliseconds above a 16-bit counter.
+// HLC is a hybrid logical time: Unix milliseconds shifted left by the width of a 16-bit
+// logical counter, plus that counter.
 type HLC int64
 
-// Time returns the physical part.
+// Time returns the physical part of h.
 func (h HLC) Time() time.Time { return time.UnixMilli(int64(h) >> hlcLogicalBits) }
 
-// Clock issues hybrid logical times that never go back.
+// Clock issues hybrid logical times in strictly increasing order.
 type Clock struct {
 	mu   sync.Mutex
 	last HLC
 	wall func() time.Time
 }
 
-// NewClock returns a clock over the given wall clock.
+// NewClock returns a clock that reads the given wall clock.
 func NewClock(wall func() time.Time) *Clock { return &Clock{wall: wall} }
 
-// Now returns a time later than every earlier one.
+// Now returns a time later than all that were returned or observed before.
 func (c *Clock) Now() HLC {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,24 +41,26 @@
 	return c.last
 }
 
-// Observe moves the clock past a time received from another node.
+// Observe makes later calls of Now return times later than remote, a time received from
+// another node.
 func (c *Clock) Observe(remote HLC) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.last = max(c.last, remote)
 }
 
-// Event is one entry of the time line.
+// Event is one recorded event.
 type Event struct {
 	At        HLC
 	Node      string
 	Code      Code
 	RequestID string
-	Subject   string // target, job, node or section the event is about
+	Subject   string // target, job, node or section that the event is about
 	Cause     string
 }
 
-// Recorder keeps the newest events of one node, logs them and counts them.
+// Recorder keeps the newest events of one node, logs them and counts them. It is safe for
+// concurrent use.
 type Recorder struct {
 	Clock *Clock
 
@@ -82,14 +85,14 @@
 	}
 }
 
-// Field is one input of a decision, for the log.
+// Field is an additional field of an event's log line, such as an input of the decision.
 type Field struct {
 	Name  string
 	Value any
 }
 
-// Record adds an event. It never blocks; the oldest event is overwritten. The
-// fields go into the log line only.
+// Record adds an event. It never blocks: if the buffer is full, the oldest event is
+// overwritten. The fields go into the log line only.
 func (r *Recorder) Record(code Code, requestID, subject, cause string, fields ...Field) {
 	event := Event{At: r.Clock.Now(), Node: r.node, Code: code, RequestID: requestID, Subject: subject, Cause: cause}
 	r.mu.Lock()
@@ -106,7 +109,7 @@
 func (r *Recorder) log(event Event, extra []Field) {
 	level := Catalogue[event.Code].Level
 	if level == log.DebugLevel {
-		return // in the ring only; the log stays readable under load
+		return // kept in the ring buffer only, so that the log stays readable under load
 	}
 	fields := log.Fields{"event": uint32(event.Code)}
 	for name, value := range map[string]string{"request": event.RequestID, "subject": event.Subject, "cause": event.Cause} {
@@ -128,8 +131,8 @@
 	}
 }
 
-// Events returns the newest events, oldest first, at most limit; an empty
-// requestID selects all.
+// Events returns the newest events of a request, oldest first and at most limit. An empty
+// requestID selects the events of all requests.
 func (r *Recorder) Events(requestID string, limit int) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,7 +150,7 @@
 	return out
 }
 
-// Sort orders events by time, then node.
+// Sort sorts events by time, then by node.
 func Sort(events []Event) {
 	sort.SliceStable(events, func(i, j int) bool {
 		if events[i].At != events[j].At {
--- a/internal/process/timeline/timeline_test.go
+++ b/internal/process/timeline/timeline_test.go
@@ -22,7 +22,7 @@
 
 func page() string {
 	var b strings.Builder
-	b.WriteString("# Events\n\nEvery decision of weight is a numbered event: in each node's ring, in its log from level info up, and in\n`marblepond timeline`, which merges the nodes' rings by hybrid logical time. Numbers are never reused. This page is\nwritten from the code (`go test ./internal/process/timeline -update`).\n\n| number | name | level | meaning |\n| --- | --- | --- | --- |\n")
+	b.WriteString("# Events\n\nImportant decisions are recorded as numbered events: in each node's ring buffer, in its log from level info up, and in\n`marblepond timeline`, which merges the nodes' buffers by hybrid logical time. Numbers are never reused. This page is\nwritten from the code (`go test ./internal/process/timeline -update`).\n\n| number | name | level | meaning |\n| --- | --- | --- | --- |\n")
 	codes := make([]Code, 0, len(Catalogue))
 	for c := range Catalogue {
 		codes = append(codes, c)
@@ -45,8 +45,8 @@
 	is.Equal(string(written), page())
 }
 
-// TestClockNeverGoesBack: whatever the wall clock does and whatever others
-// send, times grow, and an event after a message is later than it.
+// TestClockNeverGoesBack checks, for any steps of the wall clock and any times received
+// from other nodes, that times increase and are later than the times received before.
 func TestClockNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wall := time.Unix(1000, 0)
