--- a/internal/process/member/member.go
+++ b/internal/process/member/member.go
@@ -1,10 +1,10 @@
-// Package member is the membership of a node: who is alive in its own data
-// centre, and whom to ask in the others. It is a pure state machine.
+// Package member tracks which nodes of the own data centre are alive, and some contacts in
+// the other data centres. It is a pure state machine.
 //
-// State grows with the node's data centre: all of its members, and at most
-// contactsPerDC nodes of each other data centre. Messages: one exchange per
-// pair of members and interval, which informs both sides, and one with a
-// contact of one other data centre, in turn.
+// Its memory is proportional to the size of the own data centre: it holds all members of
+// that, and at most contactsPerDC nodes of each other data centre. Per heartbeat interval,
+// each pair of members exchanges one heartbeat, which informs both sides, and each node
+// exchanges one with a contact, in rotation over the other data centres.
 package member
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Info identifies one run of a node.
+// Info describes one incarnation of a node.
 type Info struct {
 	ID            string
 	Incarnation   uint64
@@ -24,11 +24,11 @@
 	ConfigVersion uint64
 }
 
-// State is what silence says of a member.
+// State is the liveness of a member, by the time since a message of it was last received.
 type State string
 
-// The states. A suspect keeps its work and gets no new duties; a dead
-// member's work is taken over.
+// The states. A suspect member keeps its work but is assigned no new tasks; the work of a
+// dead member is taken over.
 const (
 	Alive   State = "alive"
 	Suspect State = "suspect"
@@ -38,17 +38,17 @@
 // Member is one known node.
 type Member struct {
 	Info
-	State State
-	heard time.Time
+	State        State
+	lastReceived time.Time
 }
 
-// Transition is a change of a member's state worth an event.
+// Transition is a change of a member that is recorded as an event.
 type Transition struct {
 	Member Member
-	From   State // empty: newly known
+	From   State // empty: newly added
 }
 
-// Timing holds the intervals of the machine.
+// Timing holds the intervals of the state machine.
 type Timing struct {
 	Heartbeat    time.Duration
 	SuspectAfter time.Duration
@@ -57,24 +57,24 @@
 
 const (
 	contactsPerDC = 4
-	// forgetAfter is the number of DeadAfter intervals after which a dead
-	// member is no longer asked.
-	forgetAfter = 40
-	// deadAskEvery is how many ticks pass between attempts to reach a dead
-	// member; it may have been cut off only.
-	deadAskEvery = 4
+	// removeAfterFactor is the number of DeadAfter intervals without a message after which
+	// a dead member is removed.
+	removeAfterFactor = 40
+	// deadProbeTicks is the number of ticks between heartbeats to a dead member, which may
+	// only be partitioned.
+	deadProbeTicks = 4
 )
 
-// StateMachine is the state machine. It is not safe for concurrent use.
+// StateMachine holds the membership as one node sees it. It is not safe for concurrent use.
 type StateMachine struct {
 	self     Info
 	timing   Timing
 	members  map[string]*Member
-	contacts map[string][]Member // other data centres
+	contacts map[string][]Member // nodes of other data centres, by data centre
 	ticks    int
 }
 
-// New returns a machine that knows only itself.
+// New returns a state machine that knows only the node itself.
 func New(self Info, timing Timing) *StateMachine {
 	return &StateMachine{self: self, timing: timing, members: map[string]*Member{}, contacts: map[string][]Member{}}
 }
@@ -82,31 +82,32 @@
 // Self returns the node's own info.
 func (m *StateMachine) Self() Info { return m.self }
 
-// SetLeaving marks the node itself as leaving, for good.
+// SetLeaving marks the node itself as leaving. It can't be undone.
 func (m *StateMachine) SetLeaving() { m.self.Leaving = true }
 
-// SetConfigVersion sets the version the node has in force.
+// SetConfigVersion sets the configuration version that the node has in force.
 func (m *StateMachine) SetConfigVersion(v uint64) { m.self.ConfigVersion = v }
 
-// ObserveDirect notes a message from a node itself.
+// ObserveDirect handles a message that the node described by info sent itself.
 func (m *StateMachine) ObserveDirect(now time.Time, info Info) []Transition {
 	if info.ID == m.self.ID {
 		return nil
 	}
 	if info.DataCentre != m.self.DataCentre {
-		m.contact(now, info)
+		m.observeContact(now, info)
 		return nil
 	}
 	return m.update(now, info, true)
 }
 
-// ObserveIndirect notes a node that another one spoke of.
+// ObserveIndirect handles info of a node that comes from another node or from the VM list.
+// A member first known in this way is suspect.
 func (m *StateMachine) ObserveIndirect(now time.Time, info Info) []Transition {
 	if info.ID == m.self.ID {
 		return nil
 	}
 	if info.DataCentre != m.self.DataCentre {
-		m.contact(now, info)
+		m.observeContact(now, info)
 		return nil
 	}
 	return m.update(now, info, false)
@@ -116,27 +117,27 @@
 	known, ok := m.members[info.ID]
 	switch {
 	case !ok:
-		added := &Member{Info: info, State: Alive, heard: now}
+		added := &Member{Info: info, State: Alive, lastReceived: now}
 		if !direct {
-			added.State = Suspect // until it answers itself
+			added.State = Suspect // until a message of its own is received
 		}
 		m.members[info.ID] = added
 		return []Transition{{Member: *added}}
 	case info.Incarnation < known.Incarnation:
-		return nil // an older run; stale
+		return nil // stale: an older incarnation
 	case info.Incarnation > known.Incarnation:
 		from := known.State
-		*known = Member{Info: info, State: Alive, heard: now}
+		*known = Member{Info: info, State: Alive, lastReceived: now}
 		return []Transition{{Member: *known, From: from}}
 	}
-	info.Leaving = info.Leaving || known.Leaving // sticky for an incarnation
+	info.Leaving = info.Leaving || known.Leaving // an incarnation that leaves never returns
 	info.ConfigVersion = max(info.ConfigVersion, known.ConfigVersion)
 	changed := info.Leaving != known.Leaving
 	known.Info = info
 	if !direct {
 		return nil
 	}
-	known.heard = now
+	known.lastReceived = now
 	if known.State != Alive || changed {
 		from := known.State
 		known.State = Alive
@@ -145,44 +146,44 @@
 	return nil
 }
 
-func (m *StateMachine) contact(now time.Time, info Info) {
+func (m *StateMachine) observeContact(now time.Time, info Info) {
 	list := m.contacts[info.DataCentre]
 	for i := range list {
 		if list[i].ID == info.ID {
 			if info.Incarnation >= list[i].Incarnation {
-				list[i] = Member{Info: info, State: Alive, heard: now}
+				list[i] = Member{Info: info, State: Alive, lastReceived: now}
 			}
 			return
 		}
 	}
 	if len(list) < contactsPerDC {
-		m.contacts[info.DataCentre] = append(list, Member{Info: info, State: Alive, heard: now})
+		m.contacts[info.DataCentre] = append(list, Member{Info: info, State: Alive, lastReceived: now})
 		return
 	}
 	oldest := 0
 	for i := range list {
-		if list[i].heard.Before(list[oldest].heard) {
+		if list[i].lastReceived.Before(list[oldest].lastReceived) {
 			oldest = i
 		}
 	}
-	if now.Sub(list[oldest].heard) > m.timing.DeadAfter {
-		list[oldest] = Member{Info: info, State: Alive, heard: now}
+	if now.Sub(list[oldest].lastReceived) > m.timing.DeadAfter {
+		list[oldest] = Member{Info: info, State: Alive, lastReceived: now}
 	}
 }
 
-// Tick advances time: it returns the nodes to send a heartbeat to and the
-// changes of state that silence brought.
+// Tick is called once per heartbeat interval. It returns the nodes to send a heartbeat to,
+// and the changes of members from which no message was received for too long.
 func (m *StateMachine) Tick(now time.Time) (send []Info, changes []Transition) {
 	m.ticks++
 	for _, id := range m.sortedIDs() {
 		member := m.members[id]
-		changes = append(changes, m.judge(now, member)...)
-		silent := now.Sub(member.heard)
+		changes = append(changes, m.updateState(now, member)...)
+		sinceReceived := now.Sub(member.lastReceived)
 		switch {
-		case member.State == Dead && silent > forgetAfter*m.timing.DeadAfter:
+		case member.State == Dead && sinceReceived > removeAfterFactor*m.timing.DeadAfter:
 			delete(m.members, id)
-		case member.State == Dead && m.ticks%deadAskEvery != 0:
-		case m.begins(member, silent):
+		case member.State == Dead && m.ticks%deadProbeTicks != 0:
+		case m.initiates(member, sinceReceived):
 			send = append(send, member.Info)
 		}
 	}
@@ -192,19 +193,20 @@
 	return send, changes
 }
 
-// begins reports whether this node starts the exchange with a member: of each
-// pair the node with the lower ID does, and the other one too after silence.
-func (m *StateMachine) begins(member *Member, silent time.Duration) bool {
-	return m.self.ID < member.ID || member.State != Alive || silent > m.timing.Heartbeat*3/2
+// initiates reports whether this node sends the heartbeat of an exchange with a member. Of
+// each pair the node with the lower ID does, and the other one too if the member is not
+// alive or no message was received for one and a half intervals.
+func (m *StateMachine) initiates(member *Member, sinceReceived time.Duration) bool {
+	return m.self.ID < member.ID || member.State != Alive || sinceReceived > m.timing.Heartbeat*3/2
 }
 
-func (m *StateMachine) judge(now time.Time, member *Member) []Transition {
-	silent := now.Sub(member.heard)
+func (m *StateMachine) updateState(now time.Time, member *Member) []Transition {
+	sinceReceived := now.Sub(member.lastReceived)
 	next := Alive
 	switch {
-	case silent >= m.timing.DeadAfter:
+	case sinceReceived >= m.timing.DeadAfter:
 		next = Dead
-	case silent >= m.timing.SuspectAfter || member.State == Suspect:
+	case sinceReceived >= m.timing.SuspectAfter || member.State == Suspect:
 		next = Suspect
 	}
 	if next == member.State {
@@ -215,7 +217,7 @@
 	return []Transition{{Member: *member, From: from}}
 }
 
-// nextContact returns one node of the next other data centre in turn.
+// nextContact returns the next contact, in rotation over the other data centres.
 func (m *StateMachine) nextContact() (Info, bool) {
 	names := make([]string, 0, len(m.contacts))
 	for name := range m.contacts {
@@ -238,19 +240,19 @@
 	return ids
 }
 
-// View is an immutable picture of the membership.
+// View is an immutable snapshot of the membership.
 type View struct {
 	Self      Info
-	Members   []Member // own data centre without self, sorted by ID
+	Members   []Member // of the own data centre without self, sorted by ID
 	Contacts  []Member // of other data centres
-	ActiveIDs []string // IDs that carry duties: alive, not leaving, self included; sorted
-	// MemberListPending and SeedsPending say what the picture may lack: nodes of the own data centre
-	// until their list was read, and data centres while a seed has not answered.
+	ActiveIDs []string // nodes of the own data centre that may be assigned tasks: alive, not leaving, self included; sorted
+	// MemberListPending: the VM list was not read yet, so nodes of the own data centre may
+	// be missing. SeedsPending: a seed has not responded yet, so its data centre may be missing.
 	MemberListPending bool
 	SeedsPending      bool
 }
 
-// View returns the present picture.
+// View returns a snapshot of the present state.
 func (m *StateMachine) View() *View {
 	v := &View{Self: m.self}
 	for _, id := range m.sortedIDs() {
@@ -279,7 +281,7 @@
 	return names
 }
 
-// DataCentres returns the names of the data centres known, sorted.
+// DataCentres returns the names of the known data centres, sorted.
 func (v *View) DataCentres() []string {
 	names := []string{v.Self.DataCentre}
 	for _, m := range v.Contacts {
@@ -299,8 +301,7 @@
 	return Member{}, false
 }
 
-// Departed reports whether the given run of a node is known to have ended or to
-// be dead by silence.
+// Departed reports whether the given incarnation of a node has ended, or the node is dead.
 func (v *View) Departed(id string, incarnation uint64) bool {
 	if id == v.Self.ID {
 		return incarnation != v.Self.Incarnation
