--- a/internal/process/membership/membership.go
+++ b/internal/process/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership runs the membership machine of a node: it sends the
-// heartbeats, takes those of others, and publishes the view.
+// Package membership runs the membership state machine of a node: it sends and receives
+// heartbeats, and publishes the view.
 package membership
 
 import (
@@ -15,91 +15,92 @@
 	"github.com/marblepond/marblepond/internal/process/wait"
 )
 
-// Payload is state that travels with heartbeats.
+// Payload is state of another component that is piggybacked on heartbeats.
 type Payload interface {
-	// Pack adds the node's state for a receiver of the given data centre: what
-	// is new, or all of it when full.
+	// Pack adds the node's state to a heartbeat: what has changed, or all of it if full.
+	// sameDataCentre: the receiver is in the data centre of this node.
 	Pack(state *v1.HeartbeatRequest, sameDataCentre, full bool)
-	// Unpack takes what another node sent.
+	// Unpack handles the state in a heartbeat of another node.
 	Unpack(from *v1.NodeInfo, state *v1.HeartbeatRequest)
 }
 
-// Manager owns the membership machine.
+// Manager owns the membership state machine. It is safe for concurrent use.
 type Manager struct {
-	pool       *peer.Pool
-	recorder   *timeline.Recorder
-	timing     member.Timing
-	seeds      []string
-	answered   atomic.Int32 // seeds that have answered once
-	listed     atomic.Bool  // the nodes of the data centre were listed once
-	passengers []Payload
-	onChange   []func(*member.View)
+	pool           *peer.Pool
+	recorder       *timeline.Recorder
+	timing         member.Timing
+	seeds          []string
+	seedsResponded atomic.Int32 // number of seeds that have responded once
+	listed         atomic.Bool  // the VM list was read once
+	payloads       []Payload
+	onChange       []func(*member.View)
 
 	mu      sync.Mutex
-	machine *member.StateMachine
+	state   *member.StateMachine
 	view    atomic.Pointer[member.View]
 	ticks   atomic.Uint64
-	changed atomic.Int64 // Unix nanoseconds of the last change of a member
+	changed atomic.Int64 // time of the last transition of a member, in Unix nanoseconds
 }
 
 const (
-	// fullEvery is how many heartbeats apart all state is sent; in between only
-	// what is new, so that a node's control traffic stays small.
-	fullEvery = 16
-	// newFor is how many intervals something counts as new.
-	newFor = 4
+	// fullStateTicks is the number of heartbeat intervals between messages with all state.
+	// Those in between carry only changes, which keeps a node's control traffic small.
+	fullStateTicks = 16
+	// newStateTicks is the number of heartbeat intervals for which a change is sent.
+	newStateTicks = 4
 )
 
-// full reports whether the next message carries all state.
-func (m *Manager) full() bool {
-	quiet := time.Since(time.Unix(0, m.changed.Load()))
-	return m.ticks.Load()%fullEvery == 0 || quiet < newFor*m.timing.Heartbeat
+// sendsFullState reports whether the next heartbeat carries all state: every
+// fullStateTicks, and for newStateTicks after a transition of a member.
+func (m *Manager) sendsFullState() bool {
+	sinceChange := time.Since(time.Unix(0, m.changed.Load()))
+	return m.ticks.Load()%fullStateTicks == 0 || sinceChange < newStateTicks*m.timing.Heartbeat
 }
 
-// DisseminationTime is how long a passenger's change is to be sent along.
-func (m *Manager) DisseminationTime() time.Duration { return newFor * m.timing.Heartbeat }
+// DisseminationTime returns how long a payload sends a change along with heartbeats.
+func (m *Manager) DisseminationTime() time.Duration { return newStateTicks * m.timing.Heartbeat }
 
 // New returns a manager; Run starts it.
 func New(self member.Info, timing member.Timing, seeds []string, pool *peer.Pool, recorder *timeline.Recorder) *Manager {
-	m := &Manager{pool: pool, recorder: recorder, timing: timing, seeds: seeds, machine: member.New(self, timing)}
+	m := &Manager{pool: pool, recorder: recorder, timing: timing, seeds: seeds, state: member.New(self, timing)}
 	m.publish()
 	return m
 }
 
-// AddPayload adds a passenger; call it before Run.
-func (m *Manager) AddPayload(p Payload) { m.passengers = append(m.passengers, p) }
+// AddPayload adds a payload to heartbeats. It must be called before Run.
+func (m *Manager) AddPayload(p Payload) { m.payloads = append(m.payloads, p) }
 
-// OnChange adds a function called when a member's state changed; call it
+// OnChange adds a function that is called when a member has changed. It must be called
 // before Run.
 func (m *Manager) OnChange(f func(*member.View)) { m.onChange = append(m.onChange, f) }
 
-// View returns the present picture.
+// View returns the present view.
 func (m *Manager) View() *member.View { return m.view.Load() }
 
-// SetLeaving tells the others, from the next heartbeat on, that this node leaves.
+// SetLeaving announces, from the next heartbeat on, that this node is leaving.
 func (m *Manager) SetLeaving() {
-	m.change(func(time.Time) []member.Transition { m.machine.SetLeaving(); return nil })
+	m.update(func(time.Time) []member.Transition { m.state.SetLeaving(); return nil })
 	m.notify()
 }
 
-// SetConfigVersion sets the version the node has in force.
+// SetConfigVersion sets the configuration version that the node has in force.
 func (m *Manager) SetConfigVersion(v uint64) {
-	m.change(func(time.Time) []member.Transition { m.machine.SetConfigVersion(v); return nil })
+	m.update(func(time.Time) []member.Transition { m.state.SetConfigVersion(v); return nil })
 }
 
-// AddListed adds the nodes of the own data centre as the VM list has them.
+// AddListed adds the nodes of the own data centre that are in the VM list.
 func (m *Manager) AddListed(infos []member.Info) {
 	m.listed.Store(true)
-	m.change(func(now time.Time) []member.Transition {
+	m.update(func(now time.Time) []member.Transition {
 		var changes []member.Transition
 		for _, info := range infos {
-			changes = append(changes, m.machine.ObserveIndirect(now, info)...)
+			changes = append(changes, m.state.ObserveIndirect(now, info)...)
 		}
 		return changes
 	})
 }
 
-func (m *Manager) change(f func(now time.Time) []member.Transition) {
+func (m *Manager) update(f func(now time.Time) []member.Transition) {
 	m.mu.Lock()
 	changes := f(time.Now())
 	m.publish()
@@ -113,11 +114,11 @@
 	}
 }
 
-// publish makes the present picture known. The caller holds m.mu, but for New.
+// publish stores a view of the present state. The caller, except New, holds m.mu.
 func (m *Manager) publish() {
-	view := m.machine.View()
+	view := m.state.View()
 	view.MemberListPending = !m.listed.Load()
-	view.SeedsPending = int(m.answered.Load()) < len(m.seeds)
+	view.SeedsPending = int(m.seedsResponded.Load()) < len(m.seeds)
 	m.view.Store(view)
 }
 
@@ -135,16 +136,16 @@
 	case c.Member.State == member.Alive:
 		m.recorder.Record(timeline.MemberJoined, "", c.Member.ID, "from "+string(c.From))
 	case c.Member.State == member.Dead:
-		m.recorder.Record(timeline.MemberDead, "", c.Member.ID, "silence")
+		m.recorder.Record(timeline.MemberDead, "", c.Member.ID, "no message received")
 	case c.From != "":
-		m.recorder.Record(timeline.MemberSuspect, "", c.Member.ID, "silence")
+		m.recorder.Record(timeline.MemberSuspect, "", c.Member.ID, "no message received")
 	}
 }
 
 // Run sends heartbeats until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
 	for _, seed := range m.seeds {
-		go m.greet(ctx, seed)
+		go m.contactSeed(ctx, seed)
 	}
 	ticker := time.NewTicker(m.timing.Heartbeat)
 	defer ticker.Stop()
@@ -161,109 +162,111 @@
 func (m *Manager) tick(ctx context.Context) {
 	m.ticks.Add(1)
 	var send []member.Info
-	m.change(func(now time.Time) []member.Transition {
-		targets, changes := m.machine.Tick(now)
-		send = targets
+	m.update(func(now time.Time) []member.Transition {
+		recipients, changes := m.state.Tick(now)
+		send = recipients
 		return changes
 	})
 	for _, to := range send {
-		go m.beat(ctx, to.PeerAddr, to.DataCentre)
+		go m.sendHeartbeat(ctx, to.PeerAddr, to.DataCentre)
 	}
 	if len(m.View().Members) == 0 || len(m.View().Contacts) == 0 {
 		for _, seed := range m.seeds {
-			go m.beat(ctx, seed, "")
+			go m.sendHeartbeat(ctx, seed, "")
 		}
 	}
 }
 
-// Broadcast sends a heartbeat to every member at once, outside the usual rhythm.
+// Broadcast sends a heartbeat to every member that is not dead, without waiting for the
+// next interval, and returns when all have responded or failed.
 func (m *Manager) Broadcast(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, to := range m.View().Members {
 		if to.State != member.Dead {
-			wg.Go(func() { m.beat(ctx, to.PeerAddr, to.DataCentre) })
+			wg.Go(func() { m.sendHeartbeat(ctx, to.PeerAddr, to.DataCentre) })
 		}
 	}
 	wg.Wait()
 }
 
 const (
-	// firstGreeting is the time from the first question to a seed to the second; it
-	// doubles with each further one, up to lastGreeting.
-	firstGreeting = 50 * time.Millisecond
-	lastGreeting  = 2 * time.Second
+	// minSeedRetry is the delay before the first retry of a heartbeat to a seed. It doubles
+	// with each further one, up to maxSeedRetry.
+	minSeedRetry = 50 * time.Millisecond
+	maxSeedRetry = 2 * time.Second
 )
 
-// greet asks a seed until it has answered once. The others may know nothing of its data
-// centre, and where they do, of what exists there this node would say that it does not.
-func (m *Manager) greet(ctx context.Context, seed string) {
-	for pause := firstGreeting; !m.beat(ctx, seed, ""); pause = min(2*pause, lastGreeting) {
-		if !wait.For(ctx, pause) {
+// contactSeed sends heartbeats to a seed until it has responded once. The other seeds may not
+// know its data centre, and a node that doesn't know a data centre would report requests
+// that exist there as unknown.
+func (m *Manager) contactSeed(ctx context.Context, seed string) {
+	for delay := minSeedRetry; !m.sendHeartbeat(ctx, seed, ""); delay = min(2*delay, maxSeedRetry) {
+		if !wait.For(ctx, delay) {
 			return
 		}
 	}
-	m.answered.Add(1)
-	m.change(func(time.Time) []member.Transition { return nil })
+	m.seedsResponded.Add(1)
+	m.update(func(time.Time) []member.Transition { return nil })
 }
 
-// beat sends one heartbeat; it reports whether it was answered.
-func (m *Manager) beat(ctx context.Context, addr, dataCentre string) bool {
+// sendHeartbeat sends one heartbeat and reports whether the receiver responded.
+func (m *Manager) sendHeartbeat(ctx context.Context, addr, dataCentre string) bool {
 	ctx, cancel := context.WithTimeout(ctx, m.timing.SuspectAfter)
 	defer cancel()
-	resp, err := m.pool.Client(addr).Heartbeat(ctx, m.compose(dataCentre))
+	resp, err := m.pool.Client(addr).Heartbeat(ctx, m.newHeartbeat(dataCentre))
 	if err != nil {
-		return false // silence is judged by the machine
+		return false // the state machine decides when a member is suspect
 	}
-	m.absorb(&v1.HeartbeatRequest{From: resp.From, Hlc: resp.Hlc, Members: resp.Members,
+	m.handleHeartbeat(&v1.HeartbeatRequest{From: resp.From, Hlc: resp.Hlc, Members: resp.Members,
 		Loads: resp.Loads, Leaving: resp.Leaving, HeadVersion: resp.HeadVersion})
 	return true
 }
 
-func (m *Manager) compose(dataCentre string) *v1.HeartbeatRequest {
+func (m *Manager) newHeartbeat(dataCentre string) *v1.HeartbeatRequest {
 	view := m.View()
 	same := dataCentre == view.Self.DataCentre
 	req := &v1.HeartbeatRequest{From: ToProto(view.Self), Hlc: int64(m.recorder.Clock.Now())}
-	full := m.full()
+	full := m.sendsFullState()
 	for _, other := range view.Members {
 		if full && other.State == member.Alive {
 			req.Members = append(req.Members, ToProto(other.Info))
 		}
 	}
-	for _, p := range m.passengers {
+	for _, p := range m.payloads {
 		p.Pack(req, same, full)
 	}
 	return req
 }
 
-func (m *Manager) absorb(req *v1.HeartbeatRequest) {
+func (m *Manager) handleHeartbeat(req *v1.HeartbeatRequest) {
 	m.recorder.Clock.Observe(timeline.HLC(req.Hlc))
-	m.change(func(now time.Time) []member.Transition {
-		changes := m.machine.ObserveDirect(now, FromProto(req.From))
+	m.update(func(now time.Time) []member.Transition {
+		changes := m.state.ObserveDirect(now, FromProto(req.From))
 		for _, other := range req.Members {
-			changes = append(changes, m.machine.ObserveIndirect(now, FromProto(other))...)
+			changes = append(changes, m.state.ObserveIndirect(now, FromProto(other))...)
 		}
 		return changes
 	})
-	for _, p := range m.passengers {
+	for _, p := range m.payloads {
 		p.Unpack(req.From, req)
 	}
 }
 
-// Heartbeat answers another node's heartbeat.
+// Heartbeat handles another node's heartbeat and responds with this node's.
 func (m *Manager) Heartbeat(_ context.Context, req *v1.HeartbeatRequest) (*v1.HeartbeatResponse, error) {
-	m.absorb(req)
-	own := m.compose(req.From.DataCentre)
+	m.handleHeartbeat(req)
+	own := m.newHeartbeat(req.From.DataCentre)
 	return &v1.HeartbeatResponse{From: own.From, Hlc: own.Hlc, Members: own.Members,
 		Loads: own.Loads, Leaving: own.Leaving, HeadVersion: own.HeadVersion}, nil
 }
 
-// ToProto converts a node's info to its wire form.
+// ToProto converts a node's info to its protobuf message.
 func ToProto(i member.Info) *v1.NodeInfo {
 	return &v1.NodeInfo{Id: i.ID, Incarnation: i.Incarnation, DataCentre: i.DataCentre, PeerAddr: i.PeerAddr,
 		CallerAddr: i.CallerAddr, Leaving: i.Leaving, ConfigVersion: i.ConfigVersion}
 }
 
-// FromProto converts a node's info from its wire form.
+// FromProto converts a node's info from its protobuf message.
 func FromProto(i *v1.NodeInfo) member.Info {
 	return member.Info{ID: i.GetId(), Incarnation: i.GetIncarnation(), DataCentre: i.GetDataCentre(), PeerAddr: i.GetPeerAddr(),
 		CallerAddr: i.GetCallerAddr(), Leaving: i.GetLeaving(), ConfigVersion: i.GetConfigVersion()}
--- a/internal/process/membership/membership_test.go
+++ b/internal/process/membership/membership_test.go
@@ -19,7 +19,7 @@
 	"github.com/marblepond/marblepond/internal/process/timeline"
 )
 
-// seed is a node of another data centre that answers heartbeats.
+// seed is a node of another data centre that responds to heartbeats.
 type seed struct {
 	marblepondv1connect.UnimplementedPeerServiceHandler
 	info *v1.NodeInfo
@@ -29,7 +29,7 @@
 	return &v1.HeartbeatResponse{From: s.info}, nil
 }
 
-// serve has a seed answer at an address until the test ends.
+// serve runs a seed of a data centre at a listener until the test ends.
 func serve(t *testing.T, listener net.Listener, dataCentre string) {
 	mux := http.NewServeMux()
 	mux.Handle(marblepondv1connect.NewPeerServiceHandler(seed{info: &v1.NodeInfo{Id: dataCentre, DataCentre: dataCentre, PeerAddr: listener.Addr().String()}}))
@@ -47,9 +47,9 @@
 	return listener
 }
 
-// TestEverySeedIsAskedUntilItAnswers: a seed that starts later than the others is asked
-// until it has answered, also when the others have. Nobody else need ever tell this node
-// of its data centre. Until then the picture says that it may lack one.
+// TestEverySeedIsAskedUntilItAnswers checks that a seed that starts later than the others
+// is contacted until it has responded, even though the others have: no other node need
+// ever report its data centre. Until then the view says that a data centre may be missing.
 func TestEverySeedIsAskedUntilItAnswers(t *testing.T) {
 	is := is.New(t)
 	first, late := listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")
@@ -73,7 +73,7 @@
 	is.Equal(len(m.View().Contacts), 1)
 	is.True(m.View().SeedsPending)
 	serve(t, listen(t, late.Addr().String()), "late")
-	for until := time.Now().Add(2 * lastGreeting); time.Now().Before(until) && m.View().SeedsPending; {
+	for until := time.Now().Add(2 * maxSeedRetry); time.Now().Before(until) && m.View().SeedsPending; {
 		time.Sleep(10 * time.Millisecond)
 	}
 	is.True(!m.View().SeedsPending)
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -116,7 +116,7 @@
 mutant 3 internal/request/forward/place.go 's/f\.Targets\.RoomExpected\(req\.Service\)/f.Targets == nil/' internal/request/forward TestRoomOfItemsIsWaitedFor
 mutant 3 internal/process/hosted/peers.go 's/\]\.Boot != n\.boot \{/].Boot != n.boot \&\& n.boot < 0 {/' internal/process/hosted TestNodeJoinsOnceItIsKnown
 mutant 1 internal/request/homes/durable.go 's/case k\.membership\(\)\.SeedsPending:/case k.membership().SeedsPending \&\& centre == requestID:/' internal/request/homes TestWhatIsNotHeardYetIsNotDenied
-mutant 1 internal/process/membership/membership.go 's/!m\.beat\(ctx, seed, ""\);/!m.beat(ctx, seed, "") \&\& pause < 0;/' internal/process/membership TestEverySeedIsAskedUntilItAnswers
+mutant 1 internal/process/membership/membership.go 's/!m\.sendHeartbeat\(ctx, seed, ""\);/!m.sendHeartbeat(ctx, seed, "") \&\& delay < 0;/' internal/process/membership TestEverySeedIsAskedUntilItAnswers
 mutant 11 internal/request/choose/eligible.go 's/case t\.evacuated\[e\.DataCentre\]:/case t.evacuated[e.DataCentre] \&\& need.Batch:/' internal/request/choose TestEvacuatedTargetsGetNothing
 mutant 11 internal/request/choose/eligible.go 's/t\.startWarmUp\(now, e, t\.warmUpRate\(e\.Service\)\.Time\)/_ = e/' internal/request/choose TestReturnedTargetsWarmUp
 mutant 11 internal/process/hosted/evacuation.go 's/n\.pool\.Evacuate\(evacuated\)/n.pool.Evacuate(nil)/' lab/hosted TestEvacuatedDataCentreGetsNothing
