--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -88,7 +88,7 @@
 mutant 1 internal/request/job/sweep.go 's/since = at /_ = at /' internal/request/job TestUnreachableTimeCountsDuringStoreOutage
 mutant 3 internal/connection/dial/dial.go 's/d\.at\(address\)\.failed\+\+/d.at(address)/' internal/connection/dial TestLimitFollowsTheNetwork
 mutant 8 internal/connection/dial/silent.go 's/Control: limitUnacknowledged,//' internal/connection/dial TestSilentConnectionsAreFound
-mutant 1 internal/process/clock/clock.go 's/c\.suspended = away/_ = away/' internal/process/clock TestSuspensionsCount
+mutant 1 internal/process/clock/clock.go 's/c\.suspended = total/_ = total/' internal/process/clock TestSuspensionsCount
 mutant 6 internal/request/forward/forward.go 's/if !f\.Now\(\)\.Before\(req\.Deadline\)/if p.begun \&\& f.Now().IsZero()/' internal/request/forward TestDeadlineCountsSuspensions
 mutant 1 internal/request/job/run.go 's/m\.Clock\.Since\(started\)/time.Since(started)/' internal/request/job TestSuspendedHolderAsksTheStore
 mutant 1 internal/connection/beacon/send.go 's/state\.lastReceived\.After\(x\.resumedAt\) && //' internal/connection/beacon TestSuspendedNodeReportsNothingOld
