--- a/internal/process/durable/durable.go
+++ b/internal/process/durable/durable.go
@@ -1,4 +1,4 @@
-// Package durable puts files on a disk so that they outlast a loss of power.
+// Package durable writes files so that they survive a loss of power.
 package durable
 
 import (
@@ -8,15 +8,15 @@
 )
 
 const (
-	freshSuffix = ".new"
-	mode        = 0o600
+	tempSuffix = ".new"
+	fileMode   = 0o600
 )
 
-// Replace puts data into the place of the file name in dir. After a loss of
-// power the old or the new content is there, whole.
+// Replace atomically replaces the content of the file name in dir. After a loss of power
+// the file has its complete old or its complete new content.
 func Replace(dir, name string, data []byte) error {
-	fresh := filepath.Join(dir, name+freshSuffix)
-	file, err := os.OpenFile(fresh, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, mode)
+	tempPath := filepath.Join(dir, name+tempSuffix)
+	file, err := os.OpenFile(tempPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
 	}
@@ -24,12 +24,12 @@
 	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
-	if err := os.Rename(fresh, filepath.Join(dir, name)); err != nil {
+	if err := os.Rename(tempPath, filepath.Join(dir, name)); err != nil {
 		return err
 	}
-	folder, err := os.Open(dir)
+	directory, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(directory.Sync(), directory.Close())
 }
