--- a/internal/process/invariant/invariant.go
+++ b/internal/process/invariant/invariant.go
@@ -1,5 +1,5 @@
-// Package invariant asserts at run time what must always hold. A violation is
-// an event with its evidence and a counter; in proof runs it stops the process.
+// Package invariant checks at run time what must always hold. A violation is recorded as an
+// event with its evidence and is counted; in test runs it stops the process.
 package invariant
 
 import (
@@ -13,7 +13,8 @@
 // Name identifies one invariant; docs/PROOFS.md lists them.
 type Name string
 
-// The invariants, numbered by the point of the brief's "What must always hold".
+// The invariants. The number in a name is that of the requirement it belongs to, in the
+// users' list "What must always hold".
 const (
 	CompleteAnswerOnce      Name = "1-answer-whole-once"
 	CommitFenced            Name = "1-commit-fenced"
@@ -28,22 +29,23 @@
 	ResultPositionUnchanged Name = "1-result-keeps-its-position"
 )
 
-// Checker reports violations to the time line.
+// Checker records violations in the timeline. It is safe for concurrent use.
 type Checker struct {
 	recorder *timeline.Recorder
 	stop     bool
 	count    atomic.Int64
 }
 
-// stopExitCode is the exit status of a proof run stopped by a violation.
-const stopExitCode = 70
+// violationExitCode is the exit status of a process that a violation stopped.
+const violationExitCode = 70
 
-// New returns a checker; with stop set a violation ends the process.
+// New returns a checker. If stop is set, a violation ends the process.
 func New(recorder *timeline.Recorder, stop bool) *Checker {
 	return &Checker{recorder: recorder, stop: stop}
 }
 
-// Assert records a violation when holds is false and returns holds.
+// Assert records a violation if holds is false, and returns holds. evidence is a format
+// string for args.
 func (c *Checker) Assert(holds bool, name Name, requestID, subject, evidence string, args ...any) bool {
 	if holds {
 		return true
@@ -53,10 +55,10 @@
 	c.recorder.Record(timeline.InvariantViolated, requestID, subject, string(name)+": "+text)
 	if c.stop {
 		fmt.Fprintf(os.Stderr, "invariant %s violated: %s %s\n", name, subject, text)
-		os.Exit(stopExitCode)
+		os.Exit(violationExitCode)
 	}
 	return false
 }
 
-// Violations returns how many violations were seen.
+// Violations returns the number of violations so far.
 func (c *Checker) Violations() int64 { return c.count.Load() }
