--- a/internal/process/logwriter/logwriter.go
+++ b/internal/process/logwriter/logwriter.go
@@ -1,5 +1,5 @@
-// Package logwriter joins the writers of log lines to one duty that writes them
-// out, so that a slow reader of the log never holds up a request.
+// Package logwriter queues log lines for one goroutine that writes them out, so that a slow
+// reader of the log never delays a request.
 package logwriter
 
 import (
@@ -10,42 +10,42 @@
 	"github.com/marblepond/marblepond/internal/process/ring"
 )
 
-// lines is how many lines may wait to be written; about 1 MB. When the ring is
-// full a line is dropped and counted.
-const lines = 4096
+// queueLines is the number of lines that may wait to be written, about 1 MB. If the queue is
+// full, the new line is dropped and counted.
+const queueLines = 4096
 
 // Writer is an io.Writer that never blocks. Each Write is one line.
 type Writer struct {
-	ring *ring.Ring[[]byte]
-	out  io.Writer
-	done sync.WaitGroup
-	stop chan struct{}
-	told int64
+	queue    *ring.Ring[[]byte]
+	out      io.Writer
+	done     sync.WaitGroup
+	stop     chan struct{}
+	reported int64 // dropped lines that are reported in the log
 }
 
-// New starts the duty that writes to out.
+// New returns a writer and starts its goroutine, which writes to out.
 func New(out io.Writer) *Writer {
-	w := &Writer{ring: ring.New[[]byte](lines, ring.Refuse), out: out, stop: make(chan struct{})}
+	w := &Writer{queue: ring.New[[]byte](queueLines, ring.Refuse), out: out, stop: make(chan struct{})}
 	w.done.Go(w.run)
 	return w
 }
 
-// Write implements io.Writer; it copies the line.
+// Write implements io.Writer. It copies the line and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
-	w.ring.Put(append([]byte(nil), line...))
+	w.queue.Put(append([]byte(nil), line...))
 	return len(line), nil
 }
 
-// Dropped returns how many lines were lost.
+// Dropped returns the number of dropped lines.
 func (w *Writer) Dropped() int64 {
-	refused, _ := w.ring.Lost()
+	refused, _ := w.queue.Lost()
 	return refused
 }
 
 func (w *Writer) run() {
 	for {
 		select {
-		case line := <-w.ring.Out():
+		case line := <-w.queue.Out():
 			w.write(line)
 		case <-w.stop:
 			w.drain()
@@ -57,7 +57,7 @@
 func (w *Writer) drain() {
 	for {
 		select {
-		case line := <-w.ring.Out():
+		case line := <-w.queue.Out():
 			w.write(line)
 		default:
 			return
@@ -66,14 +66,14 @@
 }
 
 func (w *Writer) write(line []byte) {
-	if dropped := w.Dropped(); dropped > w.told {
-		fmt.Fprintf(w.out, `{"level":"warn","message":"log_lines_dropped","fields":{"count":%d}}`+"\n", dropped-w.told)
-		w.told = dropped
+	if dropped := w.Dropped(); dropped > w.reported {
+		fmt.Fprintf(w.out, `{"level":"warn","message":"log_lines_dropped","fields":{"count":%d}}`+"\n", dropped-w.reported)
+		w.reported = dropped
 	}
-	_, _ = w.out.Write(line) // there is nowhere left to report a failure to
+	_, _ = w.out.Write(line) // a failure to write the log can't be reported anywhere
 }
 
-// Close writes what waits and ends the duty.
+// Close writes the waiting lines and stops the goroutine.
 func (w *Writer) Close() {
 	close(w.stop)
 	w.done.Wait()
