--- a/internal/process/ring/ring.go
+++ b/internal/process/ring/ring.go
@@ -1,17 +1,17 @@
-// Package ring provides the bounded queue that joins the duties of a node.
-// Each ring states at its creation what a full ring does.
+// Package ring provides the bounded queue between the goroutines of a node. Each ring has a
+// policy for entries that arrive while it is full.
 package ring
 
 import "sync/atomic"
 
-// Policy says what Put does when the ring is full.
+// Policy is what Put does if the ring is full.
 type Policy int
 
 // The policies.
 const (
 	Refuse     Policy = iota // Put returns false; the producer decides
-	DropOldest               // the oldest entry makes room
-	Block                    // Put waits for room
+	DropOldest               // Put drops the oldest entry
+	Block                    // Put waits until an entry was taken out
 )
 
 // Ring is a bounded first-in first-out queue for any number of producers and
@@ -28,7 +28,7 @@
 	return &Ring[T]{entries: make(chan T, size), policy: policy}
 }
 
-// Put adds an entry. It returns false only under Refuse, when the ring is full.
+// Put adds an entry. It returns false only if the policy is Refuse and the ring is full.
 func (r *Ring[T]) Put(entry T) bool {
 	switch r.policy {
 	case Block:
@@ -64,7 +64,7 @@
 // Len returns the number of waiting entries.
 func (r *Ring[T]) Len() int { return len(r.entries) }
 
-// Lost returns how many entries were refused and how many were dropped.
+// Lost returns the numbers of entries that were refused and that were dropped.
 func (r *Ring[T]) Lost() (refused, dropped int64) {
 	return r.refused.Load(), r.dropped.Load()
 }
