--- a/internal/process/wait/wait.go
+++ b/internal/process/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds the one way duties pause.
+// Package wait provides a sleep that ends early if a context ends.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits; it returns false when ctx ended first.
+// For waits for d. It returns false if ctx ended first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
