--- a/internal/request/homes/durable.go
+++ b/internal/request/homes/durable.go
@@ -238,7 +238,7 @@
 		return rp.FindInDataCentre(ctx, requestID, workspace, wait)
 	case rp.isKnown(ctx, centre):
 		return rp.lookupInRemoteCentre(ctx, centre, requestID, workspace, wait)
-	case rp.membership().SilentSeeds:
+	case rp.membership().SeedsPending:
 		return unknown, errNotDiscovered
 	}
 	return unknown, nil
@@ -276,7 +276,7 @@
 	if answer.State != hold.Unknown {
 		return answer, nil
 	}
-	if view.Unlisted {
+	if view.MemberListPending {
 		return answer, errNotDiscovered
 	}
 	return answer, errors.Join(err, othersErr)
--- a/internal/request/homes/homes_test.go
+++ b/internal/request/homes/homes_test.go
@@ -92,13 +92,13 @@
 		id          string
 		sure        bool
 	}{
-		{"all answered", empty.URL, member.View{Self: here, Duty: []string{"n0"}}, NewID("here", "", 1000, "w", ""), true},
-		{"a data centre that does not exist", empty.URL, member.View{Self: here, Duty: []string{"n0"}}, NewID("nowhere", "", 1000, "w", ""), true},
-		{"a replica does not respond", empty.URL, member.View{Self: here, Duty: []string{"n0", "n1"},
+		{"all answered", empty.URL, member.View{Self: here, ActiveIDs: []string{"n0"}}, NewID("here", "", 1000, "w", ""), true},
+		{"a data centre that does not exist", empty.URL, member.View{Self: here, ActiveIDs: []string{"n0"}}, NewID("nowhere", "", 1000, "w", ""), true},
+		{"a replica does not respond", empty.URL, member.View{Self: here, ActiveIDs: []string{"n0", "n1"},
 			Members: []member.Member{{Info: member.Info{ID: "n1", DataCentre: "here", PeerAddr: unresponsive}}}}, NewID("here", "", 1000, "w", ""), false},
-		{"a data centre does not respond", empty.URL, member.View{Self: here, Duty: []string{"n0"},
+		{"a data centre does not respond", empty.URL, member.View{Self: here, ActiveIDs: []string{"n0"},
 			Contacts: []member.Member{{Info: member.Info{ID: "m0", DataCentre: "there", PeerAddr: unresponsive}}}}, NewID("there", "here", 1000, "w", ""), false},
-		{"the platform does not respond", closed.URL, member.View{Self: here, Duty: []string{"n0"}}, NewID("here", "", 1000, "w", ""), false},
+		{"the platform does not respond", closed.URL, member.View{Self: here, ActiveIDs: []string{"n0"}}, NewID("here", "", 1000, "w", ""), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/request/homes/seats.go
+++ b/internal/request/homes/seats.go
@@ -17,7 +17,7 @@
 func (rp *Replicator) rankedNodes(requestID string) []string {
 	id, _ := ParseID(requestID)
 	view := rp.membership()
-	members := view.Duty
+	members := view.ActiveIDs
 	if len(members) == 0 { // all nodes are leaving, this node included
 		members = []string{view.Self.ID}
 	}
@@ -73,7 +73,7 @@
 	for {
 		view := rp.membership()
 		known := slices.ContainsFunc(view.Contacts, func(c member.Member) bool { return c.DataCentre == dataCentre })
-		if known || !view.SilentSeeds || !wait.For(ctx, discoveryPoll) {
+		if known || !view.SeedsPending || !wait.For(ctx, discoveryPoll) {
 			return known
 		}
 	}
--- a/internal/request/homes/watch.go
+++ b/internal/request/homes/watch.go
@@ -26,7 +26,7 @@
 func (rp *Replicator) orphans(view *member.View) []hold.Request {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
-	return slices.DeleteFunc(rp.table.Orphans(view.Gone), func(r hold.Request) bool {
+	return slices.DeleteFunc(rp.table.Orphans(view.Departed), func(r hold.Request) bool {
 		id, _ := ParseID(r.ID)
 		return id.DataCentre != view.Self.DataCentre
 	})
@@ -157,7 +157,7 @@
 // all nodes of its data centre are leaving.
 func (rp *Replicator) isFirstReplica(requestID string, view *member.View) bool {
 	id, _ := ParseID(requestID)
-	return rendezvous.First(id.Placement, view.Duty) == view.Self.ID || len(view.Duty) == 0
+	return rendezvous.First(id.Placement, view.ActiveIDs) == view.Self.ID || len(view.ActiveIDs) == 0
 }
 
 // Size returns the number of entries of this node's table and their bytes.
--- a/internal/version/targets/gossip.go
+++ b/internal/version/targets/gossip.go
@@ -12,7 +12,7 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// Pack implements membership.Passenger: it adds the loads of owned targets and the
+// Pack implements membership.Payload: it adds the loads of owned targets and the
 // leaving VMs to heartbeats within the data centre. Loaded names and leaving VMs that
 // have not changed lately are added only when full is set.
 func (m *Manager) Pack(state *v1.HeartbeatRequest, sameDataCentre, full bool) {
@@ -24,11 +24,11 @@
 	now := time.Now()
 	for id, p := range m.polls {
 		if s, ok := m.table.Get(now, id); ok && s.Known {
-			state.Loads = append(state.Loads, loadToProto(s, full || now.Sub(p.loadedChanged) < m.membership.News()))
+			state.Loads = append(state.Loads, loadToProto(s, full || now.Sub(p.loadedChanged) < m.membership.DisseminationTime()))
 		}
 	}
 	for vm, incarnation := range m.table.LeavingIncarnations() {
-		if full || now.Sub(m.leavingSince[vm]) < m.membership.News() {
+		if full || now.Sub(m.leavingSince[vm]) < m.membership.DisseminationTime() {
 			state.Leaving = append(state.Leaving, &v1.LeavingVM{Vm: vm, Incarnation: incarnation})
 		}
 	}
@@ -43,7 +43,7 @@
 	return load
 }
 
-// Unpack implements membership.Passenger.
+// Unpack implements membership.Payload.
 func (m *Manager) Unpack(from *v1.NodeInfo, state *v1.HeartbeatRequest) {
 	if from.DataCentre != m.membership.View().Self.DataCentre {
 		return
--- a/internal/version/targets/targets.go
+++ b/internal/version/targets/targets.go
@@ -136,7 +136,7 @@
 
 func (m *Manager) isVMReader() bool {
 	view := m.membership.View()
-	for _, id := range rendezvous.Rank("vm-list", view.Duty, vmReadersPerDataCentre) {
+	for _, id := range rendezvous.Rank("vm-list", view.ActiveIDs, vmReadersPerDataCentre) {
 		if id == view.Self.ID {
 			return true
 		}
@@ -164,7 +164,7 @@
 	}
 	m.table.SetTargets(list)
 	m.mu.Unlock()
-	m.membership.Learn(nodes)
+	m.membership.AddListed(nodes)
 	m.UpdateOwners(m.membership.View())
 }
 
@@ -193,10 +193,10 @@
 // UpdateOwners recomputes the owner of each target from the members in view.
 func (m *Manager) UpdateOwners(view *member.View) {
 	m.mu.Lock()
-	m.table.SetPosition(warmup.PositionOf(view.Self.ID, view.Duty))
+	m.table.SetPosition(warmup.PositionOf(view.Self.ID, view.ActiveIDs))
 	var owned []string
 	for _, s := range m.table.List(time.Now()) {
-		owner := rendezvous.First(s.ID, view.Duty)
+		owner := rendezvous.First(s.ID, view.ActiveIDs)
 		m.owners[s.ID] = owner
 		if owner == view.Self.ID {
 			owned = append(owned, s.ID)
@@ -398,7 +398,7 @@
 
 func (m *Manager) begin(target choose.Target) {
 	s, ok := m.table.Get(time.Now(), target.ID)
-	m.checker.Assert(ok && !s.Leaving, invariant.NoWorkLeaving, "", target.ID, "chosen while leaving")
+	m.checker.Assert(ok && !s.Leaving, invariant.NoDispatchToLeaving, "", target.ID, "chosen while leaving")
 	m.table.Begin(target.ID)
 	m.countChanged.Put(target.ID)
 }
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -88,7 +88,7 @@
 mutant 1 internal/request/job/sweep.go 's/since = at /_ = at /' internal/request/job TestUnreachableTimeCountsDuringStoreOutage
 mutant 3 internal/connection/dial/dial.go 's/d\.at\(address\)\.failed\+\+/d.at(address)/' internal/connection/dial TestLimitFollowsTheNetwork
 mutant 8 internal/connection/dial/silent.go 's/Control: limitUnacknowledged,//' internal/connection/dial TestSilentConnectionsAreFound
-mutant 1 internal/process/clock/clock.go 's/c\.suspended = away/_ = away/' internal/process/clock TestSuspensionsCount
+mutant 1 internal/process/clock/clock.go 's/c\.suspended = total/_ = total/' internal/process/clock TestSuspensionsCount
 mutant 6 internal/request/forward/forward.go 's/if !f\.Now\(\)\.Before\(req\.Deadline\)/if p.begun \&\& f.Now().IsZero()/' internal/request/forward TestDeadlineCountsSuspensions
 mutant 1 internal/request/job/run.go 's/m\.Clock\.Since\(started\)/time.Since(started)/' internal/request/job TestSuspendedHolderAsksTheStore
 mutant 1 internal/connection/beacon/send.go 's/state\.lastReceived\.After\(x\.resumedAt\) && //' internal/connection/beacon TestSuspendedNodeReportsNothingOld
@@ -115,8 +115,8 @@
 mutant 3 internal/request/choose/room.go 's/e\.itemsRefusedUntil = now/e.saturatedUntil = now/' internal/request/choose TestRefusedItemStopsNoOther
 mutant 3 internal/request/forward/place.go 's/f\.Targets\.MayHaveItems\(req\.Service\)/f.Targets == nil/' internal/request/forward TestRoomOfItemsIsWaitedFor
 mutant 3 internal/process/hosted/peers.go 's/\]\.Boot != n\.boot \{/].Boot != n.boot \&\& n.boot < 0 {/' internal/process/hosted TestNodeJoinsOnceItIsKnown
-mutant 1 internal/request/homes/durable.go 's/case rp\.membership\(\)\.SilentSeeds:/case rp.membership().SilentSeeds \&\& centre == requestID:/' internal/request/homes TestUndiscoveredNodesAreNotTakenForUnknown
-mutant 1 internal/process/membership/membership.go 's/!m\.beat\(ctx, seed, ""\);/!m.beat(ctx, seed, "") \&\& pause < 0;/' internal/process/membership TestEverySeedIsAskedUntilItAnswers
+mutant 1 internal/request/homes/durable.go 's/case rp\.membership\(\)\.SeedsPending:/case rp.membership().SeedsPending \&\& centre == requestID:/' internal/request/homes TestUndiscoveredNodesAreNotTakenForUnknown
+mutant 1 internal/process/membership/membership.go 's/!m\.sendHeartbeat\(ctx, seed, ""\);/!m.sendHeartbeat(ctx, seed, "") \&\& delay < 0;/' internal/process/membership TestEverySeedIsAskedUntilItAnswers
 mutant 11 internal/request/choose/eligible.go 's/case t\.evacuated\[e\.DataCentre\]:/case t.evacuated[e.DataCentre] \&\& need.Batch:/' internal/request/choose TestEvacuatedTargetsGetNothing
 mutant 11 internal/request/choose/eligible.go 's/t\.startWarmUp\(now, e, t\.warmUpRate\(e\.Service\)\.Time\)/_ = e/' internal/request/choose TestReturnedTargetsWarmUp
 mutant 11 internal/process/hosted/evacuation.go 's/n\.pool\.SetEvacuated\(evacuated\)/n.pool.SetEvacuated(nil)/' lab/hosted TestEvacuatedDataCentreGetsNothing
