--- a/internal/connection/beacon/beacon.go
+++ b/internal/connection/beacon/beacon.go
@@ -120,8 +120,8 @@
 // age.
 type StoreLatency interface {
 	Latency() (took, age time.Duration)
-	// Heard takes what another node reports.
-	Heard(took, age time.Duration)
+	// ReceiveLatency takes what another node reports.
+	ReceiveLatency(took, age time.Duration)
 }
 
 // Crashes holds what this node knows of crashed targets. Datagrams carry only a digest;
--- a/internal/connection/beacon/beacon_test.go
+++ b/internal/connection/beacon/beacon_test.go
@@ -189,7 +189,7 @@
 		n := b.received("a")["t"]
 		return n.Online == 3 && n.Batch == 3
 	})
-	a2.health.Answered(300 * time.Millisecond) // a1 passes on the latency of the object store
+	a2.health.RecordLatency(300 * time.Millisecond) // a1 passes on the latency of the object store
 	eventually(t, func() bool {
 		took, _ := b.health.Latency()
 		return took == 300*time.Millisecond
--- a/internal/connection/beacon/receive.go
+++ b/internal/connection/beacon/receive.go
@@ -59,7 +59,7 @@
 		x.applyMember(member, m)
 	}
 	if m.StoreTookMs > 0 {
-		x.Store.Heard(time.Duration(m.StoreTookMs)*time.Millisecond, time.Duration(m.StoreAgeMs)*time.Millisecond)
+		x.Store.ReceiveLatency(time.Duration(m.StoreTookMs)*time.Millisecond, time.Duration(m.StoreAgeMs)*time.Millisecond)
 	}
 	if m.Crashes != 0 {
 		x.Crashes.ReceiveDigest(m.Node, m.Crashes)
--- a/internal/connection/callbudget/budget.go
+++ b/internal/connection/callbudget/budget.go
@@ -19,8 +19,8 @@
 	Status
 )
 
-// ErrSpent: the context ended before the budget allowed the call.
-var ErrSpent = errors.New("no calls left in the budget")
+// ErrExhausted: the context ended before the budget allowed the call.
+var ErrExhausted = errors.New("no calls left in the budget")
 
 // Budget is a token bucket with one second of burst. Less important classes
 // must leave part of the bucket to the more important ones.
@@ -42,7 +42,7 @@
 	return &Budget{rate: float64(rate), tokens: float64(rate), filled: time.Now()}
 }
 
-// Wait takes one call of the class, or ErrSpent when ctx ends first.
+// Wait takes one call of the class, or ErrExhausted when ctx ends first.
 func (b *Budget) Wait(ctx context.Context, class Class) error {
 	for {
 		if b.take(class, time.Now()) {
@@ -50,7 +50,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return ErrSpent
+			return ErrExhausted
 		case <-time.After(retryTake):
 		}
 	}
--- a/internal/connection/dial/checked.go
+++ b/internal/connection/dial/checked.go
@@ -25,8 +25,8 @@
 	written atomic.Int64    // bytes
 }
 
-// Checked has a dial function return connections of type *Conn.
-func Checked(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
+// DetectClosed has a dial function return connections of type *Conn.
+func DetectClosed(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
@@ -67,9 +67,9 @@
 	return closed || err != nil
 }
 
-// Use is what is known of the connection that a request was given. It is safe for
+// ConnUse is what is known of the connection that a request was given. It is safe for
 // concurrent use.
-type Use struct {
+type ConnUse struct {
 	over atomic.Pointer[use] // nil: none yet
 }
 
@@ -79,8 +79,8 @@
 	before int64 // bytes that it had written
 }
 
-// Over takes the connection, as httptrace.ClientTrace.GotConn.
-func (u *Use) Over(info httptrace.GotConnInfo) {
+// GotConn takes the connection, as httptrace.ClientTrace.GotConn.
+func (u *ConnUse) GotConn(info httptrace.GotConnInfo) {
 	given := &use{kept: info.Reused}
 	if conn, ok := info.Conn.(*Conn); ok {
 		given.conn, given.before = conn, conn.written.Load()
@@ -90,17 +90,17 @@
 }
 
 // Connected reports whether the request was given a connection.
-func (u *Use) Connected() bool { return u.over.Load() != nil }
+func (u *ConnUse) Connected() bool { return u.over.Load() != nil }
 
-// Kept reports whether that has served other requests before.
-func (u *Use) Kept() bool {
+// Reused reports whether that has served other requests before.
+func (u *ConnUse) Reused() bool {
 	given := u.over.Load()
 	return given != nil && given.kept
 }
 
 // NothingSent reports whether no byte of the request has left this node. It may be asked
 // once the transport has failed with the connection.
-func (u *Use) NothingSent() bool {
+func (u *ConnUse) NothingSent() bool {
 	given := u.over.Load()
 	return given == nil || (given.conn != nil && given.conn.written.Load() == given.before)
 }
--- a/internal/connection/dial/dial.go
+++ b/internal/connection/dial/dial.go
@@ -43,7 +43,7 @@
 
 // New returns a dialer that waits for max at the most.
 func New(max time.Duration) *Dialer {
-	return &Dialer{max: max, dial: Plain(0).DialContext, known: map[string]*place{}}
+	return &Dialer{max: max, dial: KeepAliveDialer(0).DialContext, known: map[string]*place{}}
 }
 
 // DialContext opens a connection; it serves as http.Transport.DialContext.
@@ -66,22 +66,22 @@
 
 // The states.
 const (
-	Silent  State = iota // no answer: nothing is proved
-	Takes                // a process listens there
-	Refuses              // no process listens there any more
+	NoResponse State = iota // no answer: nothing is proved
+	Accepts                 // a process listens there
+	Refuses                 // no process listens there any more
 )
 
 // Probe finds out what an address does with a connection, by opening and closing one.
 func Probe(ctx context.Context, address string) State {
-	conn, err := Plain(0).DialContext(ctx, "tcp", address)
+	conn, err := KeepAliveDialer(0).DialContext(ctx, "tcp", address)
 	switch {
 	case err == nil:
 		conn.Close()
-		return Takes
+		return Accepts
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return Refuses
 	}
-	return Silent
+	return NoResponse
 }
 
 // Limit returns how long the next try at an address may take. Each try in a row
--- a/internal/connection/dial/silent.go
+++ b/internal/connection/dial/silent.go
@@ -27,9 +27,9 @@
 	unacknowledged = probeAfter + probes*probeEvery
 )
 
-// Plain returns a dialer with one time limit, 0 for none, whose connections are
+// KeepAliveDialer returns a dialer with one time limit, 0 for none, whose connections are
 // found dead within unacknowledged of their falling silent.
-func Plain(timeout time.Duration) *net.Dialer {
+func KeepAliveDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: timeout, Control: limitUnacknowledged,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probes}}
 }
--- a/internal/connection/dial/silent_test.go
+++ b/internal/connection/dial/silent_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	for name, dial := range map[string]func(context.Context, string, string) (net.Conn, error){"plain": Plain(time.Second).DialContext, "by the network": New(time.Second).DialContext} {
+	for name, dial := range map[string]func(context.Context, string, string) (net.Conn, error){"plain": KeepAliveDialer(time.Second).DialContext, "by the network": New(time.Second).DialContext} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			conn, err := dial(context.Background(), "tcp", listener.Addr().String())
--- a/internal/connection/engine/engine.go
+++ b/internal/connection/engine/engine.go
@@ -23,36 +23,36 @@
 
 // The ways an attempt fails.
 var (
-	ErrNotSent  = errors.New("no connection to the target; nothing was sent")
-	ErrBusy     = errors.New("target refuses new work")
-	ErrRejected = errors.New("target rejects the request as malformed")
-	ErrLinkLost = errors.New("connection to the target was lost")
-	ErrFailed   = errors.New("target failed")
-	ErrStalled  = errors.New("target sent nothing for too long")
-	ErrFenced   = errors.New("target refuses an old fencing number")
+	ErrNotSent        = errors.New("no connection to the target; nothing was sent")
+	ErrBusy           = errors.New("target refuses new work")
+	ErrRejected       = errors.New("target rejects the request as malformed")
+	ErrConnectionLost = errors.New("connection to the target was lost")
+	ErrFailed         = errors.New("target failed")
+	ErrStalled        = errors.New("target sent nothing for too long")
+	ErrFenced         = errors.New("target refuses an old fencing number")
 )
 
 // Client calls targets.
 type Client struct {
 	http *http.Client
-	// Stall is how long a stream may stay silent.
-	Stall time.Duration
+	// StallTimeout is how long a stream may stay silent.
+	StallTimeout time.Duration
 }
 
 // New returns a client.
 func New(client *http.Client, stall time.Duration) *Client {
-	return &Client{http: client, Stall: stall}
+	return &Client{http: client, StallTimeout: stall}
 }
 
 // Call is one attempt at a completion.
 type Call struct {
-	Addr      string
-	Path      string
-	RequestID string
-	Attempt   int
-	Body      []byte
-	Held      int         // tokens held; the stream starts there
-	Header    http.Header // extra headers; may be nil
+	Addr           string
+	Path           string
+	RequestID      string
+	Attempt        int
+	Body           []byte
+	TokensReceived int         // tokens held; the stream starts there
+	Header         http.Header // extra headers; may be nil
 }
 
 // StreamID names the attempt towards the engine.
@@ -66,14 +66,14 @@
 
 // Resume goes on with a stream whose connection was lost, from call.Held on.
 func (c *Client) Resume(ctx context.Context, call Call, sink func(assemble.Piece)) error {
-	path := "/v1/streams/" + url.PathEscape(call.StreamID()) + "?offset=" + strconv.Itoa(call.Held)
+	path := "/v1/streams/" + url.PathEscape(call.StreamID()) + "?offset=" + strconv.Itoa(call.TokensReceived)
 	return c.stream(ctx, http.MethodGet, path, call, sink)
 }
 
 func (c *Client) stream(ctx context.Context, method, path string, call Call, sink func(assemble.Piece)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(c.Stall, func() { cancel(ErrStalled) })
+	watchdog := time.AfterFunc(c.StallTimeout, func() { cancel(ErrStalled) })
 	defer watchdog.Stop()
 
 	resp, sent, err := c.send(ctx, method, call.Addr, path, call)
@@ -84,7 +84,7 @@
 	if err := statusError(resp); err != nil {
 		return err
 	}
-	next := call.Held
+	next := call.TokensReceived
 	scanner := bufio.NewScanner(resp.Body)
 	scanner.Buffer(make([]byte, 0, 4096), 1<<20)
 	for scanner.Scan() {
@@ -92,7 +92,7 @@
 		if !ok {
 			continue
 		}
-		watchdog.Reset(c.Stall)
+		watchdog.Reset(c.StallTimeout)
 		if string(data) == openai.DoneMark {
 			return nil
 		}
@@ -107,12 +107,12 @@
 	if err := cause(ctx, scanner.Err(), true); err != nil {
 		return err
 	}
-	return ErrLinkLost // ended without the closing mark
+	return ErrConnectionLost // ended without the closing mark
 }
 
 func toPiece(call Call, chunk *openai.Chunk, next int) assemble.Piece {
 	piece := assemble.Piece{RequestID: call.RequestID, Attempt: call.Attempt, Offset: next,
-		Tokens: chunk.Tokens, Text: chunk.Text(), FinishReason: chunk.Finish()}
+		Tokens: chunk.Tokens, Text: chunk.Text(), FinishReason: chunk.FinishReason()}
 	if chunk.Offset != nil {
 		piece.Offset = *chunk.Offset
 	} else if piece.Tokens == 0 && piece.Text != "" {
@@ -122,8 +122,8 @@
 }
 
 func (c *Client) send(ctx context.Context, method, addr, path string, call Call) (*http.Response, bool, error) {
-	var used dial.Use
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: used.Over})
+	var used dial.ConnUse
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: used.GotConn})
 	var body io.Reader
 	if method == http.MethodPost {
 		body = bytes.NewReader(call.Body)
@@ -156,7 +156,7 @@
 	case !sent:
 		return fmt.Errorf("%w: %v", ErrNotSent, err)
 	}
-	return fmt.Errorf("%w: %v", ErrLinkLost, err)
+	return fmt.Errorf("%w: %v", ErrConnectionLost, err)
 }
 
 func statusError(resp *http.Response) error {
@@ -274,8 +274,8 @@
 
 // Plain sends a call to a plain service and reads the whole answer.
 func (c *Client) Plain(ctx context.Context, call PlainCall) (PlainAnswer, error) {
-	var used dial.Use
-	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: used.Over})
+	var used dial.ConnUse
+	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: used.GotConn})
 	req, err := http.NewRequestWithContext(traced, call.Method, "http://"+call.Addr+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
 		return PlainAnswer{}, fmt.Errorf("%w: %v", ErrNotSent, err)
--- a/internal/connection/objects/health.go
+++ b/internal/connection/objects/health.go
@@ -22,12 +22,12 @@
 // the questions by which copies are kept new.
 const latencyFor = 3 * time.Second
 
-// Answered takes how long an answer of the store took.
-func (h *Health) Answered(took time.Duration) { h.Heard(took, 0) }
+// RecordLatency takes how long an answer of the store took.
+func (h *Health) RecordLatency(took time.Duration) { h.ReceiveLatency(took, 0) }
 
-// Heard takes how long an answer took that came, here or at another node, an age
+// ReceiveLatency takes how long an answer took that came, here or at another node, an age
 // ago.
-func (h *Health) Heard(took, age time.Duration) {
+func (h *Health) ReceiveLatency(took, age time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if at := h.now().Add(-age); at.After(h.at) {
@@ -60,8 +60,8 @@
 	return h.up
 }
 
-// Note takes the outcome of a call: whether the store answered it at all.
-func (h *Health) Note(answered bool) {
+// RecordOutcome takes the outcome of a call: whether the store answered it at all.
+func (h *Health) RecordOutcome(answered bool) {
 	h.mu.Lock()
 	now := h.now()
 	changed := h.up != answered
--- a/internal/connection/objects/health_test.go
+++ b/internal/connection/objects/health_test.go
@@ -14,13 +14,13 @@
 	h := NewHealth(func() time.Time { return now }, func(bool, time.Duration) {})
 	took, _ := h.Latency()
 	is.Equal(took, time.Duration(0))
-	h.Answered(5 * time.Millisecond)
+	h.RecordLatency(5 * time.Millisecond)
 	now = now.Add(time.Second)
-	h.Heard(300*time.Millisecond, 200*time.Millisecond)
+	h.ReceiveLatency(300*time.Millisecond, 200*time.Millisecond)
 	took, age := h.Latency()
 	is.Equal(took, 300*time.Millisecond)
 	is.Equal(age, 200*time.Millisecond)
-	h.Heard(7*time.Millisecond, 900*time.Millisecond) // older
+	h.ReceiveLatency(7*time.Millisecond, 900*time.Millisecond) // older
 	took, _ = h.Latency()
 	is.Equal(took, 300*time.Millisecond)
 	now = now.Add(latencyFor)
--- a/internal/connection/objects/objects.go
+++ b/internal/connection/objects/objects.go
@@ -22,8 +22,8 @@
 	// ErrUnknownOutcome: a write was sent and has no answer. It may have taken
 	// effect, and may still do so seconds later while its condition holds.
 	ErrUnknownOutcome = errors.New("write may have taken effect")
-	// ErrHistoryGone: the revision to ask from is no longer kept; list again.
-	ErrHistoryGone = errors.New("history of the object store is gone")
+	// ErrHistoryExpired: the revision to ask from is no longer kept; list again.
+	ErrHistoryExpired = errors.New("history of the object store is gone")
 )
 
 // Object is one stored object.
--- a/internal/connection/openai/openai.go
+++ b/internal/connection/openai/openai.go
@@ -166,8 +166,8 @@
 	return c.Choices[0].Text
 }
 
-// Finish returns the chunk's finish reason, empty when there is none.
-func (c *Chunk) Finish() string {
+// FinishReason returns the chunk's finish reason, empty when there is none.
+func (c *Chunk) FinishReason() string {
 	if len(c.Choices) == 0 || c.Choices[0].FinishReason == nil {
 		return ""
 	}
@@ -197,8 +197,8 @@
 		Choices: []Choice{choice}, Offset: &offset, Tokens: tokens})
 }
 
-// Whole returns the answer in one body.
-func (a Answer) Whole(text, finish string, tokens int) []byte {
+// Body returns the answer in one body.
+func (a Answer) Body(text, finish string, tokens int) []byte {
 	choice := Choice{FinishReason: &finish}
 	if a.Path == ChatPath {
 		choice.Message = &Message{"assistant", text}
--- a/internal/connection/openai/openai_test.go
+++ b/internal/connection/openai/openai_test.go
@@ -26,7 +26,7 @@
 		chunk, err := DecodeChunk(event[len(DataPrefix):])
 		is.NoErr(err)
 		is.Equal(chunk.Text(), "text")
-		is.Equal(chunk.Finish(), "stop")
+		is.Equal(chunk.FinishReason(), "stop")
 		is.Equal(*chunk.Offset, 4)
 	}
 }
@@ -52,7 +52,7 @@
 	f.Add([]byte(`{"choices":[{}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if c, err := DecodeChunk(data); err == nil {
-			_, _ = c.Text(), c.Finish()
+			_, _ = c.Text(), c.FinishReason()
 		}
 	})
 }
--- a/internal/connection/peer/peer.go
+++ b/internal/connection/peer/peer.go
@@ -69,9 +69,9 @@
 	})
 }
 
-// Require returns handler options that refuse calls without the key and turn
+// RequireKey returns handler options that refuse calls without the key and turn
 // errors into those of the error table.
-func Require(key string) []connect.HandlerOption {
+func RequireKey(key string) []connect.HandlerOption {
 	check := connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			if subtle.ConstantTimeCompare([]byte(req.Header().Get(keyHeader)), []byte(key)) != 1 {
--- a/internal/connection/platform/client.go
+++ b/internal/connection/platform/client.go
@@ -24,8 +24,8 @@
 	"github.com/marblepond/marblepond/internal/connection/callbudget"
 )
 
-// MaxValue is the largest value the object API takes, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the largest value the object API takes, in bytes.
+const MaxValueBytes = 1 << 20
 
 // The errors of the object API.
 var (
@@ -33,7 +33,7 @@
 	ErrConflict    = errors.New("object version does not match")
 	ErrAmbiguous   = errors.New("write may have taken effect")
 	ErrUnavailable = errors.New("platform unavailable")
-	ErrBudget      = callbudget.ErrSpent
+	ErrBudget      = callbudget.ErrExhausted
 )
 
 // Class orders calls when the budget is short.
@@ -167,7 +167,7 @@
 }
 
 func (c *Client) write(ctx context.Context, class Class, method, name string, value []byte, header, match string) (int64, error) {
-	if len(value) > MaxValue {
+	if len(value) > MaxValueBytes {
 		return 0, fmt.Errorf("value of %d bytes is over the platform's limit", len(value))
 	}
 	if err := c.writes.Wait(ctx, class); err != nil {
--- a/internal/connection/relay/relay.go
+++ b/internal/connection/relay/relay.go
@@ -32,14 +32,14 @@
 // Relay implements objects.Store over the node's own client and its peers. It is safe
 // for concurrent use.
 type Relay struct {
-	Own objects.Store
-	// Reached reports whether the store answered this node's newest own call.
-	Reached func() bool
+	Direct objects.Store
+	// StoreReachable reports whether the store answered this node's newest own call.
+	StoreReachable func() bool
 	// Peers returns the nodes that are heard now, by address.
 	Peers  func() []string
 	Client func(address string) marblepondv1connect.RelayServiceClient
-	// Relayed is told each call that went through another node.
-	Relayed func(kind, name, address string)
+	// OnRelayed is told each call that went through another node.
+	OnRelayed func(kind, name, address string)
 
 	mu      sync.Mutex
 	lastOwn time.Time
@@ -47,7 +47,7 @@
 
 // ownFirst reports whether the store itself is to be asked first.
 func (r *Relay) ownFirst() bool {
-	if r.Reached() {
+	if r.StoreReachable() {
 		return true
 	}
 	r.mu.Lock()
@@ -82,7 +82,7 @@
 			continue
 		}
 		if err = outcomeError(answer.Outcome); !errors.Is(err, objects.ErrUnavailable) {
-			r.Relayed(message.Kind, message.Name, address)
+			r.OnRelayed(message.Kind, message.Name, address)
 			return decode(answer), err
 		}
 	}
@@ -126,32 +126,32 @@
 
 // Get implements objects.Store.
 func (r *Relay) Get(ctx context.Context, class callbudget.Class, kind, name string) (objects.Object, error) {
-	return call(ctx, r, func() (objects.Object, error) { return r.Own.Get(ctx, class, kind, name) },
+	return call(ctx, r, func() (objects.Object, error) { return r.Direct.Get(ctx, class, kind, name) },
 		&v1.StoreCall{Operation: v1.StoreCall_GET, Kind: kind, Name: name}, first)
 }
 
 // Create implements objects.Store.
 func (r *Relay) Create(ctx context.Context, class callbudget.Class, kind, name string, value []byte) (objects.Object, error) {
-	return call(ctx, r, func() (objects.Object, error) { return r.Own.Create(ctx, class, kind, name, value) },
+	return call(ctx, r, func() (objects.Object, error) { return r.Direct.Create(ctx, class, kind, name, value) },
 		&v1.StoreCall{Operation: v1.StoreCall_CREATE, Kind: kind, Name: name, Value: value}, first)
 }
 
 // Update implements objects.Store.
 func (r *Relay) Update(ctx context.Context, class callbudget.Class, kind, name string, revision int64, value []byte) (objects.Object, error) {
-	return call(ctx, r, func() (objects.Object, error) { return r.Own.Update(ctx, class, kind, name, revision, value) },
+	return call(ctx, r, func() (objects.Object, error) { return r.Direct.Update(ctx, class, kind, name, revision, value) },
 		&v1.StoreCall{Operation: v1.StoreCall_UPDATE, Kind: kind, Name: name, Revision: revision, Value: value}, first)
 }
 
 // Delete implements objects.Store.
 func (r *Relay) Delete(ctx context.Context, class callbudget.Class, kind, name string) error {
-	_, err := call(ctx, r, func() (struct{}, error) { return struct{}{}, r.Own.Delete(ctx, class, kind, name) },
+	_, err := call(ctx, r, func() (struct{}, error) { return struct{}{}, r.Direct.Delete(ctx, class, kind, name) },
 		&v1.StoreCall{Operation: v1.StoreCall_DELETE, Kind: kind, Name: name}, func(*v1.StoreAnswer) struct{} { return struct{}{} })
 	return err
 }
 
 // ListStale implements objects.Store.
 func (r *Relay) ListStale(ctx context.Context, kind string) (objects.Page, error) {
-	return call(ctx, r, func() (objects.Page, error) { return r.Own.ListStale(ctx, kind) },
+	return call(ctx, r, func() (objects.Page, error) { return r.Direct.ListStale(ctx, kind) },
 		&v1.StoreCall{Operation: v1.StoreCall_LIST_STALE, Kind: kind}, func(a *v1.StoreAnswer) objects.Page {
 			page := objects.Page{Revision: a.Revision}
 			for _, o := range a.Objects {
@@ -163,8 +163,8 @@
 
 // Service makes calls for other nodes; it never passes them on.
 type Service struct {
-	Own     objects.Store
-	Reached func() bool
+	Store          objects.Store
+	StoreReachable func() bool
 	// Kinds are the kinds of objects that other nodes may reach.
 	Kinds []string
 }
@@ -174,7 +174,7 @@
 	if !slices.Contains(s.Kinds, m.Kind) {
 		return nil, errkind.Malformed.New("kind %q is not relayed", m.Kind)
 	}
-	if !s.Reached() {
+	if !s.StoreReachable() {
 		return &v1.StoreAnswer{Outcome: v1.StoreAnswer_UNAVAILABLE}, nil
 	}
 	page, err := s.call(ctx, m)
@@ -190,15 +190,15 @@
 	var err error
 	switch m.Operation {
 	case v1.StoreCall_GET:
-		o, err = s.Own.Get(ctx, callbudget.Commit, m.Kind, m.Name)
+		o, err = s.Store.Get(ctx, callbudget.Commit, m.Kind, m.Name)
 	case v1.StoreCall_CREATE:
-		o, err = s.Own.Create(ctx, callbudget.Commit, m.Kind, m.Name, m.Value)
+		o, err = s.Store.Create(ctx, callbudget.Commit, m.Kind, m.Name, m.Value)
 	case v1.StoreCall_UPDATE:
-		o, err = s.Own.Update(ctx, callbudget.Commit, m.Kind, m.Name, m.Revision, m.Value)
+		o, err = s.Store.Update(ctx, callbudget.Commit, m.Kind, m.Name, m.Revision, m.Value)
 	case v1.StoreCall_DELETE:
-		err = s.Own.Delete(ctx, callbudget.Status, m.Kind, m.Name)
+		err = s.Store.Delete(ctx, callbudget.Status, m.Kind, m.Name)
 	case v1.StoreCall_LIST_STALE:
-		return s.Own.ListStale(ctx, m.Kind)
+		return s.Store.ListStale(ctx, m.Kind)
 	default:
 		err = objects.ErrUnavailable
 	}
--- a/internal/connection/relay/relay_test.go
+++ b/internal/connection/relay/relay_test.go
@@ -60,7 +60,7 @@
 }
 
 func newRelay(own *fixedStore, reached bool, peers map[string]direct) *Relay {
-	return &Relay{Own: own, Reached: func() bool { return reached }, Relayed: func(string, string, string) {},
+	return &Relay{Direct: own, StoreReachable: func() bool { return reached }, OnRelayed: func(string, string, string) {},
 		Peers: func() (out []string) {
 			for name := range peers {
 				out = append(out, name)
@@ -77,7 +77,7 @@
 func TestRefusedCallsGoThroughPeers(t *testing.T) {
 	is := is.New(t)
 	own, theirs := &fixedStore{err: objects.ErrUnavailable}, &fixedStore{}
-	r := newRelay(own, true, map[string]direct{"p": {service: &Service{Own: theirs, Reached: up, Kinds: []string{"k"}}}})
+	r := newRelay(own, true, map[string]direct{"p": {service: &Service{Store: theirs, StoreReachable: up, Kinds: []string{"k"}}}})
 	o, err := r.Create(context.Background(), callbudget.Commit, "k", "o", nil)
 	is.NoErr(err)
 	is.Equal(o.Revision, int64(7))
@@ -95,7 +95,7 @@
 func TestStoreIsSparedWhileAway(t *testing.T) {
 	is := is.New(t)
 	own, theirs := &fixedStore{err: objects.ErrUnavailable}, &fixedStore{}
-	r := newRelay(own, false, map[string]direct{"p": {service: &Service{Own: theirs, Reached: up, Kinds: []string{"k"}}}})
+	r := newRelay(own, false, map[string]direct{"p": {service: &Service{Store: theirs, StoreReachable: up, Kinds: []string{"k"}}}})
 	for range 10 {
 		_, err := r.Get(context.Background(), callbudget.Commit, "k", "o")
 		is.NoErr(err)
@@ -108,7 +108,7 @@
 func TestUnknownOutcomeIsNotRepeated(t *testing.T) {
 	is := is.New(t)
 	own, theirs := &fixedStore{err: objects.ErrUnknownOutcome}, &fixedStore{}
-	r := newRelay(own, true, map[string]direct{"p": {service: &Service{Own: theirs, Reached: up, Kinds: []string{"k"}}}})
+	r := newRelay(own, true, map[string]direct{"p": {service: &Service{Store: theirs, StoreReachable: up, Kinds: []string{"k"}}}})
 	_, err := r.Update(context.Background(), callbudget.Commit, "k", "o", 3, nil)
 	is.True(errors.Is(err, objects.ErrUnknownOutcome))
 	is.Equal(theirs.calls, 0)
@@ -122,7 +122,7 @@
 func TestNobodyReachesTheStore(t *testing.T) {
 	is := is.New(t)
 	own, theirs := &fixedStore{err: objects.ErrUnavailable}, &fixedStore{}
-	away := direct{service: &Service{Own: theirs, Reached: func() bool { return false }, Kinds: []string{"k"}}}
+	away := direct{service: &Service{Store: theirs, StoreReachable: func() bool { return false }, Kinds: []string{"k"}}}
 	r := newRelay(own, true, map[string]direct{"p": away, "q": away})
 	_, err := r.Create(context.Background(), callbudget.Commit, "k", "o", nil)
 	is.True(errors.Is(err, objects.ErrUnavailable))
@@ -134,7 +134,7 @@
 func TestOnlyOwnKindsAreRelayed(t *testing.T) {
 	is := is.New(t)
 	theirs := &fixedStore{}
-	s := &Service{Own: theirs, Reached: up, Kinds: []string{"k"}}
+	s := &Service{Store: theirs, StoreReachable: up, Kinds: []string{"k"}}
 	_, err := s.Call(context.Background(), &v1.StoreCall{Operation: v1.StoreCall_UPDATE, Kind: "config", Name: "main"})
 	is.True(err != nil)
 	is.Equal(theirs.calls, 0)
--- a/internal/connection/target/liveness.go
+++ b/internal/connection/target/liveness.go
@@ -17,8 +17,8 @@
 	ended bool
 }
 
-// Brought notes that an event of the answer has arrived.
-func (l *Liveness) Brought() {
+// EventReceived notes that an event of the answer has arrived.
+func (l *Liveness) EventReceived() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.last = time.Now()
@@ -28,10 +28,10 @@
 	}
 }
 
-// Replaced takes the news that the target has started again. lost is called when the
+// TargetRestarted takes the news that the target has started again. lost is called when the
 // attempt has brought nothing for a time, counted from before the news: it was lost with
 // the process before. What brings something until then runs on.
-func (l *Liveness) Replaced(silent time.Duration, lost func()) {
+func (l *Liveness) TargetRestarted(silent time.Duration, lost func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended {
--- a/internal/connection/target/liveness_test.go
+++ b/internal/connection/target/liveness_test.go
@@ -18,9 +18,9 @@
 		l := &Liveness{}
 		defer l.Stop()
 		for _, at := range brought {
-			time.AfterFunc(at, l.Brought)
+			time.AfterFunc(at, l.EventReceived)
 		}
-		time.AfterFunc(news, func() { l.Replaced(silent, func() { lost = time.Since(began) }) })
+		time.AfterFunc(news, func() { l.TargetRestarted(silent, func() { lost = time.Since(began) }) })
 		time.Sleep(10 * time.Second)
 	})
 	return lost
@@ -45,8 +45,8 @@
 // TestEndedAttemptIsNotLost: neither news before its end nor after it matters.
 func TestEndedAttemptIsNotLost(t *testing.T) {
 	l := &Liveness{}
-	l.Brought()
-	l.Replaced(time.Hour, func() { t.Error("lost") })
+	l.EventReceived()
+	l.TargetRestarted(time.Hour, func() { t.Error("lost") })
 	l.Stop()
-	l.Replaced(0, func() { t.Error("lost after its end") })
+	l.TargetRestarted(0, func() { t.Error("lost after its end") })
 }
--- a/internal/connection/target/target.go
+++ b/internal/connection/target/target.go
@@ -63,13 +63,13 @@
 	Send(ctx context.Context, call Call) (*Answer, error)
 }
 
-// End says how a call ended that did not end with a whole answer.
-type End int
+// Failure says how a call ended that did not end with a whole answer.
+type Failure int
 
 // The ends. The list is closed.
 const (
 	// NotSent: no byte of the request left this node.
-	NotSent End = iota
+	NotSent Failure = iota
 	// NotRun: the target said that it did not run the request.
 	NotRun
 	// WrongInstance: another target has the address; not run.
@@ -77,19 +77,19 @@
 	// Broken: the connection failed after the request was sent, or the answer
 	// was no answer to it. It may have run.
 	Broken
-	// GivenUp: the context ended. It may have run.
-	GivenUp
+	// Cancelled: the context ended. It may have run.
+	Cancelled
 )
 
-var endNames = map[End]string{NotSent: "not sent", NotRun: "not run", WrongInstance: "wrong instance", Broken: "broken", GivenUp: "given up"}
+var endNames = map[Failure]string{NotSent: "not sent", NotRun: "not run", WrongInstance: "wrong instance", Broken: "broken", Cancelled: "given up"}
 
 // String returns the end's name.
-func (e End) String() string { return endNames[e] }
+func (e Failure) String() string { return endNames[e] }
 
 // Error is the error of a call.
 type Error struct {
-	End   End
-	Cause error
+	Failure Failure
+	Cause   error
 	// ConnectionLost: the connection broke after the request was sent. The target may
 	// have ended.
 	ConnectionLost bool
@@ -97,24 +97,26 @@
 	Saturated bool
 }
 
-// Refused reports whether the target's address refused the connection.
-func (e *Error) Refused() bool { return e.End == NotSent && errors.Is(e.Cause, syscall.ECONNREFUSED) }
+// ConnectionRefused reports whether the target's address refused the connection.
+func (e *Error) ConnectionRefused() bool {
+	return e.Failure == NotSent && errors.Is(e.Cause, syscall.ECONNREFUSED)
+}
 
 // Error implements error.
-func (e *Error) Error() string { return fmt.Sprintf("%s: %v", e.End, e.Cause) }
+func (e *Error) Error() string { return fmt.Sprintf("%s: %v", e.Failure, e.Cause) }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// EndOf returns the end that err stands for; an error of another type is
+// FailureOf returns the end that err stands for; an error of another type is
 // Broken, the end that promises least.
-func EndOf(err error) End {
+func FailureOf(err error) Failure {
 	var e *Error
 	if errors.As(err, &e) {
-		return e.End
+		return e.Failure
 	}
 	return Broken
 }
 
-// Ran reports whether the request may have run.
-func (e End) Ran() bool { return e == Broken || e == GivenUp }
+// MayHaveRun reports whether the request may have run.
+func (e Failure) MayHaveRun() bool { return e == Broken || e == Cancelled }
--- a/internal/process/crashes/probe.go
+++ b/internal/process/crashes/probe.go
@@ -66,7 +66,7 @@
 		case dial.Refuses:
 			w.Ended(t, quarantine.RefusesConnections)
 			return
-		case dial.Silent:
+		case dial.NoResponse:
 			return // only other proof can show that it has ended
 		}
 		if !wait.For(ctx, reprobeDelay) {
--- a/internal/process/crashes/watch_test.go
+++ b/internal/process/crashes/watch_test.go
@@ -189,7 +189,7 @@
 		state   dial.State
 		leaving bool
 		ends    time.Duration // until its end is proved after all
-	}{"lives": {dial.Takes, false, time.Second}, "silent": {dial.Silent, false, time.Minute}, "leaves": {dial.Refuses, true, 0}} {
+	}{"lives": {dial.Accepts, false, time.Second}, "silent": {dial.NoResponse, false, time.Minute}, "leaves": {dial.Refuses, true, 0}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			fleet := newFakeFleet()
--- a/internal/process/hosted/log.go
+++ b/internal/process/hosted/log.go
@@ -55,7 +55,7 @@
 }
 
 func (l *requestLog) Failed(req *forward.Request, t choose.Target, events int64, err error) {
-	ran := target.EndOf(err).Ran()
+	ran := target.FailureOf(err).MayHaveRun()
 	fields := []timeline.Field{field("may_have_run", ran), field("after_ms", l.n.clock.Since(req.Arrived).Milliseconds())}
 	if ran { // what ties it to other attempts at the same work, and to others that were lost with it
 		fields = append(fields, field("work", req.Work.ID().String()), field("events", events), field("others_there", l.n.inFlightAt(t)))
--- a/internal/process/hosted/peers.go
+++ b/internal/process/hosted/peers.go
@@ -66,10 +66,10 @@
 // the call that met it, while one of HTTP/2 would fail every call until it is
 // found dead.
 func newPeers(s *settings.Settings) *peers {
-	dialer := dial.Plain(s.DialTimeout)
+	dialer := dial.KeepAliveDialer(s.DialTimeout)
 	h := &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: peerConns,
 		IdleConnTimeout: time.Minute, DisableCompression: true}}
-	greeter := &http.Client{Transport: &http.Transport{DialContext: dial.Plain(min(greetDial, s.DialTimeout)).DialContext, DisableCompression: true, IdleConnTimeout: time.Second}}
+	greeter := &http.Client{Transport: &http.Transport{DialContext: dial.KeepAliveDialer(min(greetDial, s.DialTimeout)).DialContext, DisableCompression: true, IdleConnTimeout: time.Second}}
 	options := peer.ClientOptions(s.PeerKey)
 	return &peers{
 		sync:  newClients(h, options, marblepondv1connect.NewSyncServiceClient),
@@ -85,8 +85,8 @@
 
 // relay returns the object store as jobs reach it: also through other nodes.
 func (n *Node) relay() *relay.Relay {
-	return &relay.Relay{Own: n.adapter.Store, Reached: n.adapter.Health.Up, Peers: n.heardAddresses, Client: n.peers.relay.at,
-		Relayed: func(kind, name, address string) {
+	return &relay.Relay{Direct: n.adapter.Store, StoreReachable: n.adapter.Health.Up, Peers: n.heardAddresses, Client: n.peers.relay.at,
+		OnRelayed: func(kind, name, address string) {
 			n.recorder.Record(timeline.CallRelayed, name, kind, "", field("through", address))
 			n.metrics.Counter("store_calls_relayed").Inc(1)
 		}}
--- a/internal/process/hosted/run.go
+++ b/internal/process/hosted/run.go
@@ -94,13 +94,13 @@
 
 func (n *Node) listenHandlers(metricsPage http.Handler) {
 	mux := http.NewServeMux()
-	mux.Handle(marblepondv1connect.NewSyncServiceHandler(n.gossip, peer.Require(n.settings.PeerKey)...))
-	mux.Handle(marblepondv1connect.NewJobServiceHandler(n.jobs.PeerService(), peer.Require(n.settings.PeerKey)...))
-	mux.Handle(marblepondv1connect.NewRelayServiceHandler(&relay.Service{Own: n.adapter.Store, Reached: n.adapter.Health.Up, Kinds: job.Kinds}, peer.Require(n.settings.PeerKey)...))
-	mux.Handle(marblepondv1connect.NewCheckpointServiceHandler(checkpoint.Service{Store: n.checkpoints}, peer.Require(n.settings.PeerKey)...))
-	mux.Handle(marblepondv1connect.NewQuarantineServiceHandler(n.crashes, peer.Require(n.settings.PeerKey)...))
-	mux.Handle(marblepondv1connect.NewBacklogServiceHandler(backlogService{n.backlogs}, peer.Require(n.settings.PeerKey)...))
-	mux.Handle(marblepondv1connect.NewOperatorServiceHandler(operatorService{node: n, crashes: n.crashes}, peer.Require(n.settings.OperatorKey)...))
+	mux.Handle(marblepondv1connect.NewSyncServiceHandler(n.gossip, peer.RequireKey(n.settings.PeerKey)...))
+	mux.Handle(marblepondv1connect.NewJobServiceHandler(n.jobs.PeerService(), peer.RequireKey(n.settings.PeerKey)...))
+	mux.Handle(marblepondv1connect.NewRelayServiceHandler(&relay.Service{Store: n.adapter.Store, StoreReachable: n.adapter.Health.Up, Kinds: job.Kinds}, peer.RequireKey(n.settings.PeerKey)...))
+	mux.Handle(marblepondv1connect.NewCheckpointServiceHandler(checkpoint.Service{Store: n.checkpoints}, peer.RequireKey(n.settings.PeerKey)...))
+	mux.Handle(marblepondv1connect.NewQuarantineServiceHandler(n.crashes, peer.RequireKey(n.settings.PeerKey)...))
+	mux.Handle(marblepondv1connect.NewBacklogServiceHandler(backlogService{n.backlogs}, peer.RequireKey(n.settings.PeerKey)...))
+	mux.Handle(marblepondv1connect.NewOperatorServiceHandler(operatorService{node: n, crashes: n.crashes}, peer.RequireKey(n.settings.OperatorKey)...))
 	page := http.NewServeMux()
 	page.Handle("GET /metrics", metricsPage)
 	n.pageHTTP = &http.Server{Handler: page, ReadHeaderTimeout: headerTimeout}
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -146,7 +146,7 @@
 func (n *Node) engineClient() *engine.Client {
 	host, _, _ := net.SplitHostPort(n.settings.PeerListen)
 	dialer := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}}
-	transport := &http.Transport{DialContext: dial.Checked(dialer.DialContext), MaxIdleConnsPerHost: targetConns, IdleConnTimeout: time.Minute, DisableCompression: true}
+	transport := &http.Transport{DialContext: dial.DetectClosed(dialer.DialContext), MaxIdleConnsPerHost: targetConns, IdleConnTimeout: time.Minute, DisableCompression: true}
 	return engine.New(&http.Client{Transport: transport}, stallTimeout)
 }
 
@@ -191,9 +191,9 @@
 
 func (n *Node) listenHandlers() {
 	peerMux := http.NewServeMux()
-	peerMux.Handle(marblepondv1connect.NewPeerServiceHandler(&peerService{n}, peer.Require(n.settings.PeerKey)...))
-	peerMux.Handle(marblepondv1connect.NewOperatorServiceHandler(&operatorService{n}, peer.Require(n.settings.OperatorKey)...))
-	peerMux.Handle(marblepondv1connect.NewQuarantineServiceHandler(n.crashes, peer.Require(n.settings.PeerKey)...))
+	peerMux.Handle(marblepondv1connect.NewPeerServiceHandler(&peerService{n}, peer.RequireKey(n.settings.PeerKey)...))
+	peerMux.Handle(marblepondv1connect.NewOperatorServiceHandler(&operatorService{n}, peer.RequireKey(n.settings.OperatorKey)...))
+	peerMux.Handle(marblepondv1connect.NewQuarantineServiceHandler(n.crashes, peer.RequireKey(n.settings.PeerKey)...))
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
--- a/internal/request/batch/item.go
+++ b/internal/request/batch/item.go
@@ -145,7 +145,7 @@
 		w.requeue(it, true)
 	case notSent, errors.Is(err, engine.ErrBusy):
 		w.requeue(it, false)
-	case errors.Is(err, engine.ErrLinkLost) && !w.countsLoss(it):
+	case errors.Is(err, engine.ErrConnectionLost) && !w.countsLoss(it):
 		w.requeue(it, false)
 	default:
 		it.attempts++
@@ -179,7 +179,7 @@
 	text, tokens, finish := it.answer.Text()
 	w.checker.Assert(finish != "", invariant.AnswerWhole, it.id(), it.lease.job.ID, "item finished without a finish reason")
 	answer := openai.Answer{ID: it.id(), Path: it.line.URL, Model: it.loaded, Created: it.lease.job.Created}
-	return it.result(&Response{http.StatusOK, it.id(), answer.Whole(text, finish, tokens)}, nil)
+	return it.result(&Response{http.StatusOK, it.id(), answer.Body(text, finish, tokens)}, nil)
 }
 
 // plainResult returns the result of an item of a plain service. A body that is
--- a/internal/request/batch/lease.go
+++ b/internal/request/batch/lease.go
@@ -332,7 +332,7 @@
 	return segment, err // if the outcome is not known, the next commit writes another object
 }
 
-// maxSegmentBytes bounds a segment; it is below platform.MaxValue.
+// maxSegmentBytes bounds a segment; it is below platform.MaxValueBytes.
 const maxSegmentBytes = 900 << 10
 
 // segmentPrefix returns the first results that fit into a segment of limit bytes,
--- a/internal/request/batch/store.go
+++ b/internal/request/batch/store.go
@@ -42,7 +42,7 @@
 }
 
 const (
-	// maxChunkBytes bounds a chunk; it is below platform.MaxValue.
+	// maxChunkBytes bounds a chunk; it is below platform.MaxValueBytes.
 	maxChunkBytes = 768 << 10
 	// parallelWrites bounds the concurrent chunk writes of one file.
 	parallelWrites = 8
--- a/internal/request/forward/attempt.go
+++ b/internal/request/forward/attempt.go
@@ -29,7 +29,7 @@
 	defer liveness.Stop()
 	defer f.Targets.WhenGone(t, func() {
 		if !f.Quarantine.EndedBefore(t) {
-			liveness.Replaced(gapTimeout(req.Route), func() { cancel(errRestarted) })
+			liveness.TargetRestarted(gapTimeout(req.Route), func() { cancel(errRestarted) })
 		}
 	})()
 	defer f.Quarantine.OnRefusal(&req.Work, func() { cancel(errQuarantined) })()
@@ -63,7 +63,7 @@
 		if err != nil {
 			return f.cancelCause(ctx, err)
 		}
-		liveness.Brought()
+		liveness.EventReceived()
 		watch.eventReceived()
 		f.Targets.Heard(t)
 		if first {
@@ -113,10 +113,10 @@
 // failed attempt if the request may be repeated and attempts are left.
 func (f *Forwarder) respond(req *Request, t choose.Target, answer *target.Answer, caller Caller, p *progress) error {
 	if answer.Status >= http.StatusInternalServerError && (p.begun || (req.Route.Repeatable() && p.ran+1 < req.Route.Attempts)) {
-		return &target.Error{End: target.Broken, Cause: errors.New("the target answered " + http.StatusText(answer.Status))}
+		return &target.Error{Failure: target.Broken, Cause: errors.New("the target answered " + http.StatusText(answer.Status))}
 	}
 	if p.begun {
-		return &target.Error{End: target.Broken, Cause: errors.New("the target answered a resumed stream with " + http.StatusText(answer.Status))}
+		return &target.Error{Failure: target.Broken, Cause: errors.New("the target answered a resumed stream with " + http.StatusText(answer.Status))}
 	}
 	f.Quarantine.Completed(&req.Work)
 	f.Log.Answered(req, t, AnswerSummary{Status: answer.Status})
@@ -131,7 +131,7 @@
 func (f *Forwarder) cancelCause(ctx context.Context, err error) error {
 	for _, cause := range []error{errStalled, errRestarted, errQuarantined} {
 		if errors.Is(context.Cause(ctx), cause) {
-			return &target.Error{End: target.Broken, Cause: cause}
+			return &target.Error{Failure: target.Broken, Cause: cause}
 		}
 	}
 	return err
--- a/internal/request/forward/forward_test.go
+++ b/internal/request/forward/forward_test.go
@@ -121,7 +121,7 @@
 func (s *slowStream) Next() (target.Event, error) {
 	select {
 	case <-s.ctx.Done():
-		return target.Event{}, &target.Error{End: target.GivenUp, Cause: s.ctx.Err()}
+		return target.Event{}, &target.Error{Failure: target.Cancelled, Cause: s.ctx.Err()}
 	case <-time.After(s.first):
 	}
 	s.first = 0
@@ -233,7 +233,7 @@
 
 func (s fullSender) Send(ctx context.Context, call target.Call) (*target.Answer, error) {
 	if time.Now().Before(s.until) {
-		return nil, &target.Error{End: target.NotRun, Saturated: true}
+		return nil, &target.Error{Failure: target.NotRun, Saturated: true}
 	}
 	return s.then.Send(ctx, call)
 }
--- a/internal/request/forward/judge.go
+++ b/internal/request/forward/judge.go
@@ -30,8 +30,8 @@
 func (f *Forwarder) finalError(ctx context.Context, req *Request, t choose.Target, p *progress, err error) error {
 	p.lastErr = err
 	p.exclude[t.ID] = true
-	end := target.EndOf(err)
-	if end.Ran() {
+	end := target.FailureOf(err)
+	if end.MayHaveRun() {
 		p.ran++
 	}
 	p.connectionLost = p.connectionLost || lostConnection(err)
@@ -45,7 +45,7 @@
 		return errkind.Cancelled.New("the caller disconnected")
 	case errors.Is(err, errQuarantined):
 		return f.quarantineError(req)
-	case !end.Ran():
+	case !end.MayHaveRun():
 		return nil
 	case !req.Route.Repeatable():
 		return errkind.UnknownOutcome.New("the target failed after the request was sent: %v", err)
@@ -82,10 +82,10 @@
 	case errors.Is(err, errRestarted):
 		f.Quarantine.Lost(&req.Work, t)
 		f.Quarantine.Ended(t, quarantine.Restarted)
-	case failure.End == target.WrongInstance:
+	case failure.Failure == target.WrongInstance:
 		f.Targets.Leave(t, string(quarantine.AnotherAtAddress))
 		f.Quarantine.Ended(t, quarantine.AnotherAtAddress)
-	case failure.Refused():
+	case failure.ConnectionRefused():
 		f.Quarantine.Ended(t, quarantine.RefusesConnections)
 	case failure.ConnectionLost:
 		f.Quarantine.Lost(&req.Work, t)
@@ -105,8 +105,8 @@
 	if errors.Is(err, errQuarantined) {
 		return choose.Neutral
 	}
-	switch target.EndOf(err) {
-	case target.GivenUp, target.NotRun, target.WrongInstance:
+	switch target.FailureOf(err) {
+	case target.Cancelled, target.NotRun, target.WrongInstance:
 		return choose.Neutral
 	}
 	return choose.Failure
--- a/internal/request/homes/durable.go
+++ b/internal/request/homes/durable.go
@@ -117,7 +117,7 @@
 	for _, r := range group {
 		encoder.Encode(r)
 	}
-	if body.Len() > platform.MaxValue {
+	if body.Len() > platform.MaxValueBytes {
 		return k.splitGroup(ctx, group)
 	}
 	_, err := k.platform.Create(ctx, platform.Commit, name, body.Bytes())
--- a/internal/request/job/room_test.go
+++ b/internal/request/job/room_test.go
@@ -56,7 +56,7 @@
 	case <-ctx.Done():
 	case <-time.After(s.after):
 	}
-	return nil, &target.Error{End: target.NotSent, Cause: errors.New("it has ended")}
+	return nil, &target.Error{Failure: target.NotSent, Cause: errors.New("it has ended")}
 }
 
 // TestEndedItemsAreNotCountedAsYielding: whenever an item ends while it is being stopped
--- a/internal/request/job/run.go
+++ b/internal/request/job/run.go
@@ -192,7 +192,7 @@
 	defer liveness.Stop()
 	defer m.Pool.WhenGone(t, func() {
 		if !m.Quarantine.EndedBefore(t) {
-			liveness.Replaced(replacedStallTimeout, func() { cancel(errReplaced) })
+			liveness.TargetRestarted(replacedStallTimeout, func() { cancel(errReplaced) })
 		}
 	})()
 	defer m.Quarantine.OnRefusal(&h.works[i], func() { cancel(errQuarantined) })()
@@ -237,7 +237,7 @@
 		if err != nil {
 			return err
 		}
-		liveness.Brought()
+		liveness.EventReceived()
 		stallTimer.Reset(stallTimeout)
 		m.mu.Lock()
 		h.progress.addEvent(i, event.ID, event.Data)
@@ -256,8 +256,8 @@
 	case errors.As(err, &status), ctx.Err() != nil:
 		return choose.Neutral
 	}
-	switch target.EndOf(err) {
-	case target.NotRun, target.WrongInstance, target.GivenUp:
+	switch target.FailureOf(err) {
+	case target.NotRun, target.WrongInstance, target.Cancelled:
 		return choose.Neutral
 	}
 	return choose.Failure
@@ -281,7 +281,7 @@
 		cause = context.Cause(ctx)
 	}
 	fields := []timeline.Field{{Name: "job", Value: h.id}, {Name: "held", Value: h.progress.items[i].lastEvent}}
-	if target.EndOf(err).Ran() {
+	if target.FailureOf(err).MayHaveRun() {
 		fields = append(fields, timeline.Field{Name: "work", Value: h.works[i].ID().String()})
 	}
 	m.Recorder.Record(timeline.ItemFailed, item.ID, t.ID, cause.Error(), fields...)
@@ -307,7 +307,7 @@
 		if !h.progress.attemptFailed(i, now, max(1, r.Attempts)) {
 			m.giveUpItem(h, i, "every attempt failed")
 		}
-	case errors.As(err, &failure) && !failure.End.Ran():
+	case errors.As(err, &failure) && !failure.Failure.MayHaveRun():
 		m.handleRefusal(t, failure)
 		h.progress.requeue(i, now, refusalBackoff)
 	default:
@@ -333,10 +333,10 @@
 // handleRefusal records what a target that did not run an item shows about itself.
 func (m *Manager) handleRefusal(t choose.Target, failure *target.Error) {
 	switch {
-	case failure.End == target.WrongInstance:
+	case failure.Failure == target.WrongInstance:
 		m.Pool.Leave(t, string(quarantine.AnotherAtAddress))
 		m.Quarantine.Ended(t, quarantine.AnotherAtAddress)
-	case failure.Refused():
+	case failure.ConnectionRefused():
 		m.Quarantine.Ended(t, quarantine.RefusesConnections)
 	case failure.Saturated:
 		m.Pool.RefusedItem(t)
--- a/internal/request/job/run_test.go
+++ b/internal/request/job/run_test.go
@@ -16,7 +16,7 @@
 func (s recordingSender) Send(ctx context.Context, call target.Call) (*target.Answer, error) {
 	s.calls <- call
 	<-ctx.Done()
-	return nil, &target.Error{End: target.GivenUp, Cause: ctx.Err()}
+	return nil, &target.Error{Failure: target.Cancelled, Cause: ctx.Err()}
 }
 
 // TestItemNamesTheIncarnation: the call names the target's incarnation. Connections are
--- a/internal/request/run/run.go
+++ b/internal/request/run/run.go
@@ -221,7 +221,7 @@
 
 // lossesAfter returns the number of consecutive connection losses after one more attempt.
 func lossesAfter(losses int, err error, held int) int {
-	if held > 0 || !errors.Is(err, engine.ErrLinkLost) {
+	if held > 0 || !errors.Is(err, engine.ErrConnectionLost) {
 		return 0
 	}
 	return losses + 1
@@ -257,7 +257,7 @@
 	switch {
 	case err == nil:
 		r.quarantine.Completed(req.Work)
-	case errors.Is(err, engine.ErrLinkLost):
+	case errors.Is(err, engine.ErrConnectionLost):
 		if process, known := r.targets.Process(target); known {
 			process.Sent = target.Sent
 			r.quarantine.Lost(req.Work, process)
@@ -292,19 +292,19 @@
 	r.recorder.Record(timeline.RequestDispatched, req.ID, target.ID, "attempt "+call.StreamID())
 	r.checker.Assert(call.RequestID == req.ID, invariant.PieceOwnAttempt, req.ID, target.ID, "call for %s", call.RequestID)
 	err = r.engines.Stream(ctx, call, a.add)
-	if errors.Is(err, engine.ErrLinkLost) && a.Held() > call.Held {
-		call.Held = a.Held()
+	if errors.Is(err, engine.ErrConnectionLost) && a.Held() > call.TokensReceived {
+		call.TokensReceived = a.Held()
 		r.recorder.Record(timeline.RequestResumed, req.ID, target.ID, "connection lost")
 		err = r.engines.Resume(ctx, call, a.add)
 		if errors.Is(err, engine.ErrRejected) {
-			err = engine.ErrLinkLost // the engine no longer has the stream; the request itself is valid
+			err = engine.ErrConnectionLost // the engine no longer has the stream; the request itself is valid
 		}
 	}
 	if a.complete() {
 		return nil
 	}
 	if err == nil {
-		err = engine.ErrLinkLost // the engine ended the stream with a gap
+		err = engine.ErrConnectionLost // the engine ended the stream with a gap
 	}
 	if ctx.Err() != nil || errors.Is(err, engine.ErrStalled) {
 		go r.cancel(call)
@@ -334,7 +334,7 @@
 	if err != nil {
 		return engine.Call{}, err
 	}
-	return engine.Call{Addr: target.Addr, Path: req.Path, RequestID: req.ID, Attempt: attempt, Body: body, Held: held, Header: header}, nil
+	return engine.Call{Addr: target.Addr, Path: req.Path, RequestID: req.ID, Attempt: attempt, Body: body, TokensReceived: held, Header: header}, nil
 }
 
 // Item makes one attempt at a batch item on the target given. The answer keeps the tokens
--- a/internal/request/run/run_test.go
+++ b/internal/request/run/run_test.go
@@ -18,15 +18,15 @@
 	r := &Runner{reportInterval: 10 * time.Millisecond}
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	losses := lossesAfter(0, engine.ErrLinkLost, 0)
+	losses := lossesAfter(0, engine.ErrConnectionLost, 0)
 	is.True(r.awaitReports(cancelled, &progress{connectionLosses: losses})) // the first loss causes no wait
 	for wait := 2 * r.reportInterval; wait <= 8*r.reportInterval; wait *= 2 {
-		losses = lossesAfter(losses, engine.ErrLinkLost, 0)
+		losses = lossesAfter(losses, engine.ErrConnectionLost, 0)
 		is.True(!r.awaitReports(cancelled, &progress{connectionLosses: losses}))
 		began := time.Now()
 		is.True(r.awaitReports(context.Background(), &progress{connectionLosses: losses}))
 		is.True(time.Since(began) >= wait)
 	}
-	is.Equal(lossesAfter(losses, engine.ErrLinkLost, 1), 0)
+	is.Equal(lossesAfter(losses, engine.ErrConnectionLost, 1), 0)
 	is.Equal(lossesAfter(losses, engine.ErrBusy, 0), 0)
 }
--- a/internal/request/serve/complete.go
+++ b/internal/request/serve/complete.go
@@ -254,7 +254,7 @@
 	}
 	text, tokens, finish := e.answer.Text()
 	result.Status = http.StatusOK
-	result.Body = e.encoder().Whole(text, finish, tokens)
+	result.Body = e.encoder().Body(text, finish, tokens)
 	return result
 }
 
--- a/internal/request/serve/join.go
+++ b/internal/request/serve/join.go
@@ -106,7 +106,7 @@
 	if answer.Usage != nil {
 		tokens = answer.Usage.CompletionTokens
 	}
-	return encoder, text, answer.Finish(), tokens
+	return encoder, text, answer.FinishReason(), tokens
 }
 
 // showResponse sends a stored result.
--- a/internal/version/follow/refresh.go
+++ b/internal/version/follow/refresh.go
@@ -17,7 +17,7 @@
 	// List returns every object of a kind.
 	List(ctx context.Context, class callbudget.Class, kind string) (objects.Page, error)
 	// Changes returns at once what changed in a kind after a revision. It fails
-	// with objects.ErrHistoryGone when that is no longer known.
+	// with objects.ErrHistoryExpired when that is no longer known.
 	Changes(ctx context.Context, kind string, revision int64) (objects.Page, error)
 }
 
@@ -149,7 +149,7 @@
 			r.take(r.Cache.Apply(r.Kind, page.Objects, since, page.Revision))
 			return nil
 		}
-		if !errors.Is(err, objects.ErrHistoryGone) {
+		if !errors.Is(err, objects.ErrHistoryExpired) {
 			return err
 		}
 	}
--- a/internal/version/follow/refresh_test.go
+++ b/internal/version/follow/refresh_test.go
@@ -79,7 +79,7 @@
 // is found by a new list.
 func TestLostHistoryIsListedAgain(t *testing.T) {
 	is := is.New(t)
-	s := &fakeStore{list: objects.Page{Objects: []objects.Object{{Name: "a", Revision: 2}}, Revision: 3}, err: objects.ErrHistoryGone}
+	s := &fakeStore{list: objects.Page{Objects: []objects.Object{{Name: "a", Revision: 2}}, Revision: 3}, err: objects.ErrHistoryExpired}
 	r, news := newTestRefresher(s)
 	runFor(r, 100*time.Millisecond)
 	is.True(s.lists >= 2)
--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -104,7 +104,7 @@
 	}
 	if len(chunk.Choices) == 1 && chunk.Choices[0].Message != nil {
 		o.Text = chunk.Choices[0].Message.Content
-		o.Whole = chunk.Finish() != ""
+		o.Whole = chunk.FinishReason() != ""
 	}
 }
 
@@ -134,7 +134,7 @@
 			o.Gaps = append(o.Gaps, now.Sub(last))
 		}
 		last = now
-		finished = finished || chunk.Finish() != ""
+		finished = finished || chunk.FinishReason() != ""
 		text.WriteString(chunk.Text())
 	}
 	o.Err = scanner.Err()
--- a/lab/platform/server.go
+++ b/lab/platform/server.go
@@ -178,12 +178,12 @@
 }
 
 func (s *Server) write(w http.ResponseWriter, r *http.Request) {
-	value, err := io.ReadAll(io.LimitReader(r.Body, client.MaxValue+1))
+	value, err := io.ReadAll(io.LimitReader(r.Body, client.MaxValueBytes+1))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if len(value) > client.MaxValue {
+	if len(value) > client.MaxValueBytes {
 		http.Error(w, "value too large", http.StatusRequestEntityTooLarge)
 		return
 	}
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -68,7 +68,7 @@
 mutant 3 internal/request/choose/better.go 's/now\.Sub\(e\.lastEventAt\) > aliveWithin/now.Sub(e.lastEventAt) > time.Hour/' internal/request/choose TestBetterElsewhere
 mutant 8 internal/request/job/handover.go 's/m\.handOver\(ctx, jobs\)//' lab/hosted TestLeavingNodeHandsOver
 mutant 9 internal/version/follow/cache.go 's/old\.Revision > o\.Revision \|\|/old.Revision > o.Revision+9 ||/' internal/version/follow TestOrderOfDeliveryDoesNotMatter
-mutant 9 internal/version/follow/refresh.go 's/objects\.ErrHistoryGone\)/objects.ErrNotFound)/' internal/version/follow TestLostHistoryIsListedAgain
+mutant 9 internal/version/follow/refresh.go 's/objects\.ErrHistoryExpired\)/objects.ErrNotFound)/' internal/version/follow TestLostHistoryIsListedAgain
 mutant 7 internal/version/discovery/list.go 's/if r\.Draining \{\n\t\t\tp\.table\.MarkLeaving/if r.Draining \&\& r.Slots == 0 {\n\t\t\tp.table.MarkLeaving/' lab/hosted TestDrainingTarget
 mutant 7 internal/version/discovery/list.go 's/if r\.Incarnation < p\.newest\[r\.ID\] \{/if r.Incarnation < p.newest[r.ID] \&\& r.Slots == 0 {/' internal/version/discovery TestOlderWordOverridesNoNewerOne
 mutant 6 internal/version/discovery/list.go 's/ended = p\.running\[r\.ID\]/_ = p.running[r.ID]/' internal/version/discovery TestAttemptsHearOfARestart
@@ -109,7 +109,7 @@
 mutant 5 internal/request/quarantine/verdict.go 's/ && !t\.explains\(other\)//' internal/request/quarantine TestSeveralInStep
 mutant 6 internal/process/crashes/watch.go 's/w\.Leaving\(t\) \|\| w\.EndedBefore\(t\)/w.Leaving(t)/' internal/process/crashes TestLaterAttemptIsNotSuspected
 mutant 6 internal/connection/target/liveness.go 's/silent-time\.Since\(l\.last\)/0*(silent-time.Since(l.last))/' internal/connection/target TestSilentAttemptIsLost
-mutant 6 internal/request/forward/attempt.go 's/liveness\.Replaced\(gapTimeout\(req\.Route\)/liveness.Replaced(0*gapTimeout(req.Route)/' lab/hosted TestAnswerGoesOnAtTheNextStart
+mutant 6 internal/request/forward/attempt.go 's/liveness\.TargetRestarted\(gapTimeout\(req\.Route\)/liveness.TargetRestarted(0*gapTimeout(req.Route)/' lab/hosted TestAnswerGoesOnAtTheNextStart
 mutant 6 internal/connection/dial/checked.go 's/c\.kept\.Swap\(false\) && c\.closed\(\)/c.kept.Swap(false) \&\& c.closed() \&\& c.raw == nil/' platform TestKeptConnectionsOfAnEndedProcess
 mutant 3 internal/request/job/run.go 's/\tm\.mu\.Lock\(\)\n\tdelete\(h\.stops, i\)\n\tm\.mu\.Unlock\(\)\n//' internal/request/job TestEndedItemsAreNotCountedAsYielding
 mutant 3 internal/request/choose/room.go 's/e\.itemsRefusedUntil = now/e.saturatedUntil = now/' internal/request/choose TestRefusedItemStopsNoOther
