--- a/internal/connection/dial/checked.go
+++ b/internal/connection/dial/checked.go
@@ -11,21 +11,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrClosed is the error of writing to a kept connection that the other side has closed.
-// Nothing was written.
-var ErrClosed = errors.New("the other side has closed the kept connection")
+// ErrClosed is returned by the first write of a request to a reused connection that the
+// peer has closed. Nothing was written.
+var ErrClosed = errors.New("the peer has closed the reused connection")
 
-// Conn is a connection that is kept between requests. Each of them must know whether any
-// of it has left: one that was written into a connection whose process has ended may have
-// run, for all that can be said afterwards, and may not be repeated.
+// Conn is a pooled connection that counts the bytes written. A request that was written to
+// a connection whose peer process has ended may have run, as far as the sender can tell, and
+// must not be repeated; one of which no byte was written may be.
 type Conn struct {
 	net.Conn
-	raw     syscall.RawConn // nil: it can't be looked at
-	kept    atomic.Bool     // the next write begins a request on a connection that was kept
-	written atomic.Int64    // bytes
+	raw            syscall.RawConn // nil: the socket is not accessible
+	checkNextWrite atomic.Bool     // the next write starts a request on a reused connection
+	written        atomic.Int64    // bytes, over all requests
 }
 
-// DetectClosed has a dial function return connections of type *Conn.
+// DetectClosed wraps a dial function so that its connections are of type *Conn.
 func DetectClosed(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -34,16 +34,16 @@
 		}
 		checked := &Conn{Conn: conn}
 		if c, ok := conn.(syscall.Conn); ok {
-			checked.raw, _ = c.SyscallConn() // fails on closed connections only, and then writing does
+			checked.raw, _ = c.SyscallConn() // fails only on closed connections, whose writes fail too
 		}
 		return checked, nil
 	}
 }
 
-// Write implements net.Conn. A request is not begun on a connection that the other side
-// has closed; the error is ErrClosed then.
+// Write implements net.Conn. It returns ErrClosed in place of starting a request on a
+// connection that the peer has closed.
 func (c *Conn) Write(b []byte) (int, error) {
-	if c.kept.Swap(false) && c.closed() {
+	if c.checkNextWrite.Swap(false) && c.closed() {
 		return 0, ErrClosed
 	}
 	n, err := c.Conn.Write(b)
@@ -51,8 +51,8 @@
 	return n, err
 }
 
-// closed reports whether the other side has closed the connection. It looks at the socket
-// itself: whoever reads from it may not have come to see that.
+// closed reports whether the peer has closed the connection. It peeks at the socket, because
+// the goroutine that reads from the connection may not have seen the end of file yet.
 func (c *Conn) closed() bool {
 	if c.raw == nil {
 		return false
@@ -67,40 +67,40 @@
 	return closed || err != nil
 }
 
-// ConnUse is what is known of the connection that a request was given. It is safe for
-// concurrent use.
+// ConnUse records the use of a connection by one request. It is safe for concurrent use.
 type ConnUse struct {
-	over atomic.Pointer[use] // nil: none yet
+	current atomic.Pointer[useState] // nil: no connection yet
 }
 
-type use struct {
-	conn   *Conn // nil: of another kind
-	kept   bool
-	before int64 // bytes that it had written
+type useState struct {
+	conn          *Conn // nil: not a *Conn
+	reused        bool
+	writtenBefore int64 // Conn.written when the request got the connection
 }
 
-// GotConn takes the connection, as httptrace.ClientTrace.GotConn.
+// GotConn records the connection that the transport chose; it serves as
+// httptrace.ClientTrace.GotConn.
 func (u *ConnUse) GotConn(info httptrace.GotConnInfo) {
-	given := &use{kept: info.Reused}
+	state := &useState{reused: info.Reused}
 	if conn, ok := info.Conn.(*Conn); ok {
-		given.conn, given.before = conn, conn.written.Load()
-		conn.kept.Store(info.Reused)
+		state.conn, state.writtenBefore = conn, conn.written.Load()
+		conn.checkNextWrite.Store(info.Reused)
 	}
-	u.over.Store(given)
+	u.current.Store(state)
 }
 
 // Connected reports whether the request was given a connection.
-func (u *ConnUse) Connected() bool { return u.over.Load() != nil }
+func (u *ConnUse) Connected() bool { return u.current.Load() != nil }
 
-// Reused reports whether that has served other requests before.
+// Reused reports whether the connection has served other requests before.
 func (u *ConnUse) Reused() bool {
-	given := u.over.Load()
-	return given != nil && given.kept
+	state := u.current.Load()
+	return state != nil && state.reused
 }
 
-// NothingSent reports whether no byte of the request has left this node. It may be asked
-// once the transport has failed with the connection.
+// NothingSent reports whether no byte of the request was written to the connection. It may
+// be called only after the transport has returned an error for the request.
 func (u *ConnUse) NothingSent() bool {
-	given := u.over.Load()
-	return given == nil || (given.conn != nil && given.conn.written.Load() == given.before)
+	state := u.current.Load()
+	return state == nil || (state.conn != nil && state.conn.written.Load() == state.writtenBefore)
 }
--- a/internal/connection/dial/dial.go
+++ b/internal/connection/dial/dial.go
@@ -1,7 +1,7 @@
-// Package dial opens connections with a time limit that follows how long it took
-// to connect to the same address before. A target that is gone dark does not
-// answer at all; waiting for it as long as for the slowest network uses up the
-// time in which a request could be served elsewhere.
+// Package dial opens connections with a timeout derived from the connect times
+// measured for the same address. An unresponsive target does not refuse
+// connections; waiting for it as long as for the slowest network would use up
+// the time in which the request could be served elsewhere.
 package dial
 
 import (
@@ -14,16 +14,17 @@
 )
 
 const (
-	// factor is how many times the usual connect time is waited: a machine that
-	// is busy, or a packet queue, makes it a few times longer.
-	factor = 8
-	// least is the shortest limit: a timer of a busy process fires some tens of
+	// connectTimeFactor is the ratio of the timeout to the mean connect time: a busy
+	// host or a packet queue makes a connect a few times longer.
+	connectTimeFactor = 8
+	// minLimit is the shortest timeout: a timer of a busy process fires some tens of
 	// milliseconds late.
-	least = 50 * time.Millisecond
-	// newest is the weight of the newest connect time.
-	newest = 0.25
-	// mostAddresses bounds the memory; addresses are learned again.
-	mostAddresses = 4096
+	minLimit = 50 * time.Millisecond
+	// newestWeight is the weight of the newest connect time in the moving average.
+	newestWeight = 0.25
+	// maxAddresses bounds the memory; at this count all entries are dropped and
+	// measured anew.
+	maxAddresses = 4096
 )
 
 // Dialer opens connections. It is safe for concurrent use.
@@ -31,19 +32,19 @@
 	max  time.Duration
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	mu    sync.Mutex
-	known map[string]*place
+	mu        sync.Mutex
+	addresses map[string]*addressState
 }
 
-// place is what is known of an address.
-type place struct {
-	usual  time.Duration // moving average of connect times, 0: never connected
-	failed int           // tries in a row that ran out of time
+// addressState holds the measurements of one address.
+type addressState struct {
+	connectTime time.Duration // moving average; 0: never connected
+	timeouts    int           // consecutive attempts that timed out
 }
 
-// New returns a dialer that waits for max at the most.
+// New returns a dialer whose timeouts are max at most.
 func New(max time.Duration) *Dialer {
-	return &Dialer{max: max, dial: KeepAliveDialer(0).DialContext, known: map[string]*place{}}
+	return &Dialer{max: max, dial: KeepAliveDialer(0).DialContext, addresses: map[string]*addressState{}}
 }
 
 // DialContext opens a connection; it serves as http.Transport.DialContext.
@@ -54,24 +55,23 @@
 	conn, err := d.dial(limited, network, address)
 	switch {
 	case err == nil:
-		d.connected(address, time.Since(start))
+		d.recordConnect(address, time.Since(start))
 	case limited.Err() != nil && ctx.Err() == nil:
-		d.ranOut(address)
+		d.recordTimeout(address)
 	}
 	return conn, err
 }
 
-// State is what an address does with a connection.
+// State is how an address responds to a connection attempt.
 type State int
 
-// The states.
 const (
-	NoResponse State = iota // no answer: nothing is proved
+	NoResponse State = iota // a process may or may not listen there
 	Accepts                 // a process listens there
-	Refuses                 // no process listens there any more
+	Refuses                 // no process listens there
 )
 
-// Probe finds out what an address does with a connection, by opening and closing one.
+// Probe opens and closes a connection to find out how the address responds.
 func Probe(ctx context.Context, address string) State {
 	conn, err := KeepAliveDialer(0).DialContext(ctx, "tcp", address)
 	switch {
@@ -84,66 +84,67 @@
 	return NoResponse
 }
 
-// Limit returns how long the next try at an address may take. Each try in a row
-// that ran out of time doubles it, so that a network that became slower is not
-// taken for one that is gone.
+// Limit returns the timeout of the next attempt to connect to an address. Each
+// consecutive timeout doubles it, so that a network that became slower is not
+// taken for an unreachable one.
 func (d *Dialer) Limit(address string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	usual, failed := d.slowest(), 0
-	if p := d.known[address]; p != nil {
-		failed = p.failed
-		if p.usual > 0 {
-			usual = p.usual
+	connectTime, timeouts := d.longestConnectTime(), 0
+	if p := d.addresses[address]; p != nil {
+		timeouts = p.timeouts
+		if p.connectTime > 0 {
+			connectTime = p.connectTime
 		}
 	}
-	if usual == 0 {
+	if connectTime == 0 {
 		return d.max
 	}
-	limit := max(least, factor*usual)
-	for range failed {
+	limit := max(minLimit, connectTimeFactor*connectTime)
+	for range timeouts {
 		limit = min(2*limit, d.max)
 	}
 	return min(limit, d.max)
 }
 
-// slowest returns the longest usual connect time of all addresses, for one that
-// was never connected to. The caller holds d.mu.
-func (d *Dialer) slowest() time.Duration {
+// longestConnectTime returns the longest mean connect time of all addresses, which
+// stands in for that of an address never connected to. The caller holds d.mu.
+func (d *Dialer) longestConnectTime() time.Duration {
 	longest := time.Duration(0)
-	for _, p := range d.known {
-		longest = max(longest, p.usual)
+	for _, p := range d.addresses {
+		longest = max(longest, p.connectTime)
 	}
 	return longest
 }
 
-func (d *Dialer) connected(address string, took time.Duration) {
+func (d *Dialer) recordConnect(address string, took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p := d.at(address)
-	p.failed = 0
-	if p.usual == 0 {
-		p.usual = max(took, 1)
+	p := d.entry(address)
+	p.timeouts = 0
+	if p.connectTime == 0 {
+		p.connectTime = max(took, 1)
 		return
 	}
-	p.usual += time.Duration(newest * float64(took-p.usual))
+	p.connectTime += time.Duration(newestWeight * float64(took-p.connectTime))
 }
 
-func (d *Dialer) ranOut(address string) {
+func (d *Dialer) recordTimeout(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.at(address).failed++
+	d.entry(address).timeouts++
 }
 
-// at returns the entry of an address. The caller holds d.mu.
-func (d *Dialer) at(address string) *place {
-	if len(d.known) >= mostAddresses && d.known[address] == nil {
-		clear(d.known)
+// entry returns the state of an address and creates it if missing. The caller
+// holds d.mu.
+func (d *Dialer) entry(address string) *addressState {
+	if len(d.addresses) >= maxAddresses && d.addresses[address] == nil {
+		clear(d.addresses)
 	}
-	p := d.known[address]
+	p := d.addresses[address]
 	if p == nil {
-		p = &place{}
-		d.known[address] = p
+		p = &addressState{}
+		d.addresses[address] = p
 	}
 	return p
 }
--- a/internal/connection/dial/dial_test.go
+++ b/internal/connection/dial/dial_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// network answers after a time for each address; 0: never.
-func network(d *Dialer, delays map[string]time.Duration) {
+// fakeNetwork delays connects by a time for each address; 0: they never succeed.
+func fakeNetwork(d *Dialer, delays map[string]time.Duration) {
 	d.dial = func(ctx context.Context, _, address string) (net.Conn, error) {
 		delay := delays[address]
 		if delay == 0 {
@@ -33,36 +33,36 @@
 		is := is.New(t)
 		d := New(time.Second)
 		delays := map[string]time.Duration{"near": 2 * time.Millisecond, "far": 60 * time.Millisecond}
-		network(d, delays)
-		is.Equal(d.Limit("near"), time.Second) // nothing is known yet
+		fakeNetwork(d, delays)
+		is.Equal(d.Limit("near"), time.Second) // nothing is measured yet
 		_, err := d.DialContext(context.Background(), "tcp", "near")
 		is.NoErr(err)
-		is.Equal(d.Limit("near"), least)
+		is.Equal(d.Limit("near"), minLimit)
 		_, err = d.DialContext(context.Background(), "tcp", "far")
-		is.True(errors.Is(err, context.DeadlineExceeded)) // tried as long as others took
+		is.True(errors.Is(err, context.DeadlineExceeded)) // the limit follows from the other address
 		_, err = d.DialContext(context.Background(), "tcp", "far")
 		is.NoErr(err) // the limit has doubled
 		is.Equal(d.Limit("far"), 480*time.Millisecond)
-		is.Equal(d.Limit("near"), least)
-		is.Equal(d.Limit("new"), 480*time.Millisecond) // as long as the slowest known
+		is.Equal(d.Limit("near"), minLimit)
+		is.Equal(d.Limit("new"), 480*time.Millisecond) // follows from the slowest address
 	})
 }
 
-// A target that is gone dark costs little time, and is found again when it is
-// back, also over a network that became slower.
-func TestDarkAddressIsGivenUpSoon(t *testing.T) {
+// A dial to an unresponsive target times out early, and succeeds again once the target
+// responds, even over a network that became slower.
+func TestUnresponsiveAddressTimesOutEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := New(250 * time.Millisecond)
 		delays := map[string]time.Duration{"a": time.Millisecond}
-		network(d, delays)
+		fakeNetwork(d, delays)
 		_, err := d.DialContext(context.Background(), "tcp", "a")
 		is.NoErr(err)
 		delays["a"] = 0
 		start := time.Now()
 		_, err = d.DialContext(context.Background(), "tcp", "a")
 		is.True(errors.Is(err, context.DeadlineExceeded))
-		is.Equal(time.Since(start), least)
+		is.Equal(time.Since(start), minLimit)
 		delays["a"] = 120 * time.Millisecond
 		tries := 0
 		for err != nil {
@@ -75,20 +75,20 @@
 			_, err = d.DialContext(context.Background(), "tcp", "a")
 			is.True(err != nil)
 		}
-		is.Equal(d.Limit("a"), 250*time.Millisecond) // never beyond the most
+		is.Equal(d.Limit("a"), 250*time.Millisecond) // never above max
 	})
 }
 
-// A caller that gives up says nothing of the network.
-func TestGivenUpIsNoFailure(t *testing.T) {
+// A dial cancelled by its caller is not counted as a timeout of the address.
+func TestCancelledDialIsNoTimeout(t *testing.T) {
 	is := is.New(t)
 	d := New(time.Second)
-	network(d, map[string]time.Duration{"a": time.Millisecond})
+	fakeNetwork(d, map[string]time.Duration{"a": time.Millisecond})
 	_, err := d.DialContext(context.Background(), "tcp", "a")
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err = d.DialContext(ctx, "tcp", "b")
 	is.True(err != nil)
-	is.True(d.known["b"] == nil)
+	is.True(d.addresses["b"] == nil)
 }
--- a/internal/connection/dial/silent_test.go
+++ b/internal/connection/dial/silent_test.go
@@ -10,11 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestSilentConnectionsAreFound: the system probes each connection and bounds its
-// unacknowledged bytes, so that one that falls silent for good is found dead in
-// less than callers wait, whether it is idle, waits for an answer, or was just
-// written to.
-func TestSilentConnectionsAreFound(t *testing.T) {
+// TestDeadConnectionsAreDetected: keep-alive probes and TCP_USER_TIMEOUT are set so that
+// a connection that carries no more packets fails in less time than callers wait, whether
+// it is idle, awaits a response, or was just written to.
+func TestDeadConnectionsAreDetected(t *testing.T) {
 	const callersWait = 5 * time.Second
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -86,8 +86,8 @@
 mutant 1 internal/request/job/commit.go 's/head\.Parts, head\.Inline = parts, nil/head.Parts, head.Inline = 0*parts, nil/' internal/request/job TestItemsOfASmallJobAreAlwaysThere
 mutant 3 internal/request/choose/prefer.go 's/best\.freeOnline\(now\) >= localMinFree/best.freeOnline(now) > -99/' internal/request/choose TestLocalDataCentreFirst
 mutant 1 internal/request/job/sweep.go 's/since = at /_ = at /' internal/request/job TestUnreachableTimeCountsDuringStoreOutage
-mutant 3 internal/connection/dial/dial.go 's/d\.at\(address\)\.failed\+\+/d.at(address)/' internal/connection/dial TestLimitFollowsTheNetwork
-mutant 8 internal/connection/dial/silent.go 's/Control: limitUnacknowledged,//' internal/connection/dial TestSilentConnectionsAreFound
+mutant 3 internal/connection/dial/dial.go 's/d\.entry\(address\)\.timeouts\+\+/d.entry(address)/' internal/connection/dial TestLimitFollowsTheNetwork
+mutant 8 internal/connection/dial/silent.go 's/Control: setUserTimeout,//' internal/connection/dial TestDeadConnectionsAreDetected
 mutant 1 internal/process/clock/clock.go 's/c\.suspended = away/_ = away/' internal/process/clock TestSuspensionsCount
 mutant 6 internal/request/forward/forward.go 's/if !f\.Now\(\)\.Before\(req\.Deadline\)/if p.begun \&\& f.Now().IsZero()/' internal/request/forward TestDeadlineCountsSuspensions
 mutant 1 internal/request/job/run.go 's/m\.Clock\.Since\(started\)/time.Since(started)/' internal/request/job TestSuspendedHolderAsksTheStore
@@ -110,7 +110,7 @@
 mutant 6 internal/process/crashes/watch.go 's/w\.Leaving\(t\) \|\| w\.EndedBefore\(t\)/w.Leaving(t)/' internal/process/crashes TestLaterAttemptIsNotSuspected
 mutant 6 internal/connection/target/liveness.go 's/silent-time\.Since\(l\.last\)/0*(silent-time.Since(l.last))/' internal/connection/target TestSilentAttemptIsLost
 mutant 6 internal/request/forward/attempt.go 's/liveness\.TargetRestarted\(gapTimeout\(req\.Route\)/liveness.TargetRestarted(0*gapTimeout(req.Route)/' lab/hosted TestAnswerGoesOnAtTheNextStart
-mutant 6 internal/connection/dial/checked.go 's/c\.kept\.Swap\(false\) && c\.closed\(\)/c.kept.Swap(false) \&\& c.closed() \&\& c.raw == nil/' platform TestKeptConnectionsOfAnEndedProcess
+mutant 6 internal/connection/dial/checked.go 's/c\.checkNextWrite\.Swap\(false\) && c\.closed\(\)/c.checkNextWrite.Swap(false) \&\& c.closed() \&\& c.raw == nil/' platform TestKeptConnectionsOfAnEndedProcess
 mutant 3 internal/request/job/run.go 's/\tm\.mu\.Lock\(\)\n\tdelete\(h\.stops, i\)\n\tm\.mu\.Unlock\(\)\n//' internal/request/job TestEndedItemsAreNotCountedAsYielding
 mutant 3 internal/request/choose/room.go 's/e\.itemsRefusedUntil = now/e.saturatedUntil = now/' internal/request/choose TestRefusedItemStopsNoOther
 mutant 3 internal/request/forward/place.go 's/f\.Targets\.RoomExpected\(req\.Service\)/f.Targets == nil/' internal/request/forward TestRoomOfItemsIsWaitedFor
