--- a/internal/connection/engine/engine.go
+++ b/internal/connection/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is the client of model engines and plain services. One call
-// is one attempt; the decisions around it are the request's.
+// Package engine is the HTTP client of model engines and plain services. Each
+// call is a single attempt; retries are the caller's decision.
 package engine
 
 import (
@@ -21,50 +21,50 @@
 	"github.com/marblepond/marblepond/internal/request/assemble"
 )
 
-// The ways an attempt fails.
+// Errors of an attempt.
 var (
 	ErrNotSent        = errors.New("no connection to the target; nothing was sent")
 	ErrBusy           = errors.New("target refuses new work")
-	ErrRejected       = errors.New("target rejects the request as malformed")
+	ErrRejected       = errors.New("target rejected the request as malformed")
 	ErrConnectionLost = errors.New("connection to the target was lost")
 	ErrFailed         = errors.New("target failed")
 	ErrStalled        = errors.New("target sent nothing for too long")
-	ErrFenced         = errors.New("target refuses an old fencing number")
+	ErrFenced         = errors.New("target rejected a stale fencing token")
 )
 
-// Client calls targets.
+// Client sends requests and orders to targets.
 type Client struct {
 	http *http.Client
-	// StallTimeout is how long a stream may stay silent.
+	// StallTimeout is the longest time without an event before a stream fails with
+	// ErrStalled.
 	StallTimeout time.Duration
 }
 
-// New returns a client.
 func New(client *http.Client, stall time.Duration) *Client {
 	return &Client{http: client, StallTimeout: stall}
 }
 
-// Call is one attempt at a completion.
+// Call is one attempt at a completion request.
 type Call struct {
 	Addr           string
 	Path           string
 	RequestID      string
 	Attempt        int
 	Body           []byte
-	TokensReceived int         // tokens held; the stream starts there
+	TokensReceived int         // received by earlier attempts; a resumed stream starts there
 	Header         http.Header // extra headers; may be nil
 }
 
-// StreamID names the attempt towards the engine.
+// StreamID returns the ID of the attempt at the engine.
 func (c Call) StreamID() string { return c.RequestID + "." + strconv.Itoa(c.Attempt) }
 
-// Stream sends the call and hands each piece to sink until the stream ends.
-// It returns nil after a stream that the engine ended itself.
+// Stream sends the call and passes each piece of the answer to sink until the
+// stream ends. It returns nil if the engine completed the stream.
 func (c *Client) Stream(ctx context.Context, call Call, sink func(assemble.Piece)) error {
 	return c.stream(ctx, http.MethodPost, call.Path, call, sink)
 }
 
-// Resume goes on with a stream whose connection was lost, from call.Held on.
+// Resume continues a stream whose connection was lost, from call.TokensReceived on.
 func (c *Client) Resume(ctx context.Context, call Call, sink func(assemble.Piece)) error {
 	path := "/v1/streams/" + url.PathEscape(call.StreamID()) + "?offset=" + strconv.Itoa(call.TokensReceived)
 	return c.stream(ctx, http.MethodGet, path, call, sink)
@@ -78,7 +78,7 @@
 
 	resp, sent, err := c.send(ctx, method, call.Addr, path, call)
 	if err != nil {
-		return cause(ctx, err, sent)
+		return attemptError(ctx, err, sent)
 	}
 	defer resp.Body.Close()
 	if err := statusError(resp); err != nil {
@@ -104,10 +104,10 @@
 		next = piece.Offset + piece.Tokens
 		sink(piece)
 	}
-	if err := cause(ctx, scanner.Err(), true); err != nil {
+	if err := attemptError(ctx, scanner.Err(), true); err != nil {
 		return err
 	}
-	return ErrConnectionLost // ended without the closing mark
+	return ErrConnectionLost // ended without the [DONE] event
 }
 
 func toPiece(call Call, chunk *openai.Chunk, next int) assemble.Piece {
@@ -145,7 +145,7 @@
 	return resp, !used.NothingSent(), err
 }
 
-func cause(ctx context.Context, err error, sent bool) error {
+func attemptError(ctx context.Context, err error, sent bool) error {
 	switch {
 	case errors.Is(context.Cause(ctx), ErrStalled):
 		return ErrStalled
@@ -185,16 +185,16 @@
 	}
 }
 
-// Report is an engine's own load report; it lags.
+// Report is the load that an engine reports of itself. It may be out of date.
 type Report struct {
 	Running    int      `json:"running"`
 	Waiting    int      `json:"waiting"`
 	MaxRunning int      `json:"max_running"`
 	Loaded     []string `json:"loaded"`
 	Loading    []string `json:"loading"`
-	Fence      int64    `json:"fence"` // highest fencing number of an order taken
+	Fence      int64    `json:"fence"` // highest fencing token of an accepted order
 	Role       string   `json:"role"`
-	Started    uint64   `json:"started_ms"` // Unix milliseconds of the start of its process; 0: it does not say
+	Started    uint64   `json:"started_ms"` // start of the engine's process, Unix milliseconds; 0: not reported
 }
 
 // Load reads an engine's load report.
@@ -215,11 +215,11 @@
 	return report, json.NewDecoder(resp.Body).Decode(&report)
 }
 
-// Order is an instruction to an engine. Orders are idempotent.
+// Order tells an engine to load or unload a model. Orders are idempotent.
 type Order struct {
-	Fence int64  `json:"fence"`
-	Op    string `json:"op"` // OpLoad or OpUnload
-	Name  string `json:"name"`
+	Fence int64  `json:"fence"` // fencing token
+	Op    string `json:"op"`    // OpLoad or OpUnload
+	Name  string `json:"name"`  // model to load or unload: "model@version" or "model@version+adapter"
 }
 
 // Operations of an order.
@@ -228,7 +228,8 @@
 	OpUnload = "unload"
 )
 
-// Order sends an order. ErrFenced: the engine has taken a newer one.
+// Order sends an order. The error is ErrFenced if the engine has accepted one with
+// a higher fencing token.
 func (c *Client) Order(ctx context.Context, addr string, order Order) error {
 	body, _ := json.Marshal(order)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/orders", bytes.NewReader(body))
@@ -244,7 +245,7 @@
 	case resp.StatusCode == http.StatusConflict:
 		return ErrFenced
 	case resp.StatusCode >= http.StatusMultipleChoices:
-		return fmt.Errorf("%w: order answered %d", ErrFailed, resp.StatusCode)
+		return fmt.Errorf("%w: order returned status %d", ErrFailed, resp.StatusCode)
 	}
 	return nil
 }
@@ -257,22 +258,21 @@
 	RequestID string
 	Header    http.Header
 	Body      []byte
-	// NonIdempotent: every answer is the service's final one, and the
-	// transport must not repeat the call.
+	// NonIdempotent: every response of the service is final, and the transport must
+	// not repeat the call.
 	NonIdempotent bool
 }
 
-// PlainAnswer is a plain service's answer.
+// PlainAnswer is the response of a plain service.
 type PlainAnswer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// maxPlainAnswer bounds the answer of a plain service, in bytes.
-const maxPlainAnswer = 8 << 20
+const maxPlainAnswerBytes = 8 << 20
 
-// Plain sends a call to a plain service and reads the whole answer.
+// Plain sends a call to a plain service and reads the complete response.
 func (c *Client) Plain(ctx context.Context, call PlainCall) (PlainAnswer, error) {
 	var used dial.ConnUse
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: used.GotConn})
@@ -289,19 +289,19 @@
 	req.Header.Set(openai.HeaderRequestID, call.RequestID)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return PlainAnswer{}, cause(ctx, err, !used.NothingSent())
+		return PlainAnswer{}, attemptError(ctx, err, !used.NothingSent())
 	}
 	defer resp.Body.Close()
 	busy := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
 	if busy && !call.NonIdempotent {
 		return PlainAnswer{}, ErrBusy
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlainAnswerBytes+1))
 	if err != nil {
-		return PlainAnswer{}, cause(ctx, err, true)
+		return PlainAnswer{}, attemptError(ctx, err, true)
 	}
-	if len(body) > maxPlainAnswer {
-		return PlainAnswer{}, fmt.Errorf("%w: answer over %d bytes", ErrFailed, maxPlainAnswer)
+	if len(body) > maxPlainAnswerBytes {
+		return PlainAnswer{}, fmt.Errorf("%w: response is longer than %d bytes", ErrFailed, maxPlainAnswerBytes)
 	}
 	return PlainAnswer{resp.StatusCode, resp.Header, body}, nil
 }
