--- a/internal/connection/objects/health_test.go
+++ b/internal/connection/objects/health_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// The newest answer counts, wherever it came, and none for long.
+// The latency is that of the newest response, at whichever node it arrived, and expires.
 func TestLatencyIsThatOfTheNewestAnswer(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -23,7 +23,7 @@
 	h.ReceiveLatency(7*time.Millisecond, 900*time.Millisecond) // older
 	took, _ = h.Latency()
 	is.Equal(took, 300*time.Millisecond)
-	now = now.Add(latencyFor)
+	now = now.Add(latencyValidFor)
 	took, _ = h.Latency()
 	is.Equal(took, time.Duration(0))
 }
--- a/internal/connection/objects/objects.go
+++ b/internal/connection/objects/objects.go
@@ -1,6 +1,6 @@
-// Package objects defines the object store that nodes keep their durable state
-// in: versioned objects by kind and name, conditional writes, lists and
-// questions for changes. It holds types and errors only; a client of a concrete store implements
+// Package objects defines the object store in which nodes keep durable state:
+// versioned objects by kind and name, conditional writes, lists and queries for
+// changes. It holds types and errors only; a client of a concrete store implements
 // the calls.
 package objects
 
@@ -15,15 +15,16 @@
 var (
 	// ErrNotFound: no such object exists.
 	ErrNotFound = errors.New("object not found")
-	// ErrConflict: the object exists already, or its revision is another.
+	// ErrConflict: the object exists already, or its revision is not the expected one.
 	ErrConflict = errors.New("object revision does not match")
 	// ErrUnavailable: the call had no effect and may be tried again.
 	ErrUnavailable = errors.New("object store unavailable")
-	// ErrUnknownOutcome: a write was sent and has no answer. It may have taken
+	// ErrUnknownOutcome: a write was sent and no response arrived. It may have taken
 	// effect, and may still do so seconds later while its condition holds.
 	ErrUnknownOutcome = errors.New("write may have taken effect")
-	// ErrHistoryExpired: the revision to ask from is no longer kept; list again.
-	ErrHistoryExpired = errors.New("history of the object store is gone")
+	// ErrHistoryExpired: the store no longer keeps the changes after the given
+	// revision; list again.
+	ErrHistoryExpired = errors.New("object store no longer keeps the changes asked for")
 )
 
 // Object is one stored object.
@@ -32,18 +33,19 @@
 	Revision int64  // of its last change
 	Created  int64  // revision at which it was created
 	Value    []byte // encoded by its owner; nil in a deletion
-	Deleted  bool   // only in events: the object is gone as of Revision
+	Deleted  bool   // only in changes: the object was deleted at Revision
 }
 
-// Page is the answer to a list or to a question for changes.
+// Page is the result of a list or of a query for changes.
 type Page struct {
 	Objects []Object
-	// Revision is the store's own revision that the answer is complete up to.
+	// Revision is the revision of the store up to which Objects is complete.
 	Revision int64
 }
 
-// Store is what jobs need of an object store, and what a node can call through
-// another one. Following a kind needs other calls (package follow).
+// Store is the part of an object store that jobs use, and that a node can call
+// through another node. Following the changes of a kind needs other calls
+// (package follow).
 type Store interface {
 	// Get returns one object. Errors: ErrNotFound, ErrUnavailable.
 	Get(ctx context.Context, class callbudget.Class, kind, name string) (Object, error)
@@ -56,7 +58,7 @@
 	// Delete removes an object. Errors: ErrNotFound, ErrUnavailable,
 	// ErrUnknownOutcome.
 	Delete(ctx context.Context, class callbudget.Class, kind, name string) error
-	// ListStale lists a kind at a small part of the price; the answer may be
-	// seconds old. Errors: ErrUnavailable.
+	// ListStale lists a kind at a fraction of the cost of a consistent list; the
+	// result may be seconds old. Errors: ErrUnavailable.
 	ListStale(ctx context.Context, kind string) (Page, error)
 }
