--- a/internal/connection/openai/openai.go
+++ b/internal/connection/openai/openai.go
@@ -1,5 +1,5 @@
-// Package openai holds the shapes of the OpenAI-style HTTP interface that
-// callers use towards a node and a node uses towards model engines.
+// Package openai holds the request and response formats of the OpenAI-compatible
+// HTTP API between callers and nodes, and between nodes and model engines.
 package openai
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/marblepond/marblepond/internal/errkind"
 )
 
-// Paths of the interface.
+// Paths of the API.
 const (
 	ChatPath       = "/v1/chat/completions"
 	CompletionPath = "/v1/completions"
@@ -35,25 +35,25 @@
 	HeaderWorkspace      = "Marblepond-Workspace"
 )
 
-// Message is one turn of a chat.
+// Message is one message of a chat.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// Request is what a node reads of a completion request. The body itself goes
-// to the engine unchanged but for the fields that Forward sets.
+// Request holds the fields of a completion request that a node reads. The body goes
+// to the engine unchanged except for the fields that Forward sets.
 type Request struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
 	Prompt    string    `json:"prompt"`
 	MaxTokens int       `json:"max_tokens"`
 	Stream    bool      `json:"stream"`
-	// Continuation is set between nodes and towards engines only.
+	// Continuation is set only between nodes and towards engines.
 	Continuation Continuation `json:"continuation"`
 }
 
-// Parse reads and checks a request body for the given path.
+// Parse decodes and validates a request body for the given path.
 func Parse(path string, body []byte) (*Request, error) {
 	var r Request
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -72,9 +72,9 @@
 	return &r, nil
 }
 
-// prefixBytes is how much of a prompt decides its affinity: system prompts and
-// templates are longer, what differs between requests comes later.
-const prefixBytes = 256
+// affinityPrefixBytes is how much of a prompt its affinity key takes: system prompts and
+// templates are longer, and what differs between requests comes later.
+const affinityPrefixBytes = 256
 
 // Prefix returns the affinity key of the request's prompt.
 func (r *Request) Prefix() string {
@@ -82,10 +82,10 @@
 	if len(r.Messages) > 0 {
 		text = r.Messages[0].Content
 	}
-	return text[:min(len(text), prefixBytes)]
+	return text[:min(len(text), affinityPrefixBytes)]
 }
 
-// Text returns the whole prompt.
+// Text returns the complete prompt.
 func (r *Request) Text() string {
 	if len(r.Messages) == 0 {
 		return r.Prompt
@@ -100,15 +100,16 @@
 	return b.String()
 }
 
-// Continuation asks an engine to go on after tokens that another attempt gave.
+// Continuation asks an engine to continue after the tokens that earlier attempts
+// returned.
 type Continuation struct {
 	Tokens int    `json:"tokens"`
 	Text   string `json:"text"`
 }
 
-// Forward returns the body for an engine: streamed, with the loaded name in
-// place of the caller's model name and, when held > 0, a continuation.
-func Forward(body []byte, loaded string, held int, text string) ([]byte, error) {
+// Forward returns the body for an engine: with streaming on, the name of the loaded
+// model in place of the caller's model name and, when receivedTokens > 0, a continuation.
+func Forward(body []byte, loaded string, receivedTokens int, receivedText string) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, errkind.Malformed.New("body is not a JSON object: %v", err)
@@ -117,18 +118,18 @@
 	if loaded != "" {
 		fields["model"], _ = json.Marshal(loaded)
 	}
-	if held > 0 {
-		fields["continuation"], _ = json.Marshal(Continuation{held, text})
+	if receivedTokens > 0 {
+		fields["continuation"], _ = json.Marshal(Continuation{receivedTokens, receivedText})
 	}
 	return json.Marshal(fields)
 }
 
-// Delta is the new text of a chat chunk.
+// Delta is the new text in a chat chunk.
 type Delta struct {
 	Content string `json:"content,omitempty"`
 }
 
-// Choice is one choice of a chunk or an answer.
+// Choice is one choice of a chunk or of a complete answer.
 type Choice struct {
 	Index        int      `json:"index"`
 	Delta        *Delta   `json:"delta,omitempty"`
@@ -142,8 +143,8 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// Chunk is one event of a stream, or a whole answer. Offset and Tokens are the
-// engine's: the index of the chunk's first token and its number of tokens.
+// Chunk is one event of a stream, or a complete answer. Offset and Tokens are set by the
+// engine: the index of the chunk's first token and its number of tokens.
 type Chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -166,7 +167,7 @@
 	return c.Choices[0].Text
 }
 
-// FinishReason returns the chunk's finish reason, empty when there is none.
+// FinishReason returns the chunk's finish reason; empty if there is none.
 func (c *Chunk) FinishReason() string {
 	if len(c.Choices) == 0 || c.Choices[0].FinishReason == nil {
 		return ""
@@ -174,7 +175,7 @@
 	return *c.Choices[0].FinishReason
 }
 
-// Answer names an answer: what its chunks and its whole form have in common.
+// Answer holds the fields that the chunks of an answer and its complete form share.
 type Answer struct {
 	ID      string
 	Path    string
@@ -182,7 +183,7 @@
 	Created int64 // Unix seconds
 }
 
-// Chunk returns the SSE event of a piece.
+// Chunk returns the SSE event for a part of the answer.
 func (a Answer) Chunk(text, finish string, offset, tokens int) []byte {
 	choice := Choice{}
 	if a.Path == ChatPath {
@@ -193,11 +194,11 @@
 	if finish != "" {
 		choice.FinishReason = &finish
 	}
-	return frame(Chunk{ID: a.ID, Object: a.object() + ".chunk", Created: a.Created, Model: a.Model,
+	return sseEvent(Chunk{ID: a.ID, Object: a.object() + ".chunk", Created: a.Created, Model: a.Model,
 		Choices: []Choice{choice}, Offset: &offset, Tokens: tokens})
 }
 
-// Body returns the answer in one body.
+// Body returns the complete answer as one JSON body.
 func (a Answer) Body(text, finish string, tokens int) []byte {
 	choice := Choice{FinishReason: &finish}
 	if a.Path == ChatPath {
@@ -217,7 +218,7 @@
 	return "text_completion"
 }
 
-func frame(v any) []byte {
+func sseEvent(v any) []byte {
 	data, _ := json.Marshal(v)
 	var b bytes.Buffer
 	b.Grow(len(data) + len(DataPrefix) + 2)
@@ -227,12 +228,13 @@
 	return b.Bytes()
 }
 
-// ErrorBody is the body of a refusal.
+// ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what went wrong, whether anything ran, and when to return.
+// ErrorDetail states what failed, whether any part of the request may have run, and when
+// to retry.
 type ErrorDetail struct {
 	Type       string `json:"type"`
 	Message    string `json:"message"`
@@ -243,23 +245,23 @@
 
 // NewErrorBody returns the body for an error.
 func NewErrorBody(err error, requestID string) ErrorBody {
-	answer := errkind.Of(err)
+	kind := errkind.Of(err)
 	return ErrorBody{ErrorDetail{
-		Type:       answer.Name,
+		Type:       kind.Name,
 		Message:    errkind.Message(err),
-		NotRun:     string(answer.NotRun),
-		RetryAfter: int(answer.RetryAfter.Milliseconds()),
+		NotRun:     string(kind.NotRun),
+		RetryAfter: int(kind.RetryAfter.Milliseconds()),
 		RequestID:  requestID,
 	}}
 }
 
-// ErrorEvent returns the SSE event of an error after a stream has begun.
-func ErrorEvent(err error, requestID string) []byte { return frame(NewErrorBody(err, requestID)) }
+// ErrorEvent returns the SSE event for an error after the stream has started.
+func ErrorEvent(err error, requestID string) []byte { return sseEvent(NewErrorBody(err, requestID)) }
 
-// DoneEvent is the last SSE event of a stream.
+// DoneEvent returns the last SSE event of a stream.
 func DoneEvent() []byte { return []byte(DataPrefix + DoneMark + "\n\n") }
 
-// DecodeChunk reads the data of one SSE event from an engine.
+// DecodeChunk decodes the data of one SSE event from an engine.
 func DecodeChunk(data []byte) (*Chunk, error) {
 	var c Chunk
 	if err := json.Unmarshal(data, &c); err != nil {
--- a/internal/connection/openai/openai_test.go
+++ b/internal/connection/openai/openai_test.go
@@ -37,11 +37,11 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r, err := Parse(ChatPath, body)
 		if err == nil && (r.Model == "" || len(r.Messages) == 0) {
-			t.Fatal("taken without model or messages")
+			t.Fatal("accepted without model or messages")
 		}
 		if err == nil {
 			if _, err := Forward(body, "m", 1, "x"); err != nil {
-				t.Fatalf("taken and not forwarded: %v", err)
+				t.Fatalf("accepted but not forwarded: %v", err)
 			}
 		}
 	})
