--- a/internal/connection/peer/peer.go
+++ b/internal/connection/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer connects nodes: a pool of connect clients over HTTP/2 without
-// TLS, authenticated by the shared peer key.
+// Package peer holds the connect clients and handler options of the calls between
+// nodes: HTTP/2 without TLS, authenticated by the shared peer key.
 package peer
 
 import (
@@ -17,14 +17,14 @@
 // keyHeader carries the peer or operator key.
 const keyHeader = "Marblepond-Key"
 
-// maxMessage bounds a message between nodes, in bytes.
-const maxMessage = 16 << 20
+// maxMessageBytes bounds a message between nodes.
+const maxMessageBytes = 16 << 20
 
-// withoutCompression: messages between nodes are small; compressing them took
-// a fifth of a node's processor time per request.
+// withoutCompression switches compression off: messages between nodes are small, and
+// compressing them took a fifth of a node's CPU time per request.
 var withoutCompression = connect.WithAcceptCompression("gzip", nil, nil)
 
-// Pool hands out one client per peer address.
+// Pool caches one client per peer address.
 type Pool struct {
 	http    *http.Client
 	key     string
@@ -32,7 +32,7 @@
 	clients map[string]marblepondv1connect.PeerServiceClient
 }
 
-// NewPool returns a pool that presents the peer key.
+// NewPool returns a pool whose clients send the peer key.
 func NewPool(client *http.Client, key string) *Pool {
 	return &Pool{http: client, key: key, clients: map[string]marblepondv1connect.PeerServiceClient{}}
 }
@@ -49,18 +49,18 @@
 	return c
 }
 
-// ClientOptions returns the options of a client that presents the key.
+// ClientOptions returns the options of a client that sends the key with each call.
 func ClientOptions(key string) []connect.ClientOption {
-	return []connect.ClientOption{withoutCompression, connect.WithInterceptors(present(key)), connect.WithReadMaxBytes(maxMessage)}
+	return []connect.ClientOption{withoutCompression, connect.WithInterceptors(sendKey(key)), connect.WithReadMaxBytes(maxMessageBytes)}
 }
 
 // NewOperatorClient returns a client for an operator's calls to a node.
 func NewOperatorClient(client *http.Client, addr, key string) marblepondv1connect.OperatorServiceClient {
 	return marblepondv1connect.NewOperatorServiceClient(client, "http://"+addr,
-		connect.WithInterceptors(present(key)), connect.WithReadMaxBytes(maxMessage))
+		connect.WithInterceptors(sendKey(key)), connect.WithReadMaxBytes(maxMessageBytes))
 }
 
-func present(key string) connect.Interceptor {
+func sendKey(key string) connect.Interceptor {
 	return connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			req.Header().Set(keyHeader, key)
@@ -69,8 +69,8 @@
 	})
 }
 
-// RequireKey returns handler options that refuse calls without the key and turn
-// errors into those of the error table.
+// RequireKey returns handler options that reject calls without the key and map errors
+// to those of package errkind.
 func RequireKey(key string) []connect.HandlerOption {
 	check := connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
@@ -84,7 +84,7 @@
 			return resp, nil
 		}
 	})
-	return []connect.HandlerOption{connect.WithInterceptors(check), connect.WithReadMaxBytes(maxMessage), connect.WithCompression("gzip", nil, nil)}
+	return []connect.HandlerOption{connect.WithInterceptors(check), connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompression("gzip", nil, nil)}
 }
 
 // NewHTTPClient returns a client for HTTP/2 without TLS between nodes.
