--- a/internal/connection/platform/client.go
+++ b/internal/connection/platform/client.go
@@ -2,8 +2,9 @@
 // conditional writes, watches) and its VM list. The protocol is HTTP with
 // conditional requests (RFC 9110, section 13): ETags carry object versions.
 //
-// Answers can be lost after a change took effect. Write therefore reports
-// Ambiguous and the caller decides by reading back its writer token.
+// A response can be lost after the write took effect. Writes then fail with
+// ErrAmbiguous, and the caller finds out by reading the object back and comparing
+// its writer token.
 package platform
 
 import (
@@ -24,10 +25,10 @@
 	"github.com/marblepond/marblepond/internal/connection/callbudget"
 )
 
-// MaxValueBytes is the largest value the object API takes, in bytes.
+// MaxValueBytes is the size of the largest value that the object API accepts.
 const MaxValueBytes = 1 << 20
 
-// The errors of the object API.
+// Errors of the object API.
 var (
 	ErrNotFound    = errors.New("object not found")
 	ErrConflict    = errors.New("object version does not match")
@@ -36,7 +37,7 @@
 	ErrBudget      = callbudget.ErrExhausted
 )
 
-// Class orders calls when the budget is short.
+// Class is the priority of a call when the budget is short.
 type Class = callbudget.Class
 
 // The classes, most important first.
@@ -70,32 +71,31 @@
 	RoleTarget = "target"
 )
 
-// Client calls the platform within this node's budget.
+// Client calls the platform within the call budget of this node.
 type Client struct {
-	base    string
-	caller  string
-	http    *http.Client
-	timeout time.Duration
-	writes  *callbudget.Budget
-	reads   *callbudget.Budget
-	metrics tally.Scope
-	failed  atomic.Int64 // consecutive failures
-	notify  func(up bool)
+	base     string
+	caller   string
+	http     *http.Client
+	timeout  time.Duration
+	writes   *callbudget.Budget
+	reads    *callbudget.Budget
+	metrics  tally.Scope
+	failures atomic.Int64 // consecutive failures
+	onChange func(up bool)
 }
 
 // Options configures a client.
 type Options struct {
 	URL       string
-	Caller    string // sent with each call so that the platform can count by caller
+	Caller    string // sent as User-Agent, so that the platform can count calls by caller
 	Timeout   time.Duration
-	WriteRate int
-	ReadRate  int
+	WriteRate int // calls per second
+	ReadRate  int // calls per second
 	Metrics   tally.Scope
 	HTTP      *http.Client
-	OnChange  func(up bool) // called when the platform goes away or comes back
+	OnChange  func(up bool) // called when Up changes
 }
 
-// New returns a client.
 func New(o Options) *Client {
 	if o.OnChange == nil {
 		o.OnChange = func(bool) {}
@@ -103,25 +103,25 @@
 	return &Client{
 		base: o.URL, caller: o.Caller, http: o.HTTP, timeout: o.Timeout,
 		writes: callbudget.New(o.WriteRate), reads: callbudget.New(o.ReadRate),
-		metrics: o.Metrics, notify: o.OnChange,
+		metrics: o.Metrics, onChange: o.OnChange,
 	}
 }
 
-// downAfter is the number of consecutive failures that count as an outage.
+// downAfter is the number of consecutive failures after which the platform counts as down.
 const downAfter = 3
 
-// Up reports whether the newest calls succeeded.
-func (c *Client) Up() bool { return c.failed.Load() < downAfter }
+// Up reports whether fewer than downAfter calls in a row have failed.
+func (c *Client) Up() bool { return c.failures.Load() < downAfter }
 
-func (c *Client) note(ok bool) {
+func (c *Client) recordOutcome(ok bool) {
 	if ok {
-		if c.failed.Swap(0) >= downAfter {
-			c.notify(true)
+		if c.failures.Swap(0) >= downAfter {
+			c.onChange(true)
 		}
 		return
 	}
-	if c.failed.Add(1) == downAfter {
-		c.notify(false)
+	if c.failures.Add(1) == downAfter {
+		c.onChange(false)
 	}
 }
 
@@ -168,7 +168,7 @@
 
 func (c *Client) write(ctx context.Context, class Class, method, name string, value []byte, header, match string) (int64, error) {
 	if len(value) > MaxValueBytes {
-		return 0, fmt.Errorf("value of %d bytes is over the platform's limit", len(value))
+		return 0, fmt.Errorf("value of %d bytes exceeds the platform's limit", len(value))
 	}
 	if err := c.writes.Wait(ctx, class); err != nil {
 		return 0, err
@@ -185,13 +185,13 @@
 	case http.StatusPreconditionFailed:
 		return 0, ErrConflict
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return 0, ErrUnavailable // refused before any effect
+		return 0, ErrUnavailable // refused without any effect
 	default:
 		return 0, ErrAmbiguous
 	}
 }
 
-// List returns the objects whose names start with prefix, with values.
+// List returns the objects whose names start with prefix, including their values.
 func (c *Client) List(ctx context.Context, class Class, prefix string) ([]Object, error) {
 	if err := c.reads.Wait(ctx, class); err != nil {
 		return nil, err
@@ -211,15 +211,15 @@
 	return objects, nil
 }
 
-// Change is what a watch returns: objects under the prefix with a version
-// above the one given, and the platform's newest version.
+// Change is the result of a watch: the objects under the prefix with a version above
+// the given one, and the newest version at the platform.
 type Change struct {
 	Objects []Object
 	Newest  int64
 }
 
-// Watch waits up to wait for objects under prefix newer than since. A waiting
-// watch counts as one read.
+// Watch waits up to wait for objects under prefix with a version above since. A watch
+// counts as one read in the budget, however long it waits.
 func (c *Client) Watch(ctx context.Context, prefix string, since int64, wait time.Duration) (Change, error) {
 	if err := c.reads.Wait(ctx, Commit); err != nil {
 		return Change{}, err
@@ -240,7 +240,7 @@
 	return change, nil
 }
 
-// VMs reads the VM list of one data centre. The answer may be stale.
+// VMs reads the VM list of one data centre. The result may be stale.
 func (c *Client) VMs(ctx context.Context, dataCentre string) ([]VM, error) {
 	if err := c.reads.Wait(ctx, Status); err != nil {
 		return nil, err
@@ -275,21 +275,21 @@
 	resp, err := c.http.Do(req)
 	if err != nil {
 		cancel()
-		c.note(false)
+		c.recordOutcome(false)
 		return nil, ErrUnavailable
 	}
-	c.note(resp.StatusCode < http.StatusInternalServerError)
-	resp.Body = &cancelBody{resp.Body, cancel}
+	c.recordOutcome(resp.StatusCode < http.StatusInternalServerError)
+	resp.Body = &cancelOnClose{resp.Body, cancel}
 	return resp, nil
 }
 
-// cancelBody releases the call's context when the body is closed.
-type cancelBody struct {
+// cancelOnClose releases the call's context when the body is closed.
+type cancelOnClose struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
-func (b *cancelBody) Close() error {
+func (b *cancelOnClose) Close() error {
 	defer b.cancel()
 	return b.ReadCloser.Close()
 }
