--- a/internal/connection/relay/relay.go
+++ b/internal/connection/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay reaches the object store through other nodes when the store
-// turns this node away or is cut off from it alone. Writes are conditional, so
-// that it does not matter which node makes them.
+// Package relay calls the object store through other nodes when the store refuses
+// this node's calls or is unreachable from this node only. Writes are conditional,
+// so that it does not matter which node makes them.
 package relay
 
 import (
@@ -19,96 +19,98 @@
 )
 
 const (
-	// ownEvery is how often a call is made to the store itself while it does not
-	// answer this node, to find out when it does again.
-	ownEvery = time.Second
-	// mostPeers is how many nodes one call is tried through.
-	mostPeers = 2
-	// peerTimeout bounds one try: the store answers in milliseconds, and an
-	// attempt with a node that is cut off too must leave time for another.
+	// probeInterval is how often a call is made to the store directly while it does not
+	// serve this node, to find out when it does again.
+	probeInterval = time.Second
+	// maxPeers is the number of nodes through which one call is tried.
+	maxPeers = 2
+	// peerTimeout bounds one attempt through a peer: the store responds in milliseconds,
+	// and an attempt through a peer that cannot reach the store either must leave time
+	// for another.
 	peerTimeout = 350 * time.Millisecond
 )
 
-// Relay implements objects.Store over the node's own client and its peers. It is safe
-// for concurrent use.
+// Relay implements objects.Store with the node's own client and, when that fails, through
+// other nodes. It is safe for concurrent use.
 type Relay struct {
+	// Direct is this node's own client of the store.
 	Direct objects.Store
-	// StoreReachable reports whether the store answered this node's newest own call.
+	// StoreReachable reports whether the store served this node's newest direct call.
 	StoreReachable func() bool
-	// Peers returns the nodes that are heard now, by address.
+	// Peers returns the addresses of the nodes that are reachable now.
 	Peers  func() []string
 	Client func(address string) marblepondv1connect.RelayServiceClient
-	// OnRelayed is told each call that went through another node.
+	// OnRelayed is called for each call that another node made.
 	OnRelayed func(kind, name, address string)
 
-	mu      sync.Mutex
-	lastOwn time.Time
+	mu        sync.Mutex
+	lastProbe time.Time
 }
 
-// ownFirst reports whether the store itself is to be asked first.
-func (r *Relay) ownFirst() bool {
+// tryDirect reports whether a call is to be made to the store directly first.
+func (r *Relay) tryDirect() bool {
 	if r.StoreReachable() {
 		return true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.lastOwn) < ownEvery {
+	if time.Since(r.lastProbe) < probeInterval {
 		return false
 	}
-	r.lastOwn = time.Now()
+	r.lastProbe = time.Now()
 	return true
 }
 
-// call makes a call at the store or, when it has no effect there, through other
-// nodes. A write whose outcome is not known is never repeated here: the caller
-// reads back.
-func call[T any](ctx context.Context, r *Relay, own func() (T, error), message *v1.StoreCall, decode func(*v1.StoreAnswer) T) (T, error) {
-	var none T
+// call makes a call to the store directly or, if that had no effect, through other nodes.
+// A write whose outcome is unknown is never repeated here: the caller reads the object
+// back.
+func call[T any](ctx context.Context, r *Relay, callDirect func() (T, error), request *v1.StoreCall, decode func(*v1.StoreAnswer) T) (T, error) {
+	var zero T
 	err := objects.ErrUnavailable
-	if r.ownFirst() {
+	if r.tryDirect() {
 		var value T
-		if value, err = own(); !errors.Is(err, objects.ErrUnavailable) {
+		if value, err = callDirect(); !errors.Is(err, objects.ErrUnavailable) {
 			return value, err
 		}
 	}
 	peers := r.Peers()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	for _, address := range peers[:min(mostPeers, len(peers))] {
-		answer, callErr := r.ask(ctx, address, message)
-		if callErr != nil && message.Operation != v1.StoreCall_GET && message.Operation != v1.StoreCall_LIST_STALE {
-			return none, objects.ErrUnknownOutcome // the peer may have made the call
+	for _, address := range peers[:min(maxPeers, len(peers))] {
+		answer, callErr := r.callPeer(ctx, address, request)
+		if callErr != nil && request.Operation != v1.StoreCall_GET && request.Operation != v1.StoreCall_LIST_STALE {
+			return zero, objects.ErrUnknownOutcome // the peer may have made the call
 		}
 		if callErr != nil {
 			continue
 		}
 		if err = outcomeError(answer.Outcome); !errors.Is(err, objects.ErrUnavailable) {
-			r.OnRelayed(message.Kind, message.Name, address)
+			r.OnRelayed(request.Kind, request.Name, address)
 			return decode(answer), err
 		}
 	}
-	return none, err
+	return zero, err
 }
 
-func (r *Relay) ask(ctx context.Context, address string, message *v1.StoreCall) (*v1.StoreAnswer, error) {
+func (r *Relay) callPeer(ctx context.Context, address string, request *v1.StoreCall) (*v1.StoreAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	return r.Client(address).Call(ctx, message)
+	return r.Client(address).Call(ctx, request)
 }
 
-var outcomes = map[v1.StoreAnswer_Outcome]error{
+var outcomeErrors = map[v1.StoreAnswer_Outcome]error{
 	v1.StoreAnswer_DONE: nil, v1.StoreAnswer_NOT_FOUND: objects.ErrNotFound, v1.StoreAnswer_CONFLICT: objects.ErrConflict,
 	v1.StoreAnswer_UNAVAILABLE: objects.ErrUnavailable, v1.StoreAnswer_UNKNOWN_OUTCOME: objects.ErrUnknownOutcome,
 }
 
 func outcomeError(o v1.StoreAnswer_Outcome) error {
-	if err, known := outcomes[o]; known {
+	if err, known := outcomeErrors[o]; known {
 		return err
 	}
 	return objects.ErrUnknownOutcome
 }
 
 func outcomeOf(err error) v1.StoreAnswer_Outcome {
-	for o, known := range outcomes {
+	for o, known := range outcomeErrors {
 		if (known == nil && err == nil) || (known != nil && errors.Is(err, known)) {
 			return o
 		}
@@ -116,7 +118,7 @@
 	return v1.StoreAnswer_UNKNOWN_OUTCOME
 }
 
-func first(a *v1.StoreAnswer) objects.Object {
+func firstObject(a *v1.StoreAnswer) objects.Object {
 	if len(a.Objects) == 0 {
 		return objects.Object{}
 	}
@@ -127,19 +129,19 @@
 // Get implements objects.Store.
 func (r *Relay) Get(ctx context.Context, class callbudget.Class, kind, name string) (objects.Object, error) {
 	return call(ctx, r, func() (objects.Object, error) { return r.Direct.Get(ctx, class, kind, name) },
-		&v1.StoreCall{Operation: v1.StoreCall_GET, Kind: kind, Name: name}, first)
+		&v1.StoreCall{Operation: v1.StoreCall_GET, Kind: kind, Name: name}, firstObject)
 }
 
 // Create implements objects.Store.
 func (r *Relay) Create(ctx context.Context, class callbudget.Class, kind, name string, value []byte) (objects.Object, error) {
 	return call(ctx, r, func() (objects.Object, error) { return r.Direct.Create(ctx, class, kind, name, value) },
-		&v1.StoreCall{Operation: v1.StoreCall_CREATE, Kind: kind, Name: name, Value: value}, first)
+		&v1.StoreCall{Operation: v1.StoreCall_CREATE, Kind: kind, Name: name, Value: value}, firstObject)
 }
 
 // Update implements objects.Store.
 func (r *Relay) Update(ctx context.Context, class callbudget.Class, kind, name string, revision int64, value []byte) (objects.Object, error) {
 	return call(ctx, r, func() (objects.Object, error) { return r.Direct.Update(ctx, class, kind, name, revision, value) },
-		&v1.StoreCall{Operation: v1.StoreCall_UPDATE, Kind: kind, Name: name, Revision: revision, Value: value}, first)
+		&v1.StoreCall{Operation: v1.StoreCall_UPDATE, Kind: kind, Name: name, Revision: revision, Value: value}, firstObject)
 }
 
 // Delete implements objects.Store.
@@ -161,15 +163,15 @@
 		})
 }
 
-// Service makes calls for other nodes; it never passes them on.
+// Service makes calls to the store for other nodes. It never relays them further.
 type Service struct {
 	Store          objects.Store
 	StoreReachable func() bool
-	// Kinds are the kinds of objects that other nodes may reach.
+	// Kinds are the kinds of objects that other nodes may access through this one.
 	Kinds []string
 }
 
-// Call implements the peers' service.
+// Call implements marblepondv1connect.RelayServiceHandler.
 func (s *Service) Call(ctx context.Context, m *v1.StoreCall) (*v1.StoreAnswer, error) {
 	if !slices.Contains(s.Kinds, m.Kind) {
 		return nil, errkind.Malformed.New("kind %q is not relayed", m.Kind)
--- a/internal/connection/relay/relay_test.go
+++ b/internal/connection/relay/relay_test.go
@@ -13,7 +13,7 @@
 	"github.com/marblepond/marblepond/internal/connection/objects"
 )
 
-// fixedStore answers every call in one way and counts them.
+// fixedStore returns the same result from every call and counts the calls.
 type fixedStore struct {
 	err   error
 	calls int
@@ -46,21 +46,21 @@
 	return objects.Page{Objects: []objects.Object{o}, Revision: 9}, err
 }
 
-// direct is a client that calls a service in this process.
-type direct struct {
+// inProcessClient is a client that calls a service in the same process.
+type inProcessClient struct {
 	service *Service
-	broken  error // the connection breaks
+	broken  error // the error of the connection
 }
 
-func (d direct) Call(ctx context.Context, m *v1.StoreCall) (*v1.StoreAnswer, error) {
+func (d inProcessClient) Call(ctx context.Context, m *v1.StoreCall) (*v1.StoreAnswer, error) {
 	if d.broken != nil {
 		return nil, d.broken
 	}
 	return d.service.Call(ctx, m)
 }
 
-func newRelay(own *fixedStore, reached bool, peers map[string]direct) *Relay {
-	return &Relay{Direct: own, StoreReachable: func() bool { return reached }, OnRelayed: func(string, string, string) {},
+func newRelay(direct *fixedStore, storeReachable bool, peers map[string]inProcessClient) *Relay {
+	return &Relay{Direct: direct, StoreReachable: func() bool { return storeReachable }, OnRelayed: func(string, string, string) {},
 		Peers: func() (out []string) {
 			for name := range peers {
 				out = append(out, name)
@@ -70,72 +70,72 @@
 		Client: func(address string) marblepondv1connect.RelayServiceClient { return peers[address] }}
 }
 
-func up() bool { return true }
+func reachable() bool { return true }
 
-// TestRefusedCallsGoThroughPeers: a call that the store turns away is made by
-// another node, and its answer or error comes back.
+// TestRefusedCallsGoThroughPeers: another node makes a call that the store refused, and
+// its result or error is returned.
 func TestRefusedCallsGoThroughPeers(t *testing.T) {
 	is := is.New(t)
-	own, theirs := &fixedStore{err: objects.ErrUnavailable}, &fixedStore{}
-	r := newRelay(own, true, map[string]direct{"p": {service: &Service{Store: theirs, StoreReachable: up, Kinds: []string{"k"}}}})
+	direct, peerStore := &fixedStore{err: objects.ErrUnavailable}, &fixedStore{}
+	r := newRelay(direct, true, map[string]inProcessClient{"p": {service: &Service{Store: peerStore, StoreReachable: reachable, Kinds: []string{"k"}}}})
 	o, err := r.Create(context.Background(), callbudget.Commit, "k", "o", nil)
 	is.NoErr(err)
 	is.Equal(o.Revision, int64(7))
 	page, err := r.ListStale(context.Background(), "k")
 	is.NoErr(err)
 	is.Equal(page.Revision, int64(9))
-	theirs.err = objects.ErrConflict
+	peerStore.err = objects.ErrConflict
 	_, err = r.Update(context.Background(), callbudget.Commit, "k", "o", 3, nil)
 	is.True(errors.Is(err, objects.ErrConflict))
-	is.Equal(own.calls, 3)
+	is.Equal(direct.calls, 3)
 }
 
-// TestStoreIsSparedWhileAway: while the store does not answer, it is tried once
-// a second and the peers take the rest.
-func TestStoreIsSparedWhileAway(t *testing.T) {
+// TestUnreachableStoreIsProbedOncePerInterval: while the store does not serve this node, it
+// is called once a second, and other nodes make the remaining calls.
+func TestUnreachableStoreIsProbedOncePerInterval(t *testing.T) {
 	is := is.New(t)
-	own, theirs := &fixedStore{err: objects.ErrUnavailable}, &fixedStore{}
-	r := newRelay(own, false, map[string]direct{"p": {service: &Service{Store: theirs, StoreReachable: up, Kinds: []string{"k"}}}})
+	direct, peerStore := &fixedStore{err: objects.ErrUnavailable}, &fixedStore{}
+	r := newRelay(direct, false, map[string]inProcessClient{"p": {service: &Service{Store: peerStore, StoreReachable: reachable, Kinds: []string{"k"}}}})
 	for range 10 {
 		_, err := r.Get(context.Background(), callbudget.Commit, "k", "o")
 		is.NoErr(err)
 	}
-	is.Equal(own.calls, 1)
+	is.Equal(direct.calls, 1)
 }
 
-// TestUnknownOutcomeIsNotRepeated: a write that may have been done is not made
-// again through another node, whoever lost the answer.
+// TestUnknownOutcomeIsNotRepeated: a write that may have taken effect is not repeated
+// through another node, whether the response of the store or of a peer was lost.
 func TestUnknownOutcomeIsNotRepeated(t *testing.T) {
 	is := is.New(t)
-	own, theirs := &fixedStore{err: objects.ErrUnknownOutcome}, &fixedStore{}
-	r := newRelay(own, true, map[string]direct{"p": {service: &Service{Store: theirs, StoreReachable: up, Kinds: []string{"k"}}}})
+	direct, peerStore := &fixedStore{err: objects.ErrUnknownOutcome}, &fixedStore{}
+	r := newRelay(direct, true, map[string]inProcessClient{"p": {service: &Service{Store: peerStore, StoreReachable: reachable, Kinds: []string{"k"}}}})
 	_, err := r.Update(context.Background(), callbudget.Commit, "k", "o", 3, nil)
 	is.True(errors.Is(err, objects.ErrUnknownOutcome))
-	is.Equal(theirs.calls, 0)
-	own.err = objects.ErrUnavailable
-	r = newRelay(own, true, map[string]direct{"p": {broken: errors.New("reset")}, "q": {broken: errors.New("reset")}})
+	is.Equal(peerStore.calls, 0)
+	direct.err = objects.ErrUnavailable
+	r = newRelay(direct, true, map[string]inProcessClient{"p": {broken: errors.New("reset")}, "q": {broken: errors.New("reset")}})
 	_, err = r.Create(context.Background(), callbudget.Commit, "k", "o", nil)
 	is.True(errors.Is(err, objects.ErrUnknownOutcome))
 }
 
-// TestNobodyReachesTheStore: the call had no effect, and says so.
-func TestNobodyReachesTheStore(t *testing.T) {
+// TestNoNodeReachesTheStore: the error says that the call had no effect.
+func TestNoNodeReachesTheStore(t *testing.T) {
 	is := is.New(t)
-	own, theirs := &fixedStore{err: objects.ErrUnavailable}, &fixedStore{}
-	away := direct{service: &Service{Store: theirs, StoreReachable: func() bool { return false }, Kinds: []string{"k"}}}
-	r := newRelay(own, true, map[string]direct{"p": away, "q": away})
+	direct, peerStore := &fixedStore{err: objects.ErrUnavailable}, &fixedStore{}
+	cutOff := inProcessClient{service: &Service{Store: peerStore, StoreReachable: func() bool { return false }, Kinds: []string{"k"}}}
+	r := newRelay(direct, true, map[string]inProcessClient{"p": cutOff, "q": cutOff})
 	_, err := r.Create(context.Background(), callbudget.Commit, "k", "o", nil)
 	is.True(errors.Is(err, objects.ErrUnavailable))
-	is.Equal(theirs.calls, 0)
+	is.Equal(peerStore.calls, 0)
 }
 
-// TestOnlyOwnKindsAreRelayed: what the platform's operator and targets write
+// TestOnlyListedKindsAreRelayed: objects that the platform's operator and targets write
 // cannot be changed through a node.
-func TestOnlyOwnKindsAreRelayed(t *testing.T) {
+func TestOnlyListedKindsAreRelayed(t *testing.T) {
 	is := is.New(t)
-	theirs := &fixedStore{}
-	s := &Service{Store: theirs, StoreReachable: up, Kinds: []string{"k"}}
+	peerStore := &fixedStore{}
+	s := &Service{Store: peerStore, StoreReachable: reachable, Kinds: []string{"k"}}
 	_, err := s.Call(context.Background(), &v1.StoreCall{Operation: v1.StoreCall_UPDATE, Kind: "config", Name: "main"})
 	is.True(err != nil)
-	is.Equal(theirs.calls, 0)
+	is.Equal(peerStore.calls, 0)
 }
