--- a/internal/connection/openai/openai_test.go
+++ b/internal/connection/openai/openai_test.go
@@ -26,7 +26,7 @@
 		chunk, err := DecodeChunk(event[len(DataPrefix):])
 		is.NoErr(err)
 		is.Equal(chunk.Text(), "text")
-		is.Equal(chunk.Finish(), "stop")
+		is.Equal(chunk.FinishReason(), "stop")
 		is.Equal(*chunk.Offset, 4)
 	}
 }
@@ -37,11 +37,11 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r, err := Parse(ChatPath, body)
 		if err == nil && (r.Model == "" || len(r.Messages) == 0) {
-			t.Fatal("taken without model or messages")
+			t.Fatal("accepted without model or messages")
 		}
 		if err == nil {
 			if _, err := Forward(body, "m", 1, "x"); err != nil {
-				t.Fatalf("taken and not forwarded: %v", err)
+				t.Fatalf("accepted but not forwarded: %v", err)
 			}
 		}
 	})
@@ -52,7 +52,7 @@
 	f.Add([]byte(`{"choices":[{}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if c, err := DecodeChunk(data); err == nil {
-			_, _ = c.Text(), c.Finish()
+			_, _ = c.Text(), c.FinishReason()
 		}
 	})
 }
--- a/internal/process/hosted/peers.go
+++ b/internal/process/hosted/peers.go
@@ -64,10 +64,10 @@
 // fails and the connection is dropped, while on a broken HTTP/2 connection every call fails
 // until the failure is detected.
 func newPeers(s *settings.Settings) *peers {
-	dialer := dial.Plain(s.DialTimeout)
+	dialer := dial.KeepAliveDialer(s.DialTimeout)
 	h := &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: idleConnsPerPeer,
 		IdleConnTimeout: time.Minute, DisableCompression: true}}
-	seedHTTP := &http.Client{Transport: &http.Transport{DialContext: dial.Plain(min(seedDialTimeout, s.DialTimeout)).DialContext, DisableCompression: true, IdleConnTimeout: time.Second}}
+	seedHTTP := &http.Client{Transport: &http.Transport{DialContext: dial.KeepAliveDialer(min(seedDialTimeout, s.DialTimeout)).DialContext, DisableCompression: true, IdleConnTimeout: time.Second}}
 	options := peer.ClientOptions(s.PeerKey)
 	return &peers{
 		sync:        newClients(h, options, marblepondv1connect.NewSyncServiceClient),
@@ -84,8 +84,8 @@
 // relay returns a client of the object store that can also reach it through other nodes; jobs
 // use it.
 func (n *Node) relay() *relay.Relay {
-	return &relay.Relay{Own: n.adapter.Store, Reached: n.adapter.Health.Up, Peers: n.reachableAddresses, Client: n.peers.relay.at,
-		Relayed: func(kind, name, address string) {
+	return &relay.Relay{Direct: n.adapter.Store, StoreReachable: n.adapter.Health.Up, Peers: n.reachableAddresses, Client: n.peers.relay.at,
+		OnRelayed: func(kind, name, address string) {
 			n.recorder.Record(timeline.CallRelayed, name, kind, "", field("through", address))
 			n.metrics.Counter("store_calls_relayed").Inc(1)
 		}}
--- a/internal/request/homes/durable.go
+++ b/internal/request/homes/durable.go
@@ -122,7 +122,7 @@
 	for _, r := range group {
 		encoder.Encode(r)
 	}
-	if body.Len() > platform.MaxValue {
+	if body.Len() > platform.MaxValueBytes {
 		return rp.splitGroup(ctx, group)
 	}
 	_, err := rp.platform.Create(ctx, platform.Commit, name, body.Bytes())
