--- a/lab/hosted/client.go
+++ b/lab/hosted/client.go
@@ -19,8 +19,8 @@
 	Err    error // the answer broke off
 }
 
-// Ask sends a request for tokens and reads the whole answer.
-func Ask(ctx context.Context, node, path, id string, header map[string]string) Reply {
+// SendRequest sends a request for tokens and reads the whole answer.
+func SendRequest(ctx context.Context, node, path, id string, header map[string]string) Reply {
 	return Call(ctx, http.MethodPost, node, path, id, header, []byte("prompt"))
 }
 
@@ -85,8 +85,8 @@
 	return body
 }
 
-// Submit sends a job.
-func Submit(node, job string, items []Item) Reply {
+// SubmitJob sends a job.
+func SubmitJob(node, job string, items []Item) Reply {
 	return Call(context.Background(), http.MethodPost, node, BatchPath+"submit", job, map[string]string{"X-Marblepond-Deadline-Ms": "4000"}, jobBody(items))
 }
 
@@ -104,8 +104,8 @@
 	Results []Result `json:"results"`
 }
 
-// Read reads results from a position on.
-func Read(node, job string, after int) (Results, int) {
+// ReadResults reads results from a position on.
+func ReadResults(node, job string, after int) (Results, int) {
 	return read(node, job, after, map[string]string{"X-Marblepond-Wait-Ms": "300"})
 }
 
@@ -118,9 +118,9 @@
 	return r, reply.Status
 }
 
-// ReadAll reads a job to its end, at the nodes in turn.
-func ReadAll(nodes []string, job string, within time.Duration) ([]Result, error) {
-	return readAll(nodes, job, within, func(node string, after int) (Results, int) { return Read(node, job, after) })
+// ReadAllResults reads a job to its end, at the nodes in turn.
+func ReadAllResults(nodes []string, job string, within time.Duration) ([]Result, error) {
+	return readAll(nodes, job, within, func(node string, after int) (Results, int) { return ReadResults(node, job, after) })
 }
 
 func readAll(nodes []string, job string, within time.Duration, read func(node string, after int) (Results, int)) ([]Result, error) {
@@ -139,7 +139,7 @@
 	return all, fmt.Errorf("job %s has %d results after %v", job, len(all), within)
 }
 
-// End ends a job.
-func End(node, job string) Reply {
+// EndJob ends a job.
+func EndJob(node, job string) Reply {
 	return Call(context.Background(), http.MethodDelete, node, "/v1/lots/"+job, "", nil, nil)
 }
--- a/lab/hosted/cold.go
+++ b/lab/hosted/cold.go
@@ -23,16 +23,16 @@
 	c.most = max(c.most, len(c.times))
 }
 
-// Cool makes the runner cold for a time, from now on.
-func (r *Runner) Cool(d time.Duration) {
+// StartWarmUp makes the runner cold for a time, from now on.
+func (r *Runner) StartWarmUp(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cold = coldness{until: time.Now().Add(d)}
 }
 
-// MostWhileCold returns the most requests that came in one second while the runner was
+// MaxPerSecondInWarmUp returns the most requests that came in one second while the runner was
 // cold the last time.
-func (r *Runner) MostWhileCold() int {
+func (r *Runner) MaxPerSecondInWarmUp() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cold.most
--- a/lab/hosted/crash_test.go
+++ b/lab/hosted/crash_test.go
@@ -70,7 +70,7 @@
 	c := &crashFleet{Fleet: fleet(t, Options{Nodes: 6, Runners: 12, Slots: 8, Events: 30, Gap: 10 * time.Millisecond,
 		DataCentres: []string{"hall-a", "hall-b", "hall-c"}, Log: log})}
 	for _, r := range c.Runners {
-		r.Behave(func(id string, _ int) Behaviour {
+		r.SetBehaviour(func(id string, _ int) Behaviour {
 			if strings.HasPrefix(id, badPrefix) {
 				return Crash
 			}
@@ -106,7 +106,7 @@
 func (c *crashFleet) properRequest(n int, name string) {
 	c.asked.Add(1)
 	for try := range 3 {
-		at := c.Nodes[(n+try)%len(c.Nodes)].Caller()
+		at := c.Nodes[(n+try)%len(c.Nodes)].CallerAddress()
 		reply := Call(context.Background(), http.MethodPost, at, ResumePath+"x", fmt.Sprint(name, "-", try), nil, []byte(name))
 		if accused(reply) {
 			c.accused.Add(1)
@@ -131,7 +131,7 @@
 	until := time.Now().Add(during)
 	for i := 0; time.Now().Before(until); i++ {
 		sent := time.Now()
-		reply := Call(context.Background(), http.MethodPost, c.Nodes[i%len(c.Nodes)].Caller(), path, fmt.Sprintf("%s%s-%d", badPrefix, name, i),
+		reply := Call(context.Background(), http.MethodPost, c.Nodes[i%len(c.Nodes)].CallerAddress(), path, fmt.Sprintf("%s%s-%d", badPrefix, name, i),
 			map[string]string{"X-Marblepond-Deadline-Ms": "5000"}, []byte(name))
 		if third.IsZero() && c.begun(badPrefix+name+"-") >= 3 {
 			third = time.Now()
@@ -148,7 +148,7 @@
 func (c *crashFleet) crashes() int {
 	n := 0
 	for _, r := range c.Runners {
-		n += r.Ends()
+		n += r.ExitCount()
 	}
 	return n
 }
@@ -157,7 +157,7 @@
 func (c *crashFleet) begun(prefix string) int {
 	n := 0
 	for _, r := range c.Runners {
-		for _, s := range r.Starts() {
+		for _, s := range r.RunStarts() {
 			if strings.HasPrefix(s.RequestID, prefix) {
 				n++
 			}
@@ -170,7 +170,7 @@
 func (c *crashFleet) arrived() int {
 	n := 0
 	for _, r := range c.Runners {
-		n += r.Arrived(badPrefix)
+		n += r.ArrivalCount(badPrefix)
 	}
 	return n
 }
@@ -192,7 +192,7 @@
 			before := f.arrived()
 			for n := range f.Nodes {
 				asked := time.Now()
-				reply := Call(context.Background(), http.MethodPost, f.Nodes[n].Caller(), c.path+"x", fmt.Sprint(badPrefix, "last-", n), nil, []byte("one"))
+				reply := Call(context.Background(), http.MethodPost, f.Nodes[n].CallerAddress(), c.path+"x", fmt.Sprint(badPrefix, "last-", n), nil, []byte("one"))
 				is.True(accused(reply))
 				is.Equal(reply.Header.Get("Retry-After"), "") // coming back does not help
 				is.True(time.Since(asked) < 100*time.Millisecond)
@@ -242,7 +242,7 @@
 // refusedEverywhere reports whether every node refuses a request, at once.
 func (c *crashFleet) refusedEverywhere(path, name string) bool {
 	for n := range c.Nodes {
-		if !accused(Call(context.Background(), http.MethodPost, c.Nodes[n].Caller(), path, fmt.Sprint(badPrefix, name, "-at-", n), nil, []byte(name))) {
+		if !accused(Call(context.Background(), http.MethodPost, c.Nodes[n].CallerAddress(), path, fmt.Sprint(badPrefix, name, "-at-", n), nil, []byte(name))) {
 			return false
 		}
 	}
@@ -385,7 +385,7 @@
 		eventually(t, "version 2 is in force", 2*time.Second, func() bool { return n.Table().Version == 2 })
 	}
 	for _, r := range f.Runners {
-		r.Behave(func(id string, _ int) Behaviour {
+		r.SetBehaviour(func(id string, _ int) Behaviour {
 			if strings.HasPrefix(id, badPrefix) {
 				return Crash
 			}
@@ -397,7 +397,7 @@
 		items[2].ID, items[2].Body = badPrefix+name, []byte("the same in both jobs")
 		return items
 	}
-	is.Equal(Submit(f.Nodes[0].Caller(), "first", job("first")).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "first", job("first")).Status, http.StatusAccepted)
 	eventually(t, "all nodes refuse the item", 4*time.Second, func() bool {
 		for n := range f.Nodes {
 			if len(f.refusedWork(t, n)) == 0 {
@@ -411,9 +411,9 @@
 	is.Equal(len(f.refusedWork(t, 1)), 1) // and none of the items beside it
 	before := f.arrived()
 	f.Nodes[0].Kill() // the others take its job over
-	is.Equal(Submit(f.Nodes[1].Caller(), "second", job("second")).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[1].CallerAddress(), "second", job("second")).Status, http.StatusAccepted)
 	for _, name := range []string{"first", "second"} {
-		results, err := ReadAll(f.callers()[1:], name, 12*time.Second)
+		results, err := ReadAllResults(f.callers()[1:], name, 12*time.Second)
 		is.NoErr(err)
 		dead := 0
 		for _, r := range results {
--- a/lab/hosted/demo.go
+++ b/lab/hosted/demo.go
@@ -36,7 +36,7 @@
 	defer f.Stop()
 	started := time.Now()
 	for j := range demoJobs {
-		if reply := Submit(f.Nodes[j%demoNodes].Caller(), demoJob(j), Items(demoJob(j), demoItems)); reply.Status != 202 {
+		if reply := SubmitJob(f.Nodes[j%demoNodes].CallerAddress(), demoJob(j), Items(demoJob(j), demoItems)); reply.Status != 202 {
 			return fmt.Errorf("job %s: status %d %v", demoJob(j), reply.Status, reply.Err)
 		}
 	}
@@ -63,10 +63,10 @@
 			f.Nodes[demoNodes-1].Kill()
 			alive--
 		}
-		node, id := f.Nodes[i%alive].Caller(), fmt.Sprint("demo-", i)
+		node, id := f.Nodes[i%alive].CallerAddress(), fmt.Sprint("demo-", i)
 		before := i < demoRequests/2
 		wg.Go(func() {
-			reply := Ask(context.Background(), node, StreamPath, id, nil)
+			reply := SendRequest(context.Background(), node, StreamPath, id, nil)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
@@ -84,9 +84,9 @@
 
 // demoResults reads all jobs at the nodes that are left.
 func (f *Fleet) demoResults() (done int, err error) {
-	nodes := []string{f.Nodes[0].Caller(), f.Nodes[1].Caller()}
+	nodes := []string{f.Nodes[0].CallerAddress(), f.Nodes[1].CallerAddress()}
 	for j := range demoJobs {
-		results, readErr := ReadAll(nodes, demoJob(j), demoWithin)
+		results, readErr := ReadAllResults(nodes, demoJob(j), demoWithin)
 		err = errors.Join(err, readErr)
 		seen := map[string]bool{}
 		for _, r := range results {
--- a/lab/hosted/entries_test.go
+++ b/lab/hosted/entries_test.go
@@ -16,19 +16,21 @@
 func TestRunnerStartsAgainUnderItsID(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 2, Runners: 1})
-	f.Runners[0].Behave(func(string, int) Behaviour { return Stall })
+	f.Runners[0].SetBehaviour(func(string, int) Behaviour { return Stall })
 	answered := make(chan Reply, 1)
-	go func() { answered <- Ask(context.Background(), f.Nodes[0].Caller(), StreamPath+"x", "lost", nil) }()
-	eventually(t, "the request runs", time.Second, func() bool { return f.Runners[0].Runs("lost") == 1 })
-	f.Store.Put("servers", "i-0", f.Runners[0].EntryOfNextStart("hall-a"))
+	go func() {
+		answered <- SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath+"x", "lost", nil)
+	}()
+	eventually(t, "the request runs", time.Second, func() bool { return f.Runners[0].RunCount("lost") == 1 })
+	f.Store.Put("servers", "i-0", f.Runners[0].EntryAfterRestart("hall-a"))
 	select {
 	case reply := <-answered:
 		is.True(reply.Err != nil) // the answer does not look complete
 	case <-time.After(2 * time.Second): // two refreshes of the list; its deadline is 5 s
 		t.Fatal("the caller still waits")
 	}
-	f.Runners[0].Behave(func(string, int) Behaviour { return Serve })
-	reply := Ask(context.Background(), f.Nodes[0].Caller(), StreamPath+"x", "next", nil)
+	f.Runners[0].SetBehaviour(func(string, int) Behaviour { return Serve })
+	reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath+"x", "next", nil)
 	is.NoErr(reply.Err)
 	is.Equal(reply.Status, http.StatusOK)
 	is.Equal(f.runs("lost"), 1) // never again
@@ -51,24 +53,24 @@
 	f.Store.Put("marblepond-nodes", "no-node", map[string]any{"Boot": "yes"})
 	f.Store.Put("marblepond-jobs", "no-job", []int{1})
 	eventually(t, "runner i-0 gets no requests", 3*time.Second, func() bool {
-		before := f.Runners[0].Runs("probe")
+		before := f.Runners[0].RunCount("probe")
 		for i := range 6 {
-			if Ask(context.Background(), f.Nodes[i%2].Caller(), RepeatPath+"x", "probe", nil).Status != http.StatusOK {
+			if SendRequest(context.Background(), f.Nodes[i%2].CallerAddress(), RepeatPath+"x", "probe", nil).Status != http.StatusOK {
 				t.Fatal("a request is refused")
 			}
 		}
-		return f.Runners[0].Runs("probe") == before
+		return f.Runners[0].RunCount("probe") == before
 	})
-	is.Equal(Submit(f.Nodes[0].Caller(), "job", Items("job", 4)).Status, http.StatusAccepted)
-	results, err := ReadAll(f.callers(), "job", 10*time.Second)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "job", Items("job", 4)).Status, http.StatusAccepted)
+	results, err := ReadAllResults(f.callers(), "job", 10*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "job", 4, results)
 	f.Store.Put("servers", "i-0", f.Runners[0].Entry("hall-a", "ready"))
 	eventually(t, "runner i-0 serves again", 3*time.Second, func() bool {
 		for i := range 8 {
 			id := fmt.Sprint("back-", i)
-			Ask(context.Background(), f.Nodes[i%2].Caller(), RepeatPath+"x", id, nil)
-			if f.Runners[0].Runs(id) > 0 {
+			SendRequest(context.Background(), f.Nodes[i%2].CallerAddress(), RepeatPath+"x", id, nil)
+			if f.Runners[0].RunCount(id) > 0 {
 				return true
 			}
 		}
--- a/lab/hosted/evacuation_test.go
+++ b/lab/hosted/evacuation_test.go
@@ -32,7 +32,7 @@
 	for c := range callers {
 		wg.Go(func() {
 			for i := c; ctx.Err() == nil; i++ {
-				reply := Ask(context.Background(), nodes[i%len(nodes)], path, fmt.Sprint("press-", n.Add(1)), nil)
+				reply := SendRequest(context.Background(), nodes[i%len(nodes)], path, fmt.Sprint("press-", n.Add(1)), nil)
 				if reply.Err != nil || reply.Status != http.StatusOK {
 					mu.Lock()
 					failed = append(failed, reply)
@@ -76,14 +76,14 @@
 func TestEvacuatedDataCentreGetsNothing(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 3, Runners: 6, Slots: 8, Events: 6, Gap: 5 * time.Millisecond, DataCentres: twoCentres, Extra: evacuating + quickJobs})
-	door := f.Store.NewDoor()
+	door := f.Store.NewEndpoint()
 	_, err := f.StartNode("edge-door", evacuating+quickJobs+door.Settings())
 	is.NoErr(err)
 	is.NoErr(f.waitReady(f.Nodes[3]))
 	stop := f.pressing(StreamPath+"x", 8, 5*time.Millisecond)
 	eventually(t, "both data centres serve", 2*time.Second, func() bool { return !lastArrival(f.in("hall-b")).IsZero() })
-	door.Shut(true)
-	is.Equal(Submit(f.Nodes[1].Caller(), "job", Items("job", 40)).Status, http.StatusAccepted)
+	door.SetDown(true)
+	is.Equal(SubmitJob(f.Nodes[1].CallerAddress(), "job", Items("job", 40)).Status, http.StatusAccepted)
 	f.Store.Put("evacuations", "hall-b", map[string]any{})
 	asked := time.Now()
 	late, err := f.StartNode("edge-late", evacuating+quickJobs)
@@ -91,11 +91,11 @@
 	is.NoErr(f.waitReady(late))
 	time.Sleep(time.Until(asked.Add(evacuatedWithin)))
 	for i := range 200 {
-		reply := Ask(context.Background(), late.Caller(), StreamPath+"x", fmt.Sprint("late-", i), nil)
+		reply := SendRequest(context.Background(), late.CallerAddress(), StreamPath+"x", fmt.Sprint("late-", i), nil)
 		is.Equal(reply.Status, http.StatusOK)
 	}
 	is.True(lastArrival(f.in("hall-b")).Before(asked.Add(evacuatedWithin)))
-	results, err := ReadAll(f.callers(), "job", 10*time.Second)
+	results, err := ReadAllResults(f.callers(), "job", 10*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "job", 40, results)
 	f.Store.Delete("evacuations", "hall-b")
@@ -108,8 +108,8 @@
 func TestItemsLeaveAnEvacuatedDataCentre(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 2, Runners: 2, Slots: 8, Events: 400, Gap: 10 * time.Millisecond, DataCentres: twoCentres, Extra: evacuating + quickJobs})
-	is.Equal(Submit(f.Nodes[0].Caller(), "long", Items("long", 6)).Status, http.StatusAccepted)
-	is.Equal(Submit(f.Nodes[1].Caller(), "far", Items("far", 6)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "long", Items("long", 6)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[1].CallerAddress(), "far", Items("far", 6)).Status, http.StatusAccepted)
 	leaving := f.in("hall-b")[0]
 	eventually(t, "items run there", 2*time.Second, func() bool { return leaving.Busy() >= 4 })
 	f.Store.Put("evacuations", "hall-b", map[string]any{})
@@ -117,14 +117,14 @@
 	eventually(t, "none runs there", evacuatedWithin, func() bool { return leaving.Busy() == 0 })
 	is.True(leaving.LastArrival().Before(asked.Add(evacuatedWithin)))
 	for _, job := range []string{"long", "far"} {
-		results, err := ReadAll(f.callers(), job, 20*time.Second)
+		results, err := ReadAllResults(f.callers(), job, 20*time.Second)
 		is.NoErr(err)
 		f.checkResults(t, job, 6, results)
 	}
 	resumed := 0
 	for _, job := range []string{"long", "far"} {
 		for _, item := range Items(job, 6) {
-			for _, after := range f.in("hall-a")[0].Resumed(item.ID) {
+			for _, after := range f.in("hall-a")[0].ResumePositions(item.ID) {
 				if after != "" {
 					resumed++
 				}
@@ -145,19 +145,19 @@
 	f.Store.Put("evacuations", "hall-b", map[string]any{})
 	var reply Reply
 	eventually(t, "requests are refused", evacuatedWithin, func() bool {
-		reply = Ask(context.Background(), f.Nodes[0].Caller(), StreamPath+"x", "refused", nil)
+		reply = SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath+"x", "refused", nil)
 		return reply.Status == http.StatusServiceUnavailable
 	})
 	is.True(reply.Header.Get("Retry-After") != "")
 	asked := time.Now()
-	reply = Ask(context.Background(), f.Nodes[0].Caller(), StreamPath+"x", "at-once", nil)
+	reply = SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath+"x", "at-once", nil)
 	is.True(time.Since(asked) < 50*time.Millisecond) // a sixth of its objective, on a busy machine
 	is.True(strings.Contains(reply.Body, "evacuated"))
 	is.Equal(f.runs("at-once"), 0)
 	time.Sleep(time.Until(asked.Add(evacuatedWithin)))
-	is.Equal(Submit(f.Nodes[1].Caller(), "kept", Items("kept", 5)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[1].CallerAddress(), "kept", Items("kept", 5)).Status, http.StatusAccepted)
 	f.Store.Delete("evacuations", "hall-a")
-	results, err := ReadAll(f.callers(), "kept", 10*time.Second)
+	results, err := ReadAllResults(f.callers(), "kept", 10*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "kept", 5, results)
 	is.Equal(lastArrival(f.in("hall-b")).After(asked.Add(evacuatedWithin)), false)
@@ -186,23 +186,23 @@
 	f.Store.Put("evacuations", "hall-b", map[string]any{})
 	stop := f.pressing(StreamPath+"x", 24, 10*time.Millisecond)
 	time.Sleep(evacuatedWithin)
-	is.Equal(Submit(f.Nodes[0].Caller(), "beside", Items("beside", 60)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "beside", Items("beside", 60)).Status, http.StatusAccepted)
 	cold := f.in("hall-b")
 	for _, r := range cold {
-		r.Cool(coldTime) // no entry tells of it yet
+		r.StartWarmUp(coldTime) // no entry tells of it yet
 	}
 	f.Store.Delete("evacuations", "hall-b")
 	f.Store.Put("evacuations", "hall-a", map[string]any{})
 	time.Sleep(coldTime)
 	served := 0
 	for _, r := range cold {
-		is.True(r.MostWhileCold() <= coldMost)
-		served += r.MostWhileCold()
+		is.True(r.MaxPerSecondInWarmUp() <= coldMost)
+		served += r.MaxPerSecondInWarmUp()
 	}
 	is.True(served > 0) // they serve while they warm up
 	eventually(t, "all is served", evacuatedWithin+2*time.Second, func() bool {
 		for i, node := range f.callers() {
-			if Ask(context.Background(), node, StreamPath+"x", fmt.Sprintf("warm-%d-%d", i, time.Now().UnixNano()), nil).Status != http.StatusOK {
+			if SendRequest(context.Background(), node, StreamPath+"x", fmt.Sprintf("warm-%d-%d", i, time.Now().UnixNano()), nil).Status != http.StatusOK {
 				return false
 			}
 		}
@@ -211,7 +211,7 @@
 	for _, reply := range stop() {
 		is.Equal(reply.Status, http.StatusServiceUnavailable) // a promise that it did not run
 	}
-	results, err := ReadAll(f.callers(), "beside", 10*time.Second) // online requests left no room before
+	results, err := ReadAllResults(f.callers(), "beside", 10*time.Second) // online requests left no room before
 	is.NoErr(err)
 	f.checkResults(t, "beside", 60, results)
 }
--- a/lab/hosted/fleet.go
+++ b/lab/hosted/fleet.go
@@ -68,8 +68,8 @@
 	err      error
 }
 
-// Caller returns the node's address for clients.
-func (n *Node) Caller() string { return n.Settings.CallerListen }
+// CallerAddress returns the node's address for clients.
+func (n *Node) CallerAddress() string { return n.Settings.CallerListen }
 
 // Options of a fleet.
 type Options struct {
--- a/lab/hosted/jobs_test.go
+++ b/lab/hosted/jobs_test.go
@@ -17,7 +17,7 @@
 func (f *Fleet) callers() []string {
 	var out []string
 	for _, n := range f.Nodes {
-		out = append(out, n.Caller())
+		out = append(out, n.CallerAddress())
 	}
 	return out
 }
@@ -43,17 +43,17 @@
 func TestJobRunsAndIsReadAnywhere(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 3, Runners: 2, Extra: quickJobs})
-	is.Equal(Submit(f.Nodes[0].Caller(), "j1", Items("j1", 12)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "j1", Items("j1", 12)).Status, http.StatusAccepted)
 	for _, n := range f.callers() { // sent again, at every node: accepted once
-		is.Equal(Submit(n, "j1", Items("j1", 12)).Status, http.StatusAccepted)
+		is.Equal(SubmitJob(n, "j1", Items("j1", 12)).Status, http.StatusAccepted)
 	}
-	body := Call(context.Background(), http.MethodGet, f.Nodes[1].Caller(), "/v1/items/j1?id=j1-11", "", nil, nil)
+	body := Call(context.Background(), http.MethodGet, f.Nodes[1].CallerAddress(), "/v1/items/j1?id=j1-11", "", nil, nil)
 	is.Equal(body.Body, "body 11")
-	results, err := ReadAll(f.callers(), "j1", 10*time.Second)
+	results, err := ReadAllResults(f.callers(), "j1", 10*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "j1", 12, results)
 	for _, n := range f.callers() { // positions are the same everywhere, also from the middle
-		r, _ := Read(n, "j1", 5)
+		r, _ := ReadResults(n, "j1", 5)
 		is.Equal(r.Results[0], results[5])
 		is.Equal(r.Total, 12)
 	}
@@ -69,10 +69,10 @@
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 1, Runners: 2, Extra: quickJobs})
 	for _, r := range f.Runners {
-		r.Behave(func(id string, run int) Behaviour {
+		r.SetBehaviour(func(id string, run int) Behaviour {
 			switch {
 			case id == "j2-0":
-				return Never
+				return Unprocessable
 			case id == "j2-1":
 				return Fail
 			case id == "j2-2" && run == 0:
@@ -81,8 +81,8 @@
 			return Serve
 		})
 	}
-	is.Equal(Submit(f.Nodes[0].Caller(), "j2", Items("j2", 4)).Status, http.StatusAccepted)
-	results, err := ReadAll(f.callers(), "j2", 10*time.Second)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "j2", Items("j2", 4)).Status, http.StatusAccepted)
+	results, err := ReadAllResults(f.callers(), "j2", 10*time.Second)
 	is.NoErr(err)
 	states := map[string]string{}
 	for _, r := range results {
@@ -99,7 +99,7 @@
 		}
 	}
 	f.checkResults(t, "j2", 2, alive)
-	resumed := append(f.Runners[0].Resumed("j2-2"), f.Runners[1].Resumed("j2-2")...)
+	resumed := append(f.Runners[0].ResumePositions("j2-2"), f.Runners[1].ResumePositions("j2-2")...)
 	is.True(len(resumed) >= 2)
 }
 
@@ -108,14 +108,14 @@
 func TestEndedJobStops(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 2, Runners: 1, Slots: 8, Events: 400, Gap: 10 * time.Millisecond, Extra: quickJobs})
-	is.Equal(Submit(f.Nodes[0].Caller(), "j3", Items("j3", 20)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "j3", Items("j3", 20)).Status, http.StatusAccepted)
 	eventually(t, "items run", 2*time.Second, func() bool { return f.Runners[0].Busy() > 0 })
-	is.Equal(End(f.Nodes[1].Caller(), "j3").Status, http.StatusOK)
-	is.Equal(End(f.Nodes[0].Caller(), "j3").Status, http.StatusOK) // repeated
+	is.Equal(EndJob(f.Nodes[1].CallerAddress(), "j3").Status, http.StatusOK)
+	is.Equal(EndJob(f.Nodes[0].CallerAddress(), "j3").Status, http.StatusOK) // repeated
 	eventually(t, "no item runs", 3*time.Second, func() bool { return f.Runners[0].Busy() == 0 })
 	time.Sleep(500 * time.Millisecond)
 	is.Equal(f.Runners[0].Busy(), 0)
-	_, status := Read(f.Nodes[1].Caller(), "j3", 0)
+	_, status := ReadResults(f.Nodes[1].CallerAddress(), "j3", 0)
 	is.Equal(status, http.StatusOK) // what is listed stays readable
 }
 
@@ -128,13 +128,13 @@
 	for _, n := range f.Nodes {
 		eventually(t, "version 2 is in force", 2*time.Second, func() bool { return n.Table().Version == 2 })
 	}
-	is.Equal(Submit(f.Nodes[0].Caller(), "c1", Items("c1", 20)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "c1", Items("c1", 20)).Status, http.StatusAccepted)
 	time.Sleep(1500 * time.Millisecond) // a round between the nodes
-	refused := Submit(f.Nodes[1].Caller(), "c2", Items("c2", 10))
+	refused := SubmitJob(f.Nodes[1].CallerAddress(), "c2", Items("c2", 10))
 	is.Equal(refused.Status, http.StatusTooManyRequests)
 	is.True(refused.Header.Get("Retry-After") != "")
-	is.Equal(Submit(f.Nodes[1].Caller(), "c1", Items("c1", 20)).Status, http.StatusAccepted)
-	is.Equal(Submit(f.Nodes[1].Caller(), "c3", Items("c3", 4)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[1].CallerAddress(), "c1", Items("c1", 20)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[1].CallerAddress(), "c3", Items("c3", 4)).Status, http.StatusAccepted)
 	is.Equal(len(f.Store.Names("marblepond-jobs")), 2)
 }
 
@@ -152,13 +152,13 @@
 func TestOnlineGoesFirst(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 2, Runners: 1, Slots: 8, Events: 60, Gap: 10 * time.Millisecond, Extra: quickJobs})
-	is.Equal(Submit(f.Nodes[0].Caller(), "y1", Items("y1", 16)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "y1", Items("y1", 16)).Status, http.StatusAccepted)
 	eventually(t, "items fill the runner", 2*time.Second, func() bool { return f.Runners[0].Busy() >= 6 })
 	var wg sync.WaitGroup
 	for i := range 6 {
 		wg.Go(func() {
 			asked := time.Now()
-			reply := Ask(context.Background(), f.Nodes[1].Caller(), StreamPath, fmt.Sprint("on", i), nil)
+			reply := SendRequest(context.Background(), f.Nodes[1].CallerAddress(), StreamPath, fmt.Sprint("on", i), nil)
 			if reply.Err != nil || reply.Status != http.StatusOK {
 				t.Errorf("online request %d: %d %v", i, reply.Status, reply.Err)
 			}
@@ -169,12 +169,12 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	wg.Wait()
-	results, err := ReadAll(f.callers(), "y1", 20*time.Second)
+	results, err := ReadAllResults(f.callers(), "y1", 20*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "y1", 16, results)
 	went := 0
 	for i := range 16 {
-		for _, from := range f.Runners[0].Resumed(fmt.Sprint("y1-", i)) {
+		for _, from := range f.Runners[0].ResumePositions(fmt.Sprint("y1-", i)) {
 			if from != "" {
 				went++
 			}
@@ -188,14 +188,14 @@
 func TestHolderLost(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 3, Runners: 2, Slots: 8, Events: 20, Gap: 10 * time.Millisecond, Extra: quickJobs})
-	is.Equal(Submit(f.Nodes[0].Caller(), "l1", Items("l1", 40)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "l1", Items("l1", 40)).Status, http.StatusAccepted)
 	eventually(t, "some results are listed", 10*time.Second, func() bool {
-		r, _ := Read(f.Nodes[1].Caller(), "l1", 0)
+		r, _ := ReadResults(f.Nodes[1].CallerAddress(), "l1", 0)
 		return len(r.Results) > 0
 	})
-	before, _ := Read(f.Nodes[1].Caller(), "l1", 0)
+	before, _ := ReadResults(f.Nodes[1].CallerAddress(), "l1", 0)
 	f.Nodes[0].Kill()
-	results, err := ReadAll(f.callers()[1:], "l1", 20*time.Second)
+	results, err := ReadAllResults(f.callers()[1:], "l1", 20*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "l1", 40, results)
 	for i, r := range before.Results {
@@ -210,10 +210,10 @@
 	f := fleet(t, Options{Nodes: 3, Runners: 2, Slots: 8, Events: 100, Gap: 10 * time.Millisecond,
 		Extra: "[jobs]\ntake_over_after = 700ms\nsweep_interval = 60s\n"})
 	time.Sleep(time.Second) // the first sweeps of the nodes are over
-	is.Equal(Submit(f.Nodes[0].Caller(), "n1", Items("n1", 6)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "n1", Items("n1", 6)).Status, http.StatusAccepted)
 	eventually(t, "items run", 5*time.Second, func() bool { return f.Runners[0].Busy()+f.Runners[1].Busy() >= 6 })
 	f.Nodes[0].Kill()
-	results, err := ReadAll(f.callers()[1:], "n1", 12*time.Second)
+	results, err := ReadAllResults(f.callers()[1:], "n1", 12*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "n1", 6, results)
 }
@@ -223,7 +223,7 @@
 	n := 0
 	for i := range items {
 		for _, r := range f.Runners {
-			for _, after := range r.Resumed(fmt.Sprint(job, "-", i)) {
+			for _, after := range r.ResumePositions(fmt.Sprint(job, "-", i)) {
 				if after != "" {
 					n++
 				}
@@ -238,11 +238,11 @@
 func TestItemsGoOnAfterTheirHolderIsLost(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 3, Runners: 2, Slots: 8, Events: 300, Gap: 10 * time.Millisecond, Extra: quickJobs})
-	is.Equal(Submit(f.Nodes[0].Caller(), "g1", Items("g1", 6)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "g1", Items("g1", 6)).Status, http.StatusAccepted)
 	eventually(t, "items run", 5*time.Second, func() bool { return f.Runners[0].Busy()+f.Runners[1].Busy() >= 6 })
 	time.Sleep(1200 * time.Millisecond) // at least one checkpoint after the first events
 	f.Nodes[0].Kill()
-	results, err := ReadAll(f.callers()[1:], "g1", 20*time.Second)
+	results, err := ReadAllResults(f.callers()[1:], "g1", 20*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "g1", 6, results)
 	is.True(f.wentOn("g1", 6) >= 6)
@@ -258,7 +258,7 @@
 	is.NoErr(f.waitReady(keeper))
 	edge := f.Nodes[0]
 	eventually(t, "the nodes hear each other", 5*time.Second, func() bool { return len(edge.Keepers("g2", nil, func(string) bool { return true })) > 0 })
-	is.Equal(Submit(edge.Caller(), "g2", Items("g2", 6)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(edge.CallerAddress(), "g2", Items("g2", 6)).Status, http.StatusAccepted)
 	eventually(t, "items run", 5*time.Second, func() bool { return f.Runners[0].Busy() >= 6 })
 	time.Sleep(1500 * time.Millisecond) // at least one checkpoint and one write to the disk
 	edge.Kill()
@@ -267,7 +267,7 @@
 	is.NoErr(err)
 	edge, err = f.Restart(edge, quickJobs)
 	is.NoErr(err)
-	results, err := ReadAll([]string{edge.Caller()}, "g2", 20*time.Second)
+	results, err := ReadAllResults([]string{edge.CallerAddress()}, "g2", 20*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "g2", 6, results)
 	is.True(f.wentOn("g2", 6) >= 6)
@@ -278,15 +278,17 @@
 func TestLeavingNodeHandsOver(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 2, Runners: 2, Slots: 8, Events: 100, Gap: 10 * time.Millisecond, Extra: "[jobs]\ntake_over_after = 1m\nsweep_interval = 1m\n"})
-	is.Equal(Submit(f.Nodes[0].Caller(), "h1", Items("h1", 40)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "h1", Items("h1", 40)).Status, http.StatusAccepted)
 	answered := make(chan Reply, 1)
-	go func() { answered <- Ask(context.Background(), f.Nodes[0].Caller(), StreamPath, "h-on", nil) }()
+	go func() {
+		answered <- SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, "h-on", nil)
+	}()
 	eventually(t, "the request runs", time.Second, func() bool { return f.runs("h-on") == 1 })
 	is.NoErr(f.Nodes[0].Terminate())
 	reply := <-answered
 	is.NoErr(reply.Err)
 	is.Equal(StreamText(reply.Body), f.Runners[0].Text("h-on"))
-	results, err := ReadAll(f.callers()[1:], "h1", 20*time.Second)
+	results, err := ReadAllResults(f.callers()[1:], "h1", 20*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "h1", 40, results)
 }
--- a/lab/hosted/online_test.go
+++ b/lab/hosted/online_test.go
@@ -41,7 +41,7 @@
 func (f *Fleet) runs(id string) int {
 	n := 0
 	for _, r := range f.Runners {
-		n += r.Runs(id)
+		n += r.RunCount(id)
 	}
 	return n
 }
@@ -49,7 +49,7 @@
 func TestAnswerIsPassedOnWhole(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 1, Runners: 2})
-	reply := Ask(context.Background(), f.Nodes[0].Caller(), StreamPath+"x?y=%2F", "a1", map[string]string{"X-Marblepond-Deadline-Ms": "3000", "X-Other": "kept"})
+	reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath+"x?y=%2F", "a1", map[string]string{"X-Marblepond-Deadline-Ms": "3000", "X-Other": "kept"})
 	is.NoErr(reply.Err)
 	is.Equal(reply.Status, http.StatusOK)
 	is.Equal(StreamText(reply.Body), f.Runners[0].Text("a1"))
@@ -68,7 +68,7 @@
 // TestBadInput: a clear answer of the right status, and nothing runs.
 func TestBadInput(t *testing.T) {
 	f := fleet(t, Options{Nodes: 1, Runners: 1})
-	at := f.Nodes[0].Caller()
+	at := f.Nodes[0].CallerAddress()
 	duplicate := append(Items("d", 1), Items("d", 1)...)
 	outside := Items("o", 1)
 	outside[0].Path = StreamPath + "run"
@@ -85,17 +85,17 @@
 		{"header over the limit", post(StreamPath, map[string]string{"X-Long": strings.Repeat("x", 5000)}, nil), http.StatusRequestHeaderFieldsTooLarge},
 		{"body over the limit", post(StreamPath, nil, bytes.Repeat([]byte("x"), 70000)), http.StatusRequestEntityTooLarge},
 		{"malformed job", post(BatchPath, nil, []byte(`{"items":[`)), http.StatusBadRequest},
-		{"job without items", Submit(at, "bad", nil), http.StatusBadRequest},
-		{"job without an ID", Submit(at, "", Items("n", 1)), http.StatusBadRequest},
-		{"an item ID twice", Submit(at, "bad", duplicate), http.StatusBadRequest},
-		{"an item outside the route", Submit(at, "bad", outside), http.StatusBadRequest},
-		{"too many items", Submit(at, "bad", many), http.StatusBadRequest},
+		{"job without items", SubmitJob(at, "bad", nil), http.StatusBadRequest},
+		{"job without an ID", SubmitJob(at, "", Items("n", 1)), http.StatusBadRequest},
+		{"an item ID twice", SubmitJob(at, "bad", duplicate), http.StatusBadRequest},
+		{"an item outside the route", SubmitJob(at, "bad", outside), http.StatusBadRequest},
+		{"too many items", SubmitJob(at, "bad", many), http.StatusBadRequest},
 		{"job read with PUT", Call(context.Background(), http.MethodPut, at, "/v1/lots/bad", "", nil, nil), http.StatusMethodNotAllowed},
 		{"job submitted with GET", Call(context.Background(), http.MethodGet, at, BatchPath, "bad", nil, nil), http.StatusMethodNotAllowed},
 		{"unknown job", Call(context.Background(), http.MethodGet, at, "/v1/lots/bad?after=0", "", nil, nil), http.StatusNotFound},
 		{"a position that is no number", Call(context.Background(), http.MethodGet, at, "/v1/lots/bad?after=-1", "", nil, nil), http.StatusBadRequest},
 		{"item of an unknown job", Call(context.Background(), http.MethodGet, at, "/v1/items/bad?id=x", "", nil, nil), http.StatusNotFound},
-		{"end of an unknown job", End(at, "bad"), http.StatusNotFound},
+		{"end of an unknown job", EndJob(at, "bad"), http.StatusNotFound},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -114,13 +114,13 @@
 func TestRefusalElsewhere(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 1, Runners: 2})
-	f.Runners[0].Behave(func(string, int) Behaviour { return Full })
+	f.Runners[0].SetBehaviour(func(string, int) Behaviour { return Full })
 	for i := range 6 {
-		is.Equal(Ask(context.Background(), f.Nodes[0].Caller(), StreamPath, fmt.Sprint("r", i), nil).Status, http.StatusOK)
+		is.Equal(SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, fmt.Sprint("r", i), nil).Status, http.StatusOK)
 	}
-	f.Runners[1].Behave(func(string, int) Behaviour { return Full })
+	f.Runners[1].SetBehaviour(func(string, int) Behaviour { return Full })
 	asked := time.Now()
-	reply := Ask(context.Background(), f.Nodes[0].Caller(), StreamPath, "full", nil)
+	reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, "full", nil)
 	is.Equal(reply.Status, http.StatusServiceUnavailable)
 	is.True(reply.Header.Get("Retry-After") != "")
 	is.True(time.Since(asked) < time.Second)
@@ -134,14 +134,14 @@
 	for _, c := range []struct {
 		name string
 		what Behaviour
-	}{{"answer lost", LoseAnswer}, {"answer of another request", ForeignID}, {"answer without proof", NoProof}, {"broken off in an event", BreakOff}} {
+	}{{"answer lost", LoseAnswer}, {"answer of another request", ForeignID}, {"answer without proof", NoStamp}, {"broken off in an event", BreakOff}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			for _, r := range f.Runners {
-				r.Behave(func(string, int) Behaviour { return c.what })
+				r.SetBehaviour(func(string, int) Behaviour { return c.what })
 			}
 			id := "once-" + fmt.Sprint(int(c.what))
-			reply := Ask(context.Background(), f.Nodes[0].Caller(), StreamPath, id, nil)
+			reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, id, nil)
 			is.True(reply.Err != nil || reply.Status == http.StatusInternalServerError || reply.Status == http.StatusBadGateway)
 			is.Equal(f.runs(id), 1)
 		})
@@ -166,10 +166,10 @@
 				return what
 			}
 			for _, r := range f.Runners {
-				r.Behave(behave)
+				r.SetBehaviour(behave)
 			}
 			id := "resume-" + fmt.Sprint(int(c.what))
-			reply := Ask(context.Background(), f.Nodes[0].Caller(), ResumePath, id, nil)
+			reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), ResumePath, id, nil)
 			is.NoErr(reply.Err)
 			is.Equal(StreamText(reply.Body), f.Runners[0].Text(id))
 			is.Equal(f.runs(id), 2)
@@ -182,9 +182,9 @@
 func TestClientResumes(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 1, Runners: 1})
-	reply := Ask(context.Background(), f.Nodes[0].Caller(), ResumePath, "c1", map[string]string{"Last-Event-Id": "4"})
+	reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), ResumePath, "c1", map[string]string{"Last-Event-Id": "4"})
 	is.NoErr(reply.Err)
-	is.Equal(StreamText(reply.Body), Data("c1", 5)+"\n"+Data("c1", 6))
+	is.Equal(StreamText(reply.Body), EventData("c1", 5)+"\n"+EventData("c1", 6))
 }
 
 // TestRepeatable: an idempotent request is run again elsewhere, within its
@@ -195,9 +195,9 @@
 			is := is.New(t)
 			f := fleet(t, Options{Nodes: 1, Runners: c.runners})
 			for _, r := range f.Runners {
-				r.Behave(func(string, int) Behaviour { return LoseAnswer })
+				r.SetBehaviour(func(string, int) Behaviour { return LoseAnswer })
 			}
-			reply := Ask(context.Background(), f.Nodes[0].Caller(), RepeatPath, "again", nil)
+			reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), RepeatPath, "again", nil)
 			is.Equal(reply.Status, http.StatusBadGateway) // it ran: no refusal
 			is.Equal(f.runs("again"), c.runs)
 		})
@@ -209,8 +209,8 @@
 	f := fleet(t, Options{Nodes: 1, Runners: 1, Slots: 8, Events: 100, Gap: 20 * time.Millisecond})
 	ctx, cancel := context.WithTimeout(context.Background(), 150*time.Millisecond)
 	defer cancel()
-	Ask(ctx, f.Nodes[0].Caller(), StreamPath, "gone", nil)
-	eventually(t, "the run was ended", 500*time.Millisecond, func() bool { return f.Runners[0].Cut("gone") == 1 })
+	SendRequest(ctx, f.Nodes[0].CallerAddress(), StreamPath, "gone", nil)
+	eventually(t, "the run was ended", 500*time.Millisecond, func() bool { return f.Runners[0].CancelledRuns("gone") == 1 })
 }
 
 // TestRouteTimeout: a request that lasts longer than its route allows ends at
@@ -221,7 +221,7 @@
 	f.Store.Put("config", "main", Config(2, func(c map[string]any) { c["routes"].([]any)[0].(map[string]any)["timeout_ms"] = 300 }))
 	eventually(t, "version 2 is in force", 2*time.Second, func() bool { return f.Nodes[0].Table().Version == 2 })
 	asked := time.Now()
-	reply := Ask(context.Background(), f.Nodes[0].Caller(), StreamPath, "long", nil)
+	reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, "long", nil)
 	is.True(reply.Err != nil) // it had begun, and must not look complete
 	is.True(time.Since(asked) < 700*time.Millisecond)
 }
@@ -234,8 +234,8 @@
 	f.Store.Put("servers", "i-0", f.Runners[0].Entry("hall-a", "draining"))
 	time.Sleep(1500 * time.Millisecond)
 	for i := range 10 {
-		is.Equal(Ask(context.Background(), f.Nodes[i%2].Caller(), StreamPath, fmt.Sprint("d", i), nil).Status, http.StatusOK)
-		is.Equal(f.Runners[0].Runs(fmt.Sprint("d", i)), 0)
+		is.Equal(SendRequest(context.Background(), f.Nodes[i%2].CallerAddress(), StreamPath, fmt.Sprint("d", i), nil).Status, http.StatusOK)
+		is.Equal(f.Runners[0].RunCount(fmt.Sprint("d", i)), 0)
 	}
 }
 
@@ -254,12 +254,12 @@
 			is := is.New(t)
 			f := fleet(t, Options{Nodes: 1, Runners: 1, Slots: 8, Events: 250, Gap: 10 * time.Millisecond})
 			r := f.Runners[0]
-			is.Equal(Ask(context.Background(), f.Nodes[0].Caller(), path, "before", nil).Status, http.StatusOK)
+			is.Equal(SendRequest(context.Background(), f.Nodes[0].CallerAddress(), path, "before", nil).Status, http.StatusOK)
 			r.restart = func() {} // the list does not tell yet
 			r.Kill(50 * time.Millisecond)
 			eventually(t, "it has started again", time.Second, r.up)
 			time.AfterFunc(200*time.Millisecond, func() { f.Store.Put("servers", r.ID, r.Entry("hall-a", "ready")) })
-			reply := Ask(context.Background(), f.Nodes[0].Caller(), path, "meanwhile", nil)
+			reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), path, "meanwhile", nil)
 			is.NoErr(reply.Err)
 			is.Equal(reply.Status, http.StatusOK)
 			is.Equal(StreamText(reply.Body), r.Text("meanwhile"))
@@ -275,8 +275,8 @@
 	f := fleet(t, Options{Nodes: 1, Runners: 2})
 	f.Runners[0].ID = "i-other"
 	for i := range 8 {
-		is.Equal(Ask(context.Background(), f.Nodes[0].Caller(), StreamPath, fmt.Sprint("u", i), nil).Status, http.StatusOK)
-		is.Equal(f.Runners[0].Runs(fmt.Sprint("u", i)), 0)
+		is.Equal(SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, fmt.Sprint("u", i), nil).Status, http.StatusOK)
+		is.Equal(f.Runners[0].RunCount(fmt.Sprint("u", i)), 0)
 	}
 }
 
@@ -292,12 +292,12 @@
 func TestRoomIsWaitedFor(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 1, Runners: 1, Slots: 8, Events: 60, Gap: 10 * time.Millisecond})
-	is.Equal(Submit(f.Nodes[0].Caller(), "room", Items("room", 20)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "room", Items("room", 20)).Status, http.StatusAccepted)
 	eventually(t, "items fill the runner", 2*time.Second, func() bool { return f.Runners[0].Busy() >= 6 })
-	strangers := f.Runners[0].Fill(2) // of a node that is not heard
+	strangers := f.Runners[0].OccupySlots(2) // of a node that is not heard
 	defer strangers()
 	for i := range 4 {
-		reply := Ask(context.Background(), f.Nodes[0].Caller(), StreamPath, fmt.Sprint("room-on-", i), nil)
+		reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, fmt.Sprint("room-on-", i), nil)
 		is.NoErr(reply.Err)
 		is.Equal(reply.Status, http.StatusOK)
 	}
--- a/lab/hosted/request_bench_test.go
+++ b/lab/hosted/request_bench_test.go
@@ -37,7 +37,7 @@
 			client := http.Client{Transport: &http.Transport{DisableCompression: true}}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				askOn(b, &client, f.Nodes[0].Caller(), fmt.Sprint(i))
+				askOn(b, &client, f.Nodes[0].CallerAddress(), fmt.Sprint(i))
 			}
 		})
 	}
--- a/lab/hosted/runner.go
+++ b/lab/hosted/runner.go
@@ -18,16 +18,16 @@
 
 // The behaviours.
 const (
-	Serve      Behaviour = iota // a whole answer
-	BreakOff                    // the connection breaks in the middle of an event
-	LoseAnswer                  // it runs, and the connection closes without an answer
-	ForeignID                   // the answer carries the ID of another request
-	NoProof                     // the answer carries no proof
-	Fail                        // it runs and answers 500
-	Never                       // the request can never be done: 422
-	Full                        // refused, not run
-	Stall                       // the head and one event, then silence
-	Crash                       // the runner's process ends soon after the run began
+	Serve         Behaviour = iota // a whole answer
+	BreakOff                       // the connection breaks in the middle of an event
+	LoseAnswer                     // it runs, and the connection closes without an answer
+	ForeignID                      // the answer carries the ID of another request
+	NoStamp                        // the answer carries no proof
+	Fail                           // it runs and answers 500
+	Unprocessable                  // the request can never be done: 422
+	Full                           // refused, not run
+	Stall                          // the head and one event, then silence
+	Crash                          // the runner's process ends soon after the run began
 )
 
 // Runner is the stand-in of a runner.
@@ -64,8 +64,8 @@
 	At        time.Time
 }
 
-// Starts returns the requests that began to run, in order.
-func (r *Runner) Starts() []RunStart {
+// RunStarts returns the requests that began to run, in order.
+func (r *Runner) RunStarts() []RunStart {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]RunStart(nil), r.starts...)
@@ -146,16 +146,16 @@
 	return r.server != nil
 }
 
-// Ends returns how often the runner's process has ended.
-func (r *Runner) Ends() int {
+// ExitCount returns how often the runner's process has ended.
+func (r *Runner) ExitCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ends
 }
 
-// Arrived returns how many requests reached the runner, run or not, whose IDs begin
+// ArrivalCount returns how many requests reached the runner, run or not, whose IDs begin
 // with a text.
-func (r *Runner) Arrived(prefix string) int {
+func (r *Runner) ArrivalCount(prefix string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -167,30 +167,30 @@
 	return n
 }
 
-// Behave sets how requests are treated, by their ID and how often this runner
+// SetBehaviour sets how requests are treated, by their ID and how often this runner
 // ran them before.
-func (r *Runner) Behave(f func(requestID string, run int) Behaviour) {
+func (r *Runner) SetBehaviour(f func(requestID string, run int) Behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.behave = f
 }
 
-// Runs returns how often the runner began to run a request.
-func (r *Runner) Runs(requestID string) int {
+// RunCount returns how often the runner began to run a request.
+func (r *Runner) RunCount(requestID string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[requestID]
 }
 
-// Resumed returns the Last-Event-Id of each run of a request.
-func (r *Runner) Resumed(requestID string) []string {
+// ResumePositions returns the Last-Event-Id of each run of a request.
+func (r *Runner) ResumePositions(requestID string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.resume[requestID]...)
 }
 
-// Cut returns how many runs of a request the sender ended.
-func (r *Runner) Cut(requestID string) int {
+// CancelledRuns returns how many runs of a request the sender ended.
+func (r *Runner) CancelledRuns(requestID string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cut[requestID]
@@ -214,23 +214,23 @@
 		"slots": float64(r.slots), "state": state, "warmup_left_ms": float64(r.cold.left(time.Now()).Milliseconds()), "seq": 1, "born": r.born.UnixMilli()}
 }
 
-// EntryOfNextStart returns what the runner registers when it has started again
+// EntryAfterRestart returns what the runner registers when it has started again
 // under its ID.
-func (r *Runner) EntryOfNextStart(dataCentre string) map[string]any {
+func (r *Runner) EntryAfterRestart(dataCentre string) map[string]any {
 	entry := r.Entry(dataCentre, "ready")
 	entry["born"] = entry["born"].(int64) + 5000
 	return entry
 }
 
-// Data returns the data of event n of a request.
-func Data(requestID string, n int) string { return fmt.Sprintf("%s piece %d", requestID, n) }
+// EventData returns the data of event n of a request.
+func EventData(requestID string, n int) string { return fmt.Sprintf("%s piece %d", requestID, n) }
 
 // Text returns the whole text of a request's answer, the events joined as a
 // batch result has them.
 func (r *Runner) Text(requestID string) string {
 	var lines []string
 	for n := 1; n <= r.events; n++ {
-		lines = append(lines, Data(requestID, n))
+		lines = append(lines, EventData(requestID, n))
 	}
 	return strings.Join(lines, "\n")
 }
@@ -286,14 +286,14 @@
 		time.AfterFunc(crashAfter, func() { r.Kill(downTime) })
 	case LoseAnswer:
 		panic(http.ErrAbortHandler)
-	case Fail, Never:
+	case Fail, Unprocessable:
 		w.Header().Set("X-Marblepond-Server-Stamp", stamp)
-		w.WriteHeader(map[Behaviour]int{Fail: http.StatusInternalServerError, Never: http.StatusUnprocessableEntity}[what])
+		w.WriteHeader(map[Behaviour]int{Fail: http.StatusInternalServerError, Unprocessable: http.StatusUnprocessableEntity}[what])
 		return
 	case ForeignID:
 		w.Header().Set("X-Marblepond-Request-Id", "another")
 	}
-	if what != NoProof {
+	if what != NoStamp {
 		w.Header().Set("X-Marblepond-Server-Stamp", stamp)
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -318,7 +318,7 @@
 			_ = flush.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		fmt.Fprintf(w, "id: %d\ndata: %s\n\n", n, Data(id, n))
+		fmt.Fprintf(w, "id: %d\ndata: %s\n\n", n, EventData(id, n))
 		if flush.Flush() != nil {
 			return
 		}
@@ -329,8 +329,8 @@
 	}
 }
 
-// Fill takes slots that no node knows of, until the function returned is called.
-func (r *Runner) Fill(slots int) (free func()) {
+// OccupySlots takes slots that no node knows of, until the function returned is called.
+func (r *Runner) OccupySlots(slots int) (free func()) {
 	r.busy.Add(int32(slots))
 	return func() { r.busy.Add(int32(-slots)) }
 }
--- a/lab/hosted/store.go
+++ b/lab/hosted/store.go
@@ -20,12 +20,12 @@
 
 // StoreFaults are what can be wrong with the store.
 type StoreFaults struct {
-	Down      bool          // every call is answered 503
-	Silent    bool          // no call is answered
-	Latency   time.Duration // added to every call
-	LoseWrite float64       // share of writes that are done and not answered
-	LateWrite time.Duration // lost writes are done this much later
-	Stale     time.Duration // age of what reads with stale_ok show
+	Down              bool          // every call is answered 503
+	Unresponsive      bool          // no call is answered
+	Latency           time.Duration // added to every call
+	LostResponseShare float64       // share of writes that are done and not answered
+	LateWriteDelay    time.Duration // lost writes are done this much later
+	StaleReadAge      time.Duration // age of what reads with stale_ok show
 }
 
 // Meta is the metadata of an object.
@@ -64,7 +64,7 @@
 	floor   int64 // history up to here is gone
 	calls   map[string]int
 	closed  chan struct{}
-	doors   []*Door
+	doors   []*Endpoint
 }
 
 // NewStore starts a store on a loopback address.
@@ -88,15 +88,15 @@
 	s.server.Close()
 }
 
-// Set replaces the faults in force.
-func (s *Store) Set(f StoreFaults) {
+// SetFaults replaces the faults in force.
+func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Forget drops the history of changes.
-func (s *Store) Forget() {
+// DropHistory drops the history of changes.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.floor, s.history = s.rev, nil
@@ -109,15 +109,15 @@
 	return maps.Clone(s.calls)
 }
 
-// Door is a second address of the store, for nodes that it can be told to turn away.
-type Door struct {
+// Endpoint is a second address of the store, for nodes that it can be told to turn away.
+type Endpoint struct {
 	server *httptest.Server
 	closed atomic.Bool
 }
 
-// NewDoor opens a door, which Store.Close closes.
-func (s *Store) NewDoor() *Door {
-	d := &Door{}
+// NewEndpoint opens a door, which Store.Close closes.
+func (s *Store) NewEndpoint() *Endpoint {
+	d := &Endpoint{}
 	d.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if d.closed.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -132,12 +132,12 @@
 }
 
 // Settings returns the settings of a node that uses the door, in INI.
-func (d *Door) Settings() string {
+func (d *Endpoint) Settings() string {
 	return "[store]\naddress = " + d.server.Listener.Addr().String() + "\n"
 }
 
-// Shut turns its nodes away, or lets them in again.
-func (d *Door) Shut(shut bool) { d.closed.Store(shut) }
+// SetDown turns its nodes away, or lets them in again.
+func (d *Endpoint) SetDown(shut bool) { d.closed.Store(shut) }
 
 // Put writes an object as the operator or a runner would.
 func (s *Store) Put(kind, name string, spec any) int64 {
@@ -209,7 +209,7 @@
 	s.mu.Unlock()
 	time.Sleep(f.Latency)
 	switch {
-	case f.Silent:
+	case f.Unresponsive:
 		_, _ = io.Copy(io.Discard, r.Body) // net/http notices a caller that leaves only after that
 		select {
 		case <-r.Context().Done():
@@ -235,11 +235,11 @@
 			return
 		}
 	}
-	lost := rand.Float64() < f.LoseWrite
-	if lost && f.LateWrite > 0 {
-		time.AfterFunc(f.LateWrite, func() { s.apply(r.Method, kind, name, sent) })
+	lost := rand.Float64() < f.LostResponseShare
+	if lost && f.LateWriteDelay > 0 {
+		time.AfterFunc(f.LateWriteDelay, func() { s.apply(r.Method, kind, name, sent) })
 	}
-	if lost && f.LateWrite > 0 {
+	if lost && f.LateWriteDelay > 0 {
 		panic(http.ErrAbortHandler)
 	}
 	status, answer := s.apply(r.Method, kind, name, sent)
@@ -310,8 +310,8 @@
 		Revision int64    `json:"store_revision"`
 	}{Items: []Object{}, Revision: s.rev}
 	objects := s.kinds[kind]
-	if stale && f.Stale > 0 {
-		objects = s.asOf(kind, time.Now().Add(-f.Stale))
+	if stale && f.StaleReadAge > 0 {
+		objects = s.asOf(kind, time.Now().Add(-f.StaleReadAge))
 	}
 	for _, name := range slices.Sorted(maps.Keys(objects)) {
 		if name <= after {
--- a/lab/hosted/store_test.go
+++ b/lab/hosted/store_test.go
@@ -18,7 +18,7 @@
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 3, Runners: 1})
 	f.Store.Put("config", "main", Config(5))
-	f.Store.Forget()
+	f.Store.DropHistory()
 	for _, n := range f.Nodes {
 		eventually(t, "version 5 is in force", 2*time.Second, func() bool { return n.Table().Version == 5 })
 	}
@@ -36,23 +36,23 @@
 	for _, c := range []struct {
 		name   string
 		faults StoreFaults
-	}{{"refusing", StoreFaults{Down: true}}, {"silent", StoreFaults{Silent: true}}} {
+	}{{"refusing", StoreFaults{Down: true}}, {"silent", StoreFaults{Unresponsive: true}}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := fleet(t, Options{Nodes: 2, Runners: 2, Slots: 8, Events: 20, Gap: 10 * time.Millisecond, Extra: quickJobs})
-			is.Equal(Submit(f.Nodes[0].Caller(), "s1", Items("s1", 10)).Status, http.StatusAccepted)
-			f.Store.Set(c.faults)
-			refused := Submit(f.Nodes[1].Caller(), "s2", Items("s2", 2))
+			is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "s1", Items("s1", 10)).Status, http.StatusAccepted)
+			f.Store.SetFaults(c.faults)
+			refused := SubmitJob(f.Nodes[1].CallerAddress(), "s2", Items("s2", 2))
 			is.Equal(refused.Status, http.StatusServiceUnavailable)
 			is.True(refused.Header.Get("Retry-After") != "")
 			for i := range 4 {
-				is.Equal(Ask(context.Background(), f.Nodes[i%2].Caller(), StreamPath, fmt.Sprint("s", i), nil).Status, http.StatusOK)
+				is.Equal(SendRequest(context.Background(), f.Nodes[i%2].CallerAddress(), StreamPath, fmt.Sprint("s", i), nil).Status, http.StatusOK)
 			}
-			_, status := Read(f.Nodes[1].Caller(), "s-unknown", 0)
+			_, status := ReadResults(f.Nodes[1].CallerAddress(), "s-unknown", 0)
 			is.Equal(status, http.StatusServiceUnavailable) // not sure, so not 404
 			time.Sleep(2500 * time.Millisecond)
-			f.Store.Set(StoreFaults{})
-			results, err := ReadAll(f.callers(), "s1", 15*time.Second)
+			f.Store.SetFaults(StoreFaults{})
+			results, err := ReadAllResults(f.callers(), "s1", 15*time.Second)
 			is.NoErr(err)
 			f.checkResults(t, "s1", 10, results)
 			is.Equal(f.runs("s2-0"), 0)
@@ -70,14 +70,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := fleet(t, Options{Nodes: 2, Runners: 2, Extra: quickJobs})
-			f.Store.Set(StoreFaults{LoseWrite: 0.4, LateWrite: c.late})
+			f.Store.SetFaults(StoreFaults{LostResponseShare: 0.4, LateWriteDelay: c.late})
 			var wg sync.WaitGroup
 			for n := range 6 {
 				wg.Go(func() {
 					job := fmt.Sprint("w", n)
 					status := 0
 					for try := 0; try < 10 && status != http.StatusAccepted; try++ { // as clients do: again, elsewhere
-						status = Submit(f.Nodes[try%2].Caller(), job, Items(job, 6)).Status
+						status = SubmitJob(f.Nodes[try%2].CallerAddress(), job, Items(job, 6)).Status
 					}
 					if status != http.StatusAccepted {
 						t.Errorf("job %s is not accepted: %d", job, status)
@@ -86,13 +86,13 @@
 			}
 			wg.Wait()
 			time.Sleep(time.Second)
-			f.Store.Set(StoreFaults{})
+			f.Store.SetFaults(StoreFaults{})
 			for n := range 6 {
 				job := fmt.Sprint("w", n)
-				results, err := ReadAll(f.callers(), job, 15*time.Second)
+				results, err := ReadAllResults(f.callers(), job, 15*time.Second)
 				is.NoErr(err)
 				f.checkResults(t, job, 6, results)
-				again, err := ReadAll(f.callers()[1:], job, 5*time.Second)
+				again, err := ReadAllResults(f.callers()[1:], job, 5*time.Second)
 				is.NoErr(err)
 				is.Equal(again, results)
 			}
@@ -111,7 +111,7 @@
 	is.NoErr(f.waitReady(cut))
 	cutStore := NewStore() // a node whose store answers nothing
 	defer cutStore.Close()
-	cutStore.Set(StoreFaults{Down: true})
+	cutStore.SetFaults(StoreFaults{Down: true})
 	real := f.Store
 	f.Store = cutStore
 	lone, err := f.StartNode("edge-lone", "")
@@ -120,7 +120,7 @@
 	is.NoErr(f.waitReady(lone)) // configuration and targets came from peers
 	f.Store.Put("config", "main", Config(7))
 	eventually(t, "version 7 is in force at the cut node", 2*time.Second, func() bool { return lone.Table().Version == 7 })
-	is.Equal(Ask(context.Background(), lone.Caller(), StreamPath, "lone", nil).Status, http.StatusOK)
+	is.Equal(SendRequest(context.Background(), lone.CallerAddress(), StreamPath, "lone", nil).Status, http.StatusOK)
 }
 
 // TestNoConfigurationYet: a node that knows no configuration refuses with 503
@@ -129,12 +129,12 @@
 	is := is.New(t)
 	f := &Fleet{Store: NewStore(), Log: testWriter{}}
 	defer f.Stop()
-	f.Store.Set(StoreFaults{Down: true})
+	f.Store.SetFaults(StoreFaults{Down: true})
 	n, err := f.StartNode("edge-0", "")
 	is.NoErr(err)
 	var reply Reply
 	eventually(t, "it answers", 2*time.Second, func() bool {
-		reply = Ask(context.Background(), n.Caller(), StreamPath, "n1", nil)
+		reply = SendRequest(context.Background(), n.CallerAddress(), StreamPath, "n1", nil)
 		return reply.Err == nil
 	})
 	is.Equal(reply.Status, http.StatusServiceUnavailable)
@@ -155,14 +155,14 @@
 	defer f.Stop()
 	f.Store.Put("config", "main", Config(1))
 	f.addRunner(NewRunner("i-0", Service, 8, 3, time.Millisecond))
-	f.Store.Set(StoreFaults{Latency: 40 * time.Millisecond})
+	f.Store.SetFaults(StoreFaults{Latency: 40 * time.Millisecond})
 	n, err := f.StartNode("edge-0", "")
 	is.NoErr(err)
 	var reply Reply
 	asked := time.Now()
 	eventually(t, "it answers", 2*time.Second, func() bool {
 		asked = time.Now()
-		reply = Ask(context.Background(), n.Caller(), StreamPath, "first", nil)
+		reply = SendRequest(context.Background(), n.CallerAddress(), StreamPath, "first", nil)
 		return reply.Err == nil
 	})
 	is.Equal(reply.Status, http.StatusOK)
@@ -177,16 +177,16 @@
 	f := fleet(t, Options{Nodes: 1, Runners: 1, Slots: 4, Events: 3, Gap: time.Millisecond, Extra: disk})
 	time.Sleep(3 * time.Second) // until it is written
 	f.Nodes[0].Kill()
-	f.Store.Set(StoreFaults{Silent: true})
+	f.Store.SetFaults(StoreFaults{Unresponsive: true})
 	_, err := f.StartNode("keeper", disk)
 	is.NoErr(err)
 	edge, err := f.StartNode("edge-new", "")
 	is.NoErr(err)
 	is.NoErr(f.waitReady(edge))
-	reply := Ask(context.Background(), edge.Caller(), StreamPath+"x", "r1", nil)
+	reply := SendRequest(context.Background(), edge.CallerAddress(), StreamPath+"x", "r1", nil)
 	is.Equal(reply.Status, 200)
 	is.Equal(StreamText(reply.Body), f.Runners[0].Text("r1"))
-	is.Equal(Ask(context.Background(), edge.Caller(), "/newer/x", "r2", nil).Status, 503) // there may be such a route by now
+	is.Equal(SendRequest(context.Background(), edge.CallerAddress(), "/newer/x", "r2", nil).Status, 503) // there may be such a route by now
 }
 
 // TestCallsToTheStore: following costs the same for few and for many nodes,
--- a/lab/hosted/workspaces.go
+++ b/lab/hosted/workspaces.go
@@ -29,38 +29,40 @@
 	}
 }
 
-// As returns the header of a caller with a key.
-func As(key string) map[string]string { return map[string]string{"Authorization": "Bearer " + key} }
+// KeyHeader returns the header of a caller with a key.
+func KeyHeader(key string) map[string]string {
+	return map[string]string{"Authorization": "Bearer " + key}
+}
 
-// AskAs sends a request for tokens with a key.
-func AskAs(node, path, id, key string) Reply {
-	return Ask(context.Background(), node, path, id, As(key))
+// SendRequestWithKey sends a request for tokens with a key.
+func SendRequestWithKey(node, path, id, key string) Reply {
+	return SendRequest(context.Background(), node, path, id, KeyHeader(key))
 }
 
-// SubmitAs sends a job with a key.
-func SubmitAs(node, job, key string, items []Item) Reply {
-	return Call(context.Background(), http.MethodPost, node, BatchPath+"submit", job, As(key), jobBody(items))
+// SubmitJobWithKey sends a job with a key.
+func SubmitJobWithKey(node, job, key string, items []Item) Reply {
+	return Call(context.Background(), http.MethodPost, node, BatchPath+"submit", job, KeyHeader(key), jobBody(items))
 }
 
-// ReadAs reads results with a key from a position on.
-func ReadAs(node, job, key string, after int) (Results, int) {
-	header := As(key)
+// ReadResultsWithKey reads results with a key from a position on.
+func ReadResultsWithKey(node, job, key string, after int) (Results, int) {
+	header := KeyHeader(key)
 	header["X-Marblepond-Wait-Ms"] = "300"
 	return read(node, job, after, header)
 }
 
-// ReadAllAs reads a job with a key to its end, at the nodes in turn.
-func ReadAllAs(nodes []string, job, key string, within time.Duration) ([]Result, error) {
-	return readAll(nodes, job, within, func(node string, after int) (Results, int) { return ReadAs(node, job, key, after) })
+// ReadAllResultsWithKey reads a job with a key to its end, at the nodes in turn.
+func ReadAllResultsWithKey(nodes []string, job, key string, within time.Duration) ([]Result, error) {
+	return readAll(nodes, job, within, func(node string, after int) (Results, int) { return ReadResultsWithKey(node, job, key, after) })
 }
 
-// EndAs ends a job with a key.
-func EndAs(node, job, key string) Reply {
-	return Call(context.Background(), http.MethodDelete, node, "/v1/lots/"+job, "", As(key), nil)
+// EndJobWithKey ends a job with a key.
+func EndJobWithKey(node, job, key string) Reply {
+	return Call(context.Background(), http.MethodDelete, node, "/v1/lots/"+job, "", KeyHeader(key), nil)
 }
 
-// MostIn returns the most times that lie in any window of so long.
-func MostIn(times []time.Time, window time.Duration) int {
+// MaxInWindow returns the most times that lie in any window of so long.
+func MaxInWindow(times []time.Time, window time.Duration) int {
 	slices.SortFunc(times, time.Time.Compare)
 	most, first := 0, 0
 	for i, at := range times {
--- a/lab/hosted/workspaces_test.go
+++ b/lab/hosted/workspaces_test.go
@@ -57,33 +57,33 @@
 func TestTargetsLearnTheWorkspace(t *testing.T) {
 	is := is.New(t)
 	f := startWith(t, Options{Nodes: 2, Runners: 2}, twoWorkspaces)
-	at := f.Nodes[0].Caller()
-	lying := As("k-two")
+	at := f.Nodes[0].CallerAddress()
+	lying := KeyHeader("k-two")
 	lying["X-Marblepond-Tenant"] = "keystel"
-	is.Equal(Ask(context.Background(), at, StreamPath, "w1", lying).Status, http.StatusOK)
+	is.Equal(SendRequest(context.Background(), at, StreamPath, "w1", lying).Status, http.StatusOK)
 	is.Equal(f.headerAt("w1")["X-Marblepond-Tenant"], []string{"kurzeme"})
 	is.Equal(f.headerAt("w1").Get("Authorization"), "")
-	is.Equal(AskAs(at, ResumePath, "w2", "s-one").Status, http.StatusOK)
+	is.Equal(SendRequestWithKey(at, ResumePath, "w2", "s-one").Status, http.StatusOK)
 	is.Equal(f.headerAt("w2").Get("X-Marblepond-Tenant"), "keystel")
 
-	is.Equal(Ask(context.Background(), at, OpenPath, "w3", map[string]string{"X-Marblepond-Tenant": "keystel", "Authorization": "Bearer nobody's"}).Status, http.StatusOK)
+	is.Equal(SendRequest(context.Background(), at, OpenPath, "w3", map[string]string{"X-Marblepond-Tenant": "keystel", "Authorization": "Bearer nobody's"}).Status, http.StatusOK)
 	is.Equal(len(f.headerAt("w3")["X-Marblepond-Tenant"]), 0)
 	is.Equal(f.headerAt("w3").Get("Authorization"), "")
-	is.Equal(AskAs(at, OpenPath, "w4", "s-one").Status, http.StatusOK)
+	is.Equal(SendRequestWithKey(at, OpenPath, "w4", "s-one").Status, http.StatusOK)
 	is.Equal(f.headerAt("w4").Get("X-Marblepond-Tenant"), "keystel")
 
 	for name, header := range map[string]map[string]string{
-		"no-key": nil, "unknown": As("k-three"), "empty": As(""), "scheme": {"Authorization": "Basic k-one"}, "bare": {"Authorization": "k-one"},
+		"no-key": nil, "unknown": KeyHeader("k-three"), "empty": KeyHeader(""), "scheme": {"Authorization": "Basic k-one"}, "bare": {"Authorization": "k-one"},
 	} {
 		reply := Call(context.Background(), http.MethodPost, at, StreamPath, name, header, bytes.Repeat([]byte("x"), 70000)) // a body over the limit isn't read
 		is.Equal(reply.Status, http.StatusUnauthorized)                                                                      // name
 		is.Equal(reply.Header.Get("WWW-Authenticate"), "Bearer")
 		is.Equal(f.runs(name), 0)
 	}
-	is.Equal(Submit(at, "w5", Items("w5", 1)).Status, http.StatusUnauthorized)
-	_, status := Read(at, "w5", 0)
+	is.Equal(SubmitJob(at, "w5", Items("w5", 1)).Status, http.StatusUnauthorized)
+	_, status := ReadResults(at, "w5", 0)
 	is.Equal(status, http.StatusUnauthorized)
-	is.Equal(End(at, "w5").Status, http.StatusUnauthorized)
+	is.Equal(EndJob(at, "w5").Status, http.StatusUnauthorized)
 }
 
 // TestWithoutWorkspacesNothingIsAsked: a configuration without workspaces asks for no
@@ -91,9 +91,9 @@
 func TestWithoutWorkspacesNothingIsAsked(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 1, Runners: 1})
-	header := As("some key")
+	header := KeyHeader("some key")
 	header["X-Marblepond-Tenant"] = "kurzeme"
-	is.Equal(Ask(context.Background(), f.Nodes[0].Caller(), StreamPath, "n1", header).Status, http.StatusOK)
+	is.Equal(SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, "n1", header).Status, http.StatusOK)
 	is.Equal(f.headerAt("n1").Get("Authorization"), "Bearer some key")
 	is.Equal(f.headerAt("n1").Get("X-Marblepond-Tenant"), "")
 }
@@ -109,9 +109,9 @@
 		Workspace{Name: "other", Keys: []string{"shared", "f"}}, Workspace{Name: "other", Keys: []string{"g"}},
 		map[string]any{"name": "keyless"}, Workspace{Name: "kurzeme", Keys: []string{"h"}},
 	))
-	at := f.Nodes[0].Caller()
+	at := f.Nodes[0].CallerAddress()
 	for key, status := range map[string]int{"a": 401, "b": 401, "c": 401, "d": 401, "e": 200, "": 401, "4": 401, "shared": 401, "f": 200, "g": 401, "h": 200} {
-		is.Equal(AskAs(at, StreamPath, "u-"+key, key).Status, status) // key
+		is.Equal(SendRequestWithKey(at, StreamPath, "u-"+key, key).Status, status) // key
 	}
 }
 
@@ -128,19 +128,21 @@
 	eventually(t, "the node cut off has version 2", 2*time.Second, func() bool { return cut.Table().Version == 2 })
 	open := map[string]*keptConnection{}
 	for _, n := range f.Nodes {
-		open[n.Settings.NodeID] = &keptConnection{node: n.Caller()}
+		open[n.Settings.NodeID] = &keptConnection{node: n.CallerAddress()}
 		is.Equal(open[n.Settings.NodeID].ask(t, "k-one"), http.StatusOK)
 	}
 	f.Store.Put("config", "main", Config(3, WithWorkspaces(Workspace{Name: "kurzeme", Keys: []string{"k-two"}}, Workspace{Name: "keystel", Keys: []string{}})))
 	acked := time.Now()
 	fresh, err := f.StartNode("edge-new", "")
 	is.NoErr(err)
-	open["edge-new"] = &keptConnection{node: fresh.Caller()}
+	open["edge-new"] = &keptConnection{node: fresh.CallerAddress()}
 	time.Sleep(time.Until(acked.Add(f.Nodes[0].Settings.ConfigWithin)))
 	statuses := make([]int, len(f.Nodes))
 	var wg sync.WaitGroup
 	for i, n := range f.Nodes { // at all at once, on connections of their own
-		wg.Go(func() { statuses[i] = AskAs(n.Caller(), StreamPath, fmt.Sprint("all-", i), "k-one").Status })
+		wg.Go(func() {
+			statuses[i] = SendRequestWithKey(n.CallerAddress(), StreamPath, fmt.Sprint("all-", i), "k-one").Status
+		})
 	}
 	wg.Wait()
 	is.Equal(statuses, []int{401, 401, 401, 401, 401}) // three nodes, the one cut off and the new one
@@ -193,17 +195,17 @@
 func TestJobsBelongToTheirWorkspace(t *testing.T) {
 	is := is.New(t)
 	f := fleet(t, Options{Nodes: 2, Runners: 2, Extra: quickJobs})
-	is.Equal(Submit(f.Nodes[0].Caller(), "before", Items("before", 2)).Status, http.StatusAccepted)
+	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "before", Items("before", 2)).Status, http.StatusAccepted)
 	f.enforce(t, 2, twoWorkspaces)
-	at := f.Nodes[0].Caller()
+	at := f.Nodes[0].CallerAddress()
 	items := Items("one", 3)
 	items[1].Headers = map[string]string{"X-Marblepond-Tenant": "keystel", "authorization": "Bearer s-one", "X-Kept": "yes"}
-	is.Equal(SubmitAs(at, "same", "k-one", items).Status, http.StatusAccepted)
-	is.Equal(SubmitAs(at, "same", "s-one", Items("two", 2)).Status, http.StatusAccepted)
-	is.Equal(SubmitAs(f.Nodes[1].Caller(), "same", "k-two", items).Status, http.StatusAccepted) // accepted before
+	is.Equal(SubmitJobWithKey(at, "same", "k-one", items).Status, http.StatusAccepted)
+	is.Equal(SubmitJobWithKey(at, "same", "s-one", Items("two", 2)).Status, http.StatusAccepted)
+	is.Equal(SubmitJobWithKey(f.Nodes[1].CallerAddress(), "same", "k-two", items).Status, http.StatusAccepted) // accepted before
 	read := func(job, key string) []Result {
 		t.Helper()
-		results, err := ReadAllAs(f.callers(), job, key, 10*time.Second)
+		results, err := ReadAllResultsWithKey(f.callers(), job, key, 10*time.Second)
 		is.NoErr(err)
 		return results
 	}
@@ -215,13 +217,13 @@
 	is.Equal(f.headerAt("two-1").Get("X-Marblepond-Tenant"), "keystel")
 	is.Equal(len(read("before", "s-one")), 2) // from before there were workspaces
 
-	is.Equal(SubmitAs(at, "mine", "k-one", Items("mine", 1)).Status, http.StatusAccepted)
+	is.Equal(SubmitJobWithKey(at, "mine", "k-one", Items("mine", 1)).Status, http.StatusAccepted)
 	for _, n := range f.Nodes {
 		for _, id := range []string{"mine", "mine@kurzeme", "mine%40kurzeme"} {
-			_, status := ReadAs(n.Caller(), id, "s-one", 0)
+			_, status := ReadResultsWithKey(n.CallerAddress(), id, "s-one", 0)
 			is.Equal(status, http.StatusNotFound)
-			is.Equal(Call(context.Background(), http.MethodGet, n.Caller(), "/v1/items/"+id+"?id=mine-0", "", As("s-one"), nil).Status, http.StatusNotFound)
-			is.Equal(Call(context.Background(), http.MethodDelete, n.Caller(), "/v1/lots/"+id, "", As("s-one"), nil).Status, http.StatusNotFound)
+			is.Equal(Call(context.Background(), http.MethodGet, n.CallerAddress(), "/v1/items/"+id+"?id=mine-0", "", KeyHeader("s-one"), nil).Status, http.StatusNotFound)
+			is.Equal(Call(context.Background(), http.MethodDelete, n.CallerAddress(), "/v1/lots/"+id, "", KeyHeader("s-one"), nil).Status, http.StatusNotFound)
 		}
 	}
 	is.Equal(len(read("mine", "k-one")), 1)
@@ -240,7 +242,7 @@
 		at := nodes[asked%len(nodes)]
 		asked++
 		wg.Go(func() {
-			if reply := AskAs(at, StreamPath, id, key); reply.Status == http.StatusTooManyRequests {
+			if reply := SendRequestWithKey(at, StreamPath, id, key); reply.Status == http.StatusTooManyRequests {
 				over.Add(1)
 			}
 		})
@@ -253,13 +255,13 @@
 func (f *Fleet) mostInWindow(prefix string, window time.Duration) int {
 	var begun []time.Time
 	for _, r := range f.Runners {
-		for _, s := range r.Starts() {
+		for _, s := range r.RunStarts() {
 			if strings.HasPrefix(s.RequestID, prefix+"-") {
 				begun = append(begun, s.At)
 			}
 		}
 	}
-	return MostIn(begun, window)
+	return MaxInWindow(begun, window)
 }
 
 // TestAllowanceHoldsOverTheFleet: one workspace asks for ten times its allowance at all
@@ -294,7 +296,7 @@
 	is.Equal(usualRefused, 0)
 	ran := 0
 	for _, r := range f.Runners {
-		for _, s := range r.Starts() {
+		for _, s := range r.RunStarts() {
 			if strings.HasPrefix(s.RequestID, "hot-") {
 				ran++
 			}
@@ -303,7 +305,7 @@
 	is.True(ran >= 5*perSecond) // what it may have it gets, less the time of the killed node
 	reply := Reply{}
 	for i := range 200 {
-		if reply = AskAs(f.Nodes[0].Caller(), StreamPath, fmt.Sprint("late-", i), "h"); reply.Status == http.StatusTooManyRequests {
+		if reply = SendRequestWithKey(f.Nodes[0].CallerAddress(), StreamPath, fmt.Sprint("late-", i), "h"); reply.Status == http.StatusTooManyRequests {
 			break
 		}
 	}
@@ -319,12 +321,12 @@
 func TestUnrunRequestsTakeNothing(t *testing.T) {
 	is := is.New(t)
 	f := startWith(t, Options{Nodes: 1, Runners: 1, Extra: "[allowance]\nslack = 0\n"}, WithWorkspaces(Workspace{Name: "w", Keys: []string{"k"}, PerSecond: 1, Burst: 3}))
-	f.Runners[0].Behave(func(string, int) Behaviour { return Full })
+	f.Runners[0].SetBehaviour(func(string, int) Behaviour { return Full })
 	for i := range 10 {
-		is.Equal(AskAs(f.Nodes[0].Caller(), StreamPath, fmt.Sprint("full-", i), "k").Status, http.StatusServiceUnavailable)
+		is.Equal(SendRequestWithKey(f.Nodes[0].CallerAddress(), StreamPath, fmt.Sprint("full-", i), "k").Status, http.StatusServiceUnavailable)
 	}
-	f.Runners[0].Behave(func(string, int) Behaviour { return Serve })
-	is.Equal(AskAs(f.Nodes[0].Caller(), StreamPath, "served", "k").Status, http.StatusOK)
+	f.Runners[0].SetBehaviour(func(string, int) Behaviour { return Serve })
+	is.Equal(SendRequestWithKey(f.Nodes[0].CallerAddress(), StreamPath, "served", "k").Status, http.StatusOK)
 }
 
 // TestTokensThatWaitCountOverTheFleet: two jobs that come at two nodes at once don't both
@@ -342,7 +344,7 @@
 		replies := make([]Reply, 4)
 		var wg sync.WaitGroup
 		for n := range replies {
-			wg.Go(func() { replies[n] = SubmitAs(f.Nodes[n].Caller(), job(n), "k-one", Items(job(n), 6)) })
+			wg.Go(func() { replies[n] = SubmitJobWithKey(f.Nodes[n].CallerAddress(), job(n), "k-one", Items(job(n), 6)) })
 		}
 		wg.Wait()
 		var accepted []int
@@ -356,10 +358,10 @@
 		}
 		is.Equal(len(accepted), 1)
 		first := accepted[0]
-		is.Equal(SubmitAs(f.Nodes[(first+1)%4].Caller(), job(first), "k-two", Items(job(first), 6)).Status, http.StatusAccepted)
-		is.Equal(SubmitAs(f.Nodes[(first+1)%4].Caller(), job(9), "s-one", Items(job(9), 6)).Status, http.StatusAccepted)
+		is.Equal(SubmitJobWithKey(f.Nodes[(first+1)%4].CallerAddress(), job(first), "k-two", Items(job(first), 6)).Status, http.StatusAccepted)
+		is.Equal(SubmitJobWithKey(f.Nodes[(first+1)%4].CallerAddress(), job(9), "s-one", Items(job(9), 6)).Status, http.StatusAccepted)
 		for _, end := range []struct{ job, key string }{{job(first), "k-two"}, {job(9), "s-one"}} {
-			is.Equal(Call(context.Background(), http.MethodDelete, f.Nodes[0].Caller(), "/v1/lots/"+end.job, "", As(end.key), nil).Status, http.StatusOK)
+			is.Equal(Call(context.Background(), http.MethodDelete, f.Nodes[0].CallerAddress(), "/v1/lots/"+end.job, "", KeyHeader(end.key), nil).Status, http.StatusOK)
 		}
 		time.Sleep(time.Second) // the end is known everywhere
 	}
@@ -370,16 +372,16 @@
 func TestOneWorkspacesJobsDontHoldUpAnother(t *testing.T) {
 	is := is.New(t)
 	f := startWith(t, Options{Nodes: 1, Runners: 1, Slots: 4, Events: 10, Gap: 10 * time.Millisecond, Extra: quickJobs}, twoWorkspaces)
-	at := f.Nodes[0].Caller()
+	at := f.Nodes[0].CallerAddress()
 	for n := range 12 {
-		is.Equal(SubmitAs(at, fmt.Sprint("many-", n), "k-one", Items(fmt.Sprint("many-", n), 10)).Status, http.StatusAccepted)
+		is.Equal(SubmitJobWithKey(at, fmt.Sprint("many-", n), "k-one", Items(fmt.Sprint("many-", n), 10)).Status, http.StatusAccepted)
 	}
-	is.Equal(SubmitAs(at, "few", "s-one", Items("few", 6)).Status, http.StatusAccepted)
-	results, err := ReadAllAs([]string{at}, "few", "s-one", 10*time.Second)
+	is.Equal(SubmitJobWithKey(at, "few", "s-one", Items("few", 6)).Status, http.StatusAccepted)
+	results, err := ReadAllResultsWithKey([]string{at}, "few", "s-one", 10*time.Second)
 	is.NoErr(err)
 	is.Equal(len(results), 6)
 	ran := 0
-	for _, s := range f.Runners[0].Starts() {
+	for _, s := range f.Runners[0].RunStarts() {
 		if strings.HasPrefix(s.RequestID, "many-") {
 			ran++
 		}
@@ -395,7 +397,7 @@
 	f := startWith(t, Options{Nodes: 3, Runners: 2, Extra: "[allowance]\nslack = 0\n"}, WithWorkspaces(Workspace{Name: "small", Keys: []string{"k"}, PerSecond: 2, Burst: 2}, Workspace{Name: "free", Keys: []string{"f"}}))
 	refused := 0
 	for i := range 12 {
-		if AskAs(f.Nodes[i%3].Caller(), StreamPath, fmt.Sprint("seen-", i), "k").Status == http.StatusTooManyRequests {
+		if SendRequestWithKey(f.Nodes[i%3].CallerAddress(), StreamPath, fmt.Sprint("seen-", i), "k").Status == http.StatusTooManyRequests {
 			refused++
 		}
 	}
@@ -436,6 +438,6 @@
 	owner := slices.Index(names, rendezvous.First("backlog batch kurzeme", names))
 	f.Nodes[owner].Kill()
 	asked := time.Now()
-	is.Equal(SubmitAs(f.Nodes[(owner+1)%4].Caller(), "after", "k-one", Items("after", 2)).Status, http.StatusAccepted)
+	is.Equal(SubmitJobWithKey(f.Nodes[(owner+1)%4].CallerAddress(), "after", "k-one", Items("after", 2)).Status, http.StatusAccepted)
 	is.True(time.Since(asked) < 900*time.Millisecond)
 }
--- a/lab/hostedsoak/faults.go
+++ b/lab/hostedsoak/faults.go
@@ -86,15 +86,15 @@
 	case ResetCallers:
 		return through(i.fleet.nodes[f.Which].callers, Mode{Reset: true})
 	case CutPeers:
-		return through(i.fleet.nodes[f.Which].peers, Mode{Silent: true})
+		return through(i.fleet.nodes[f.Which].peers, Mode{Blocked: true})
 	case DeafPeers:
-		return through(i.fleet.nodes[f.Which].peers, Mode{OneWay: true})
+		return through(i.fleet.nodes[f.Which].peers, Mode{AnswersBlocked: true})
 	case CutStore:
-		return through(i.fleet.nodes[f.Which].store, Mode{Silent: true})
+		return through(i.fleet.nodes[f.Which].store, Mode{Blocked: true})
 	case ResetStore:
 		return through(i.fleet.nodes[f.Which].store, Mode{Reset: true})
 	case StoreForgets:
-		i.fleet.store.Forget()
+		i.fleet.store.DropHistory()
 	case ConfigChange:
 		i.changeConfig()
 	case SlowRunner, CutRunner, ResetRunner, CrashRunner, DrainRunner, BadRunner:
@@ -106,8 +106,8 @@
 }
 
 func through(p *Proxy, m Mode) (undo func()) {
-	p.Set(m)
-	return func() { p.Set(Mode{}) }
+	p.SetMode(m)
+	return func() { p.SetMode(Mode{}) }
 }
 
 func (i *injector) signal(f Fault, n *node) (undo func()) {
@@ -155,20 +155,20 @@
 	case SlowRunner:
 		return through(s.proxy, Mode{Delay: slowPiece})
 	case CutRunner:
-		return through(s.proxy, Mode{Silent: true})
+		return through(s.proxy, Mode{Blocked: true})
 	case ResetRunner:
 		return through(s.proxy, Mode{Reset: true})
 	case BadRunner:
 		s.mu.Lock()
 		runner := s.runner
 		s.mu.Unlock()
-		runner.Behave(func(string, int) hosted.Behaviour {
+		runner.SetBehaviour(func(string, int) hosted.Behaviour {
 			if rand.IntN(badOneIn) > 0 {
 				return hosted.Serve
 			}
-			return []hosted.Behaviour{hosted.BreakOff, hosted.LoseAnswer, hosted.ForeignID, hosted.NoProof, hosted.Fail, hosted.Full}[rand.IntN(6)]
+			return []hosted.Behaviour{hosted.BreakOff, hosted.LoseAnswer, hosted.ForeignID, hosted.NoStamp, hosted.Fail, hosted.Full}[rand.IntN(6)]
 		})
-		return func() { runner.Behave(func(string, int) hosted.Behaviour { return hosted.Serve }) }
+		return func() { runner.SetBehaviour(func(string, int) hosted.Behaviour { return hosted.Serve }) }
 	}
 	return i.replace(f, s)
 }
@@ -184,14 +184,14 @@
 	}
 	s.mu.Unlock()
 	if f.Kind == CrashRunner {
-		s.proxy.Set(Mode{Reset: true})
+		s.proxy.SetMode(Mode{Reset: true})
 		time.AfterFunc(entryLapses, func() { i.fleet.store.Delete("servers", old.ID) })
 	} else {
 		time.Sleep(drainsFor)
 	}
 	return func() {
 		i.fleet.store.Delete("servers", old.ID)
-		s.proxy.Set(Mode{})
+		s.proxy.SetMode(Mode{})
 		i.fleet.seat(s, f.Which)
 	}
 }
@@ -205,15 +205,15 @@
 		case StoreDown:
 			i.store.Down = on
 		case StoreSilent:
-			i.store.Silent = on
+			i.store.Unresponsive = on
 		case StoreSlow:
 			i.store.Latency = pick(on, slowCall)
 		case StoreLost:
-			i.store.LoseWrite = pick(on, lostShare)
+			i.store.LostResponseShare = pick(on, lostShare)
 		case StoreLate:
-			i.store.LoseWrite, i.store.LateWrite = pick(on, lostShare), pick(on, lateWrite)
+			i.store.LostResponseShare, i.store.LateWriteDelay = pick(on, lostShare), pick(on, lateWrite)
 		}
-		i.fleet.store.Set(i.store)
+		i.fleet.store.SetFaults(i.store)
 	}
 	set(true)
 	return func() { set(false) }
--- a/lab/hostedsoak/load.go
+++ b/lab/hostedsoak/load.go
@@ -191,7 +191,7 @@
 func (l *load) accepted(id string) bool {
 	promised := true
 	for range jobTries {
-		reply := hosted.SubmitAs(l.pick().callers.Address(), id, steadyKey, hosted.Items(id, jobItems))
+		reply := hosted.SubmitJobWithKey(l.pick().callers.Address(), id, steadyKey, hosted.Items(id, jobItems))
 		switch {
 		case reply.Err == nil && reply.Status == http.StatusAccepted:
 			return true
@@ -211,7 +211,7 @@
 
 func (l *load) endJob(id string) bool {
 	for range endTries {
-		if reply := hosted.EndAs(l.pick().callers.Address(), id, steadyKey); reply.Err == nil && reply.Status == http.StatusOK {
+		if reply := hosted.EndJobWithKey(l.pick().callers.Address(), id, steadyKey); reply.Err == nil && reply.Status == http.StatusOK {
 			l.history.end(id)
 			return true
 		}
@@ -229,7 +229,7 @@
 			after = rand.IntN(after)
 		}
 		at := l.pick()
-		page, status := hosted.ReadAs(at.callers.Address(), j.id, steadyKey, after)
+		page, status := hosted.ReadResultsWithKey(at.callers.Address(), j.id, steadyKey, after)
 		l.take(j, at, after, page, status)
 		if len(j.results) == jobItems {
 			return true
--- a/lab/hostedsoak/proxy.go
+++ b/lab/hostedsoak/proxy.go
@@ -9,10 +9,10 @@
 
 // Mode is what a proxy does to the connections through it.
 type Mode struct {
-	Delay  time.Duration // added to each piece, both ways
-	Reset  bool          // open connections are reset, and new ones at once
-	Silent bool          // nothing passes, and nothing is closed
-	OneWay bool          // only towards the server: its answers do not pass
+	Delay          time.Duration // added to each piece, both ways
+	Reset          bool          // open connections are reset, and new ones at once
+	Blocked        bool          // nothing passes, and nothing is closed
+	AnswersBlocked bool          // only towards the server: its answers do not pass
 }
 
 // Proxy stands between two processes on loopback addresses.
@@ -40,8 +40,8 @@
 // Address returns where the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes what happens to connections, also to open ones.
-func (p *Proxy) Set(m Mode) {
+// SetMode changes what happens to connections, also to open ones.
+func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
@@ -164,7 +164,7 @@
 		p.mu.Lock()
 		m, closed := p.mode, p.closed
 		p.mu.Unlock()
-		if closed || !(m.Silent || (m.OneWay && answers)) {
+		if closed || !(m.Blocked || (m.AnswersBlocked && answers)) {
 			time.Sleep(m.Delay)
 			return
 		}
--- a/lab/hostedsoak/soak.go
+++ b/lab/hostedsoak/soak.go
@@ -105,7 +105,7 @@
 	}
 	for _, j := range l.jobs {
 		for _, n := range l.fleet.nodes {
-			page, status := hosted.ReadAs(n.callers.Address(), j.id, steadyKey, 0)
+			page, status := hosted.ReadResultsWithKey(n.callers.Address(), j.id, steadyKey, 0)
 			l.take(j, n, 0, page, status)
 			if status != http.StatusOK {
 				l.history.violate("job %s cannot be read at %s at the end: status %d", j.id, n.name, status)
@@ -130,7 +130,7 @@
 	runs := map[string]int{}
 	for _, r := range f.runners {
 		left, leaves := h.leaving[r]
-		for _, s := range r.Starts() {
+		for _, s := range r.RunStarts() {
 			runs[s.RequestID]++
 			if leaves && s.At.After(left.Add(drainedCheck)) && h.calmLocked(left, s.At, harmless...) {
 				violate("%s began at %s, %v after it announced that it leaves", s.RequestID, r.ID, s.At.Sub(left))
--- a/lab/hostedsoak/workspaces.go
+++ b/lab/hostedsoak/workspaces.go
@@ -59,7 +59,7 @@
 // checkWalls reads jobs with the key of another workspace.
 func (l *load) checkWalls() {
 	for _, j := range l.jobs {
-		if _, status := hosted.ReadAs(l.pick().callers.Address(), j.id, otherKey, 0); status == http.StatusOK {
+		if _, status := hosted.ReadResultsWithKey(l.pick().callers.Address(), j.id, otherKey, 0); status == http.StatusOK {
 			l.history.violate("job %s was read with the key of another workspace", j.id)
 		}
 	}
@@ -69,7 +69,7 @@
 func checkWorkspaces(f *fleet, h *history, violate func(format string, args ...any)) {
 	var tight []time.Time
 	for _, r := range f.runners {
-		for _, s := range r.Starts() {
+		for _, s := range r.RunStarts() {
 			switch header := r.Header(s.RequestID); {
 			case header.Get("Authorization") != "":
 				violate("request %s reached %s with its key", s.RequestID, r.ID)
@@ -85,7 +85,7 @@
 			}
 		}
 	}
-	if most, allowed := hosted.MostIn(tight, tightWindow), (tightRate*tightWindow.Seconds()+tightBurst)*tightOver+tightSlack; float64(most) > allowed {
+	if most, allowed := hosted.MaxInWindow(tight, tightWindow), (tightRate*tightWindow.Seconds()+tightBurst)*tightOver+tightSlack; float64(most) > allowed {
 		violate("%d requests of tight began within %v, %.0f may", most, tightWindow, allowed)
 	}
 }
