--- a/cmd/marblepond/evacuate.go
+++ b/cmd/marblepond/evacuate.go
@@ -11,14 +11,15 @@
 	"github.com/marblepond/marblepond/api/marblepond/v1/marblepondv1connect"
 )
 
-// evacuate shows the plan of an evacuation or its end, or confirms it.
+// evacuate prints the plan of an evacuation or of its end, or applies that plan if --base
+// is given.
 func evacuate(ctx context.Context, c *cli.Command, client marblepondv1connect.OperatorServiceClient) error {
 	if c.Args().Len() != 1 {
 		return errors.New("name one data centre: marblepond evacuate DATA_CENTRE")
 	}
 	change := &v1.Evacuation{DataCentre: c.Args().First(), End: c.Bool("end")}
 	if c.IsSet("base") {
-		return confirm(ctx, client, &v1.ApplyRequest{Evacuation: change, BaseVersion: c.Uint64("base")})
+		return applyPlan(ctx, client, &v1.ApplyRequest{Evacuation: change, BaseVersion: c.Uint64("base")})
 	}
 	resp, err := client.Plan(ctx, &v1.PlanRequest{Evacuation: change})
 	if err != nil {
--- a/cmd/marblepond/main.go
+++ b/cmd/marblepond/main.go
@@ -1,4 +1,4 @@
-// Command marblepond runs a node ("agent") and the operators' commands.
+// Command marblepond runs a node ("agent") and the commands for operators.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/marblepond/marblepond/platform"
 )
 
-// version is set by the linker for releases.
+// version is set by the linker in releases.
 var version = "dev"
 
 func main() {
@@ -48,29 +48,30 @@
 			if err != nil {
 				return err
 			}
-			return run(ctx, c.String("settings"), s)
+			return runNode(ctx, c.String("settings"), s)
 		},
 	}
 }
 
-// run runs the node whose interface the settings at path choose.
-func run(ctx context.Context, path string, s *settings.Settings) error {
+// runNode runs a node with the settings s, read from path, until ctx ends. A hosted node
+// reads them again upon SIGHUP.
+func runNode(ctx context.Context, path string, s *settings.Settings) error {
 	log := logwriter.New(os.Stdout)
 	defer log.Close()
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	sighups := make(chan os.Signal, 1)
+	signal.Notify(sighups, syscall.SIGHUP)
 	if s.Front == settings.FrontHosted {
 		hosted := platform.New(node.HostedDependencies(s, log))
-		go hosted.WatchSettings(ctx, path, hangups)
+		go hosted.WatchSettings(ctx, path, sighups)
 		return hosted.Run(ctx)
 	}
-	return node.New(s, log).Run(ctx) // a hangup is ignored: every setting is read at the start
+	return node.New(s, log).Run(ctx) // SIGHUP is ignored: settings are read only at the start
 }
 
 func checkCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "check",
-		Usage: "check a settings file and report every fault, one a line",
+		Usage: "check a settings file and report every fault, one per line",
 		Flags: []cli.Flag{settingsFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if _, err := settings.Load(c.String("settings")); err != nil {
--- a/cmd/marblepond/operators.go
+++ b/cmd/marblepond/operators.go
@@ -17,13 +17,13 @@
 	"github.com/marblepond/marblepond/internal/process/timeline"
 )
 
-// operatorTimeout bounds one operator's call.
+// operatorTimeout bounds one operator command.
 const operatorTimeout = 2 * time.Minute
 
 type operatorAction func(ctx context.Context, c *cli.Command, client marblepondv1connect.OperatorServiceClient) error
 
-// operator makes a command that calls a node.
-func operator(name, usage string, flags []cli.Flag, run operatorAction) *cli.Command {
+// operatorCommand returns a command that calls the operator service of a node.
+func operatorCommand(name, usage string, flags []cli.Flag, run operatorAction) *cli.Command {
 	common := []cli.Flag{
 		&cli.StringFlag{Name: "node", Value: "127.0.0.1:7071", Sources: cli.EnvVars("MARBLEPOND_NODE"), Usage: "peer address `IP:PORT` of any node"},
 		&cli.StringFlag{Name: "key", Sources: cli.EnvVars("MARBLEPOND_OPERATOR_KEY"), Usage: "operator `KEY`"},
@@ -42,20 +42,20 @@
 	file := &cli.StringFlag{Name: "file", Aliases: []string{"f"}, Required: true, Usage: "the intent, an INI `FILE`"}
 	base := &cli.Uint64Flag{Name: "base", Required: true, Usage: "the base `VERSION` that plan printed"}
 	request := &cli.StringFlag{Name: "request", Usage: "only events of this request `ID`"}
-	confirmed := &cli.Uint64Flag{Name: "base", Usage: "confirm the plan that was made from this `VERSION`; without it the plan is shown"}
-	end := &cli.BoolFlag{Name: "end", Usage: "let its targets get work again"}
+	confirmed := &cli.Uint64Flag{Name: "base", Usage: "confirm the plan with this base `VERSION`; without it the plan is shown"}
+	end := &cli.BoolFlag{Name: "end", Usage: "end the evacuation: the targets get work again"}
 	work := &cli.StringFlag{Name: "work", Required: true, Usage: "the `FINGERPRINT` that quarantine printed"}
 	limit := &cli.Uint32Flag{Name: "limit", Value: 200, Usage: "newest `N` events"}
 	return []*cli.Command{
-		operator("plan", "show what an intent would change", []cli.Flag{file}, plan),
-		operator("apply", "confirm a plan", []cli.Flag{file, base}, apply),
-		operator("evacuate", "keep new work from all targets of a data centre: evacuate DATA_CENTRE", []cli.Flag{end, confirmed}, evacuate),
-		operator("status", "show nodes, data centres and the configuration in force", nil, status),
-		operator("targets", "show the targets of the node's data centre", nil, targets),
-		operator("workspaces", "show each workspace's use of its allowance, who lends it and why it was last refused", nil, workspaces),
-		operator("quarantine", "show the requests that are refused because targets crash under them", nil, quarantine),
-		operator("release", "let a refused request run again, at every node", []cli.Flag{work}, release),
-		operator("timeline", "show what the fleet decided, in order of time", []cli.Flag{request, limit}, showTimeline),
+		operatorCommand("plan", "show what an intent would change", []cli.Flag{file}, plan),
+		operatorCommand("apply", "confirm a plan", []cli.Flag{file, base}, apply),
+		operatorCommand("evacuate", "stop new work at all targets of a data centre: evacuate DATA_CENTRE", []cli.Flag{end, confirmed}, evacuate),
+		operatorCommand("status", "show nodes, data centres and the configuration in force", nil, status),
+		operatorCommand("targets", "show the targets of the node's data centre", nil, targets),
+		operatorCommand("workspaces", "show each workspace's use of its rate limit, the node that lends it and the last refusal", nil, workspaces),
+		operatorCommand("quarantine", "show the requests that are refused because they crash targets", nil, quarantine),
+		operatorCommand("release", "allow a refused request to run again, at every node", []cli.Flag{work}, release),
+		operatorCommand("timeline", "show the events of all nodes, ordered by time", []cli.Flag{request, limit}, showTimeline),
 		batchCommand(),
 	}
 }
@@ -100,11 +100,11 @@
 	if err != nil {
 		return err
 	}
-	return confirm(ctx, client, &v1.ApplyRequest{Intent: string(intent), BaseVersion: c.Uint64("base")})
+	return applyPlan(ctx, client, &v1.ApplyRequest{Intent: string(intent), BaseVersion: c.Uint64("base")})
 }
 
-// confirm applies a plan and tells what came of it.
-func confirm(ctx context.Context, client marblepondv1connect.OperatorServiceClient, req *v1.ApplyRequest) error {
+// applyPlan applies a plan and prints the new version, or a fresh plan if it is stale.
+func applyPlan(ctx context.Context, client marblepondv1connect.OperatorServiceClient, req *v1.ApplyRequest) error {
 	resp, err := client.Apply(ctx, req)
 	if err != nil {
 		return err
@@ -117,14 +117,14 @@
 	return nil
 }
 
-func table() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) }
+func newTable() *tabwriter.Writer { return tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0) }
 
 func status(ctx context.Context, _ *cli.Command, client marblepondv1connect.OperatorServiceClient) error {
 	resp, err := client.Status(ctx, &v1.StatusRequest{})
 	if err != nil {
 		return err
 	}
-	out := table()
+	out := newTable()
 	fmt.Fprintln(out, "NODE\tDATA CENTRE\tSTATE\tANSWERED\tLEAVING\tVERSION")
 	for _, s := range resp.Nodes {
 		fmt.Fprintf(out, "%s\t%s\t%s\t%t\t%t\t%d\n", s.Node.Id, s.Node.DataCentre, s.State, s.Answered, s.Node.Leaving, s.Node.ConfigVersion)
@@ -132,7 +132,7 @@
 	out.Flush()
 	for _, dc := range resp.DataCentres {
 		if !dc.Reachable {
-			fmt.Printf("data centre %s is cut off\n", dc.DataCentre)
+			fmt.Printf("data centre %s is unreachable\n", dc.DataCentre)
 		}
 		if dc.Evacuated {
 			fmt.Printf("data centre %s is evacuated\n", dc.DataCentre)
@@ -141,7 +141,7 @@
 	if resp.InForceEverywhere {
 		fmt.Printf("version %d is in force at every node asked\n", resp.HeadVersion)
 	} else {
-		fmt.Printf("version %d is the newest; not every node is seen to have it in force\n", resp.HeadVersion)
+		fmt.Printf("version %d is the newest; not every node is known to have it in force\n", resp.HeadVersion)
 	}
 	return nil
 }
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	out := table()
+	out := newTable()
 	fmt.Fprintln(out, "TARGET\tSERVICE\tOWNER\tRUNNING\tBATCH\tMAX\tLOADED\tOUT BECAUSE")
 	for _, t := range resp.Targets {
 		fmt.Fprintf(out, "%s\t%s\t%s\t%d\t%d\t%d\t%v\t%s\n", t.Target, t.Service, t.Owner, t.Load.Running, t.Load.Batch, t.Load.MaxRunning, t.Load.Loaded, t.Ejected)
@@ -164,17 +164,17 @@
 	if err != nil {
 		return err
 	}
-	out := table()
+	out := newTable()
 	fmt.Fprintln(out, "WORK\tLAST CRASH\tLET GO IN\tTARGETS")
 	for _, r := range resp.Refused {
-		fmt.Fprintf(out, "%s\t%v ago\t%v\t%s\n", r.Work, seconds(r.SinceMs), seconds(r.LeftMs), strings.Join(r.Targets, " "))
+		fmt.Fprintf(out, "%s\t%v ago\t%v\t%s\n", r.Work, roundToSeconds(r.SinceMs), roundToSeconds(r.LeftMs), strings.Join(r.Targets, " "))
 	}
 	out.Flush()
-	fmt.Printf("%d refused, %d crashes remembered\n", len(resp.Refused), resp.Crashes)
+	fmt.Printf("%d refused, %d crashes counted\n", len(resp.Refused), resp.Crashes)
 	return nil
 }
 
-func seconds(ms uint32) time.Duration {
+func roundToSeconds(ms uint32) time.Duration {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second)
 }
 
@@ -184,9 +184,9 @@
 		return err
 	}
 	if !resp.Known {
-		return fmt.Errorf("no crash is held against %s", c.String("work"))
+		return fmt.Errorf("no crash is known that counts against %s", c.String("work"))
 	}
-	fmt.Println("released; other nodes hear of it within a second")
+	fmt.Println("released; other nodes learn of it within a second")
 	return nil
 }
 
@@ -195,14 +195,14 @@
 	if err != nil {
 		return err
 	}
-	out := table()
+	out := newTable()
 	for _, e := range resp.Events {
 		at := timeline.HLC(e.Hlc).Time().Format("15:04:05.000")
 		fmt.Fprintf(out, "%s\t%s\t%d %s\t%s\t%s\t%s\n", at, e.Node, e.Code, e.Name, e.RequestId, e.Subject, e.Cause)
 	}
 	out.Flush()
 	for _, missing := range resp.Missing {
-		fmt.Printf("node %s did not answer; its events are missing\n", missing)
+		fmt.Printf("node %s did not respond; its events are missing\n", missing)
 	}
 	return nil
 }
@@ -211,15 +211,15 @@
 	id := &cli.StringFlag{Name: "id", Required: true, Usage: "the batch `ID`"}
 	submit := []cli.Flag{
 		&cli.StringFlag{Name: "file", Aliases: []string{"f"}, Required: true, Usage: "items, a JSONL `FILE`"},
-		&cli.StringFlag{Name: "workspace", Aliases: []string{"w"}, Required: true, Usage: "the `NAME` it runs for"},
-		&cli.StringFlag{Name: "idempotency-key", Usage: "a `KEY`: sent twice it is the same batch"},
-		&cli.DurationFlag{Name: "window", Value: 24 * time.Hour, Usage: "`TIME` until it is due"},
+		&cli.StringFlag{Name: "workspace", Aliases: []string{"w"}, Required: true, Usage: "`NAME` of the workspace"},
+		&cli.StringFlag{Name: "idempotency-key", Usage: "a `KEY`; submitting it again returns the same batch"},
+		&cli.DurationFlag{Name: "window", Value: 24 * time.Hour, Usage: "`TIME` until the batch should be complete"},
 	}
 	return &cli.Command{Name: "batch", Usage: "submit, show, cancel and read batches", Commands: []*cli.Command{
-		operator("submit", "submit a JSONL file as a batch", submit, submitBatch),
-		operator("show", "show a batch", []cli.Flag{id}, showBatch),
-		operator("cancel", "stop a batch", []cli.Flag{id}, cancelBatch),
-		operator("results", "print the results committed so far as JSONL", []cli.Flag{id}, batchResults),
+		operatorCommand("submit", "submit a JSONL file as a batch", submit, submitBatch),
+		operatorCommand("show", "show a batch", []cli.Flag{id}, showBatch),
+		operatorCommand("cancel", "stop a batch", []cli.Flag{id}, cancelBatch),
+		operatorCommand("results", "print the results committed so far as JSONL", []cli.Flag{id}, batchResults),
 	}}
 }
 
--- a/cmd/marblepond/workspaces.go
+++ b/cmd/marblepond/workspaces.go
@@ -15,49 +15,49 @@
 	"github.com/marblepond/marblepond/internal/connection/peer"
 )
 
-// workspaces asks a node for the workspaces, and each node that lends some of them for
-// their use.
+// workspaces prints the use of each workspace's rate limit. It queries the node for the
+// workspaces, and then each node that lends some of them for their use.
 func workspaces(ctx context.Context, c *cli.Command, client marblepondv1connect.OperatorServiceClient) error {
 	resp, err := client.Workspaces(ctx, &v1.WorkspacesRequest{})
 	if err != nil {
 		return err
 	}
-	lenders := askLenders(ctx, c.String("key"), resp.Uses)
+	lenders := queryLenders(ctx, c.String("key"), resp.Uses)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "WORKSPACE\tPER SECOND\tBURST\tTAKEN/S\tREFUSED/S\tAVAILABLE\tLENDER\tLAST REFUSAL")
 	for _, use := range resp.Uses {
-		if said := lenders[use.LenderAddress][use.Workspace]; said != nil && !use.LentHere {
-			use = said
+		if reported := lenders[use.LenderAddress][use.Workspace]; reported != nil && !use.LentHere {
+			use = reported
 		}
-		fmt.Fprintln(w, useLine(use))
+		fmt.Fprintln(w, formatUse(use))
 	}
 	return w.Flush()
 }
 
-// askLenders returns what lenders say, by their address and the workspace. One that does
-// not answer is named, and its lines stay without figures.
-func askLenders(ctx context.Context, key string, uses []*v1.WorkspaceUse) map[string]map[string]*v1.WorkspaceUse {
-	said := map[string]map[string]*v1.WorkspaceUse{}
+// queryLenders returns the uses that lenders report, by lender's address and workspace. A
+// lender that does not respond is named on standard error, and its lines have no figures.
+func queryLenders(ctx context.Context, key string, uses []*v1.WorkspaceUse) map[string]map[string]*v1.WorkspaceUse {
+	reported := map[string]map[string]*v1.WorkspaceUse{}
 	for _, use := range uses {
-		if use.LenderAddress == "" || said[use.LenderAddress] != nil {
+		if use.LenderAddress == "" || reported[use.LenderAddress] != nil {
 			continue
 		}
-		said[use.LenderAddress] = map[string]*v1.WorkspaceUse{}
+		reported[use.LenderAddress] = map[string]*v1.WorkspaceUse{}
 		resp, err := peer.NewOperatorClient(http.DefaultClient, use.LenderAddress, key).Workspaces(ctx, &v1.WorkspacesRequest{})
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "%s does not answer: %v\n", use.Lender, err)
+			fmt.Fprintf(os.Stderr, "%s does not respond: %v\n", use.Lender, err)
 			continue
 		}
 		for _, own := range resp.Uses {
 			if own.LentHere {
-				said[use.LenderAddress][own.Workspace] = own
+				reported[use.LenderAddress][own.Workspace] = own
 			}
 		}
 	}
-	return said
+	return reported
 }
 
-func useLine(use *v1.WorkspaceUse) string {
+func formatUse(use *v1.WorkspaceUse) string {
 	if use.PerSecond == 0 {
 		return use.Workspace + "\tno limit"
 	}
