--- a/internal/process/member/member_test.go
+++ b/internal/process/member/member_test.go
@@ -22,12 +22,12 @@
 	for _, c := range []struct {
 		sinceReceived time.Duration
 		state         State
-		duty          bool
+		active        bool
 	}{{2 * time.Second, Alive, true}, {3 * time.Second, Suspect, false}, {6 * time.Second, Dead, false}} {
 		m.Tick(now.Add(c.sinceReceived))
 		b, _ := m.View().Find("b")
 		is.Equal(b.State, c.state)
-		is.Equal(slices.Contains(m.View().ActiveIDs, "b"), c.duty)
+		is.Equal(slices.Contains(m.View().ActiveIDs, "b"), c.active)
 	}
 	m.ObserveDirect(now.Add(7*time.Second), Info{ID: "b", Incarnation: 1, DataCentre: "dc"})
 	b, _ := m.View().Find("b")
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -46,7 +46,7 @@
 	"github.com/marblepond/marblepond/internal/version/targets"
 )
 
-// Node is one process of the fleet, as started by "marblepond agent".
+// Node is a node whose front is settings.FrontOpenAI. Package hosted has the other kind.
 type Node struct {
 	settings *settings.Settings
 	variant  Variant
@@ -123,14 +123,15 @@
 	n.pool = peer.NewPool(n.peerHTTPClient, s.PeerKey)
 	n.platform = platform.New(platform.Options{
 		URL: s.PlatformURL, Caller: s.NodeID, Timeout: s.PlatformTimeout, WriteRate: s.PlatformWriteRate, ReadRate: s.PlatformReadRate,
-		Metrics: n.metrics.scope, HTTP: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: platformConns}},
+		Metrics: n.metrics.scope, HTTP: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: platformIdleConns}},
 		OnChange: n.recordPlatformState,
 	})
 }
 
+// Idle connections kept to the platform, and to each target.
 const (
-	platformConns = 32
-	targetConns   = 256
+	platformIdleConns = 32
+	targetIdleConns   = 256
 )
 
 func (n *Node) recordPlatformState(up bool) {
@@ -144,7 +145,7 @@
 func (n *Node) newEngineClient() *engine.Client {
 	host, _, _ := net.SplitHostPort(n.settings.PeerListen)
 	dialer := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}}
-	transport := &http.Transport{DialContext: dial.DetectClosed(dialer.DialContext), MaxIdleConnsPerHost: targetConns, IdleConnTimeout: time.Minute, DisableCompression: true}
+	transport := &http.Transport{DialContext: dial.DetectClosed(dialer.DialContext), MaxIdleConnsPerHost: targetIdleConns, IdleConnTimeout: time.Minute, DisableCompression: true}
 	return engine.New(&http.Client{Transport: transport}, stallTimeout)
 }
 
--- a/internal/process/settings/keys.go
+++ b/internal/process/settings/keys.go
@@ -72,7 +72,7 @@
 	{"targets", "eject_after", "3", "failures", "Consecutive failures after which a target is ejected.", count(func(s *Settings) *int { return &s.EjectAfter }, 1, 100)},
 	{"targets", "eject_time", "5s", "duration", "How long a target is ejected the first time; doubles with each repeat.", duration(func(s *Settings) *time.Duration { return &s.EjectTime }, 100*time.Millisecond, time.Hour)},
 	{"targets", "crash_limit", "3", "crashes", "Number of crashes of targets, while they ran a request, after which the request is refused.", count(func(s *Settings) *int { return &s.CrashLimit }, 2, 100)},
-	{"targets", "crash_memory", "1h", "duration", "How long a crash counts against the requests that ran there.", duration(func(s *Settings) *time.Duration { return &s.CrashMemory }, 10*time.Second, 30*day)},
+	{"targets", "crash_memory", "1h", "duration", "How long a crash counts against the requests that ran at the target.", duration(func(s *Settings) *time.Duration { return &s.CrashMemory }, 10*time.Second, 30*day)},
 
 	{"batch", "chunk_items", "256", "items", "Most items in a chunk, the unit of a lease.", count(func(s *Settings) *int { return &s.ChunkItems }, 1, 4096)},
 	{"batch", "lease_ttl", "10s", "duration", "Time from the last renewal of a chunk's lease to its expiry.", duration(func(s *Settings) *time.Duration { return &s.LeaseTTL }, 200*time.Millisecond, time.Hour)},
