--- a/internal/process/hosted/holders.go
+++ b/internal/process/hosted/holders.go
@@ -91,7 +91,7 @@
 	nodes := n.registered()
 	reachable := n.beacon.ReachableInDataCentre()
 	reachableCentres := n.beacon.ReachableDataCentres()
-	var disk, far, memory []string // names, by preference
+	var localDisk, remoteDisk, localMemory []string // names, by preference
 	for name, r := range nodes {
 		// A present keeper stays until it fails, because each change costs a write of the head.
 		isPresent := slices.Contains(present, r.Address)
@@ -100,15 +100,15 @@
 		case name == n.settings.NodeID || !usable(r.Address):
 		case sameDataCentre && !isPresent && !slices.Contains(reachable, name):
 		case sameDataCentre && !r.Callers:
-			disk = append(disk, name)
+			localDisk = append(localDisk, name)
 		case sameDataCentre:
-			memory = append(memory, name)
+			localMemory = append(localMemory, name)
 		case !r.Callers && (isPresent || slices.Contains(reachableCentres, r.DataCentre)):
-			far = append(far, name)
+			remoteDisk = append(remoteDisk, name)
 		}
 	}
 	var out []string
-	for _, names := range [][]string{disk, far, memory} {
+	for _, names := range [][]string{localDisk, remoteDisk, localMemory} {
 		if len(names) > 0 && len(out) < keepersPerJob {
 			out = append(out, selectKeeper(job, names, nodes, present))
 		}
