--- a/internal/connection/target/liveness.go
+++ b/internal/connection/target/liveness.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// Liveness tells whether an attempt still runs when its target is said to have started
-// again. The news comes up to a second after the start, and what was sent meanwhile runs
-// at the new process: to end it would break an answer that is on its way, and for a
-// request that may run once leave its caller without any. The zero value is that of an
-// attempt that has brought nothing. It is safe for concurrent use.
+// Liveness decides whether an attempt is lost when its target is reported as restarted. The
+// report arrives up to a second after the restart, and requests sent meanwhile run in the new
+// process: cancelling those would break an answer that is being sent, and would leave the
+// caller of a request that may run only once without an answer. The zero value is that of an
+// attempt that has received no event. It is safe for concurrent use.
 type Liveness struct {
-	mu    sync.Mutex
-	last  time.Time   // when the attempt last brought an event; zero: never
-	check *time.Timer // nil: nothing is checked
-	ended bool
+	mu        sync.Mutex
+	lastEvent time.Time   // when the last event arrived; zero: never
+	timer     *time.Timer // nil: no restart was reported since the last event
+	stopped   bool
 }
 
-// EventReceived notes that an event of the answer has arrived.
+// EventReceived records that an event of the answer has arrived.
 func (l *Liveness) EventReceived() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.last = time.Now()
-	if l.check != nil {
-		l.check.Stop()
-		l.check = nil
+	l.lastEvent = time.Now()
+	if l.timer != nil {
+		l.timer.Stop()
+		l.timer = nil
 	}
 }
 
-// TargetRestarted takes the news that the target has started again. lost is called when the
-// attempt has brought nothing for a time, counted from before the news: it was lost with
-// the process before. What brings something until then runs on.
-func (l *Liveness) TargetRestarted(silent time.Duration, lost func()) {
+// TargetRestarted records the report that the target has restarted. lost is called unless
+// another event arrives within timeout of the last one: the attempt then ended with the
+// previous process.
+func (l *Liveness) TargetRestarted(timeout time.Duration, lost func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.stopped {
 		return
 	}
-	l.check = time.AfterFunc(silent-time.Since(l.last), lost)
+	l.timer = time.AfterFunc(timeout-time.Since(l.lastEvent), lost)
 }
 
-// Stop ends the check, with the attempt.
+// Stop ends the check. It is called when the attempt ends.
 func (l *Liveness) Stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = true
-	if l.check != nil {
-		l.check.Stop()
+	l.stopped = true
+	if l.timer != nil {
+		l.timer.Stop()
 	}
 }
--- a/internal/connection/target/target.go
+++ b/internal/connection/target/target.go
@@ -1,5 +1,5 @@
-// Package target defines the connection to a target: one request is sent, and
-// its answer comes back either whole or as a stream of events. It holds types
+// Package target defines the connection to a target: one request is sent, and its
+// answer arrives either as a complete body or as a stream of events. It holds types
 // only; a client of a concrete protocol implements them.
 package target
 
@@ -15,46 +15,46 @@
 // Call is one attempt of a request at one target.
 type Call struct {
 	Address    string
-	InstanceID string // the target that is meant; another one must refuse
-	// Incarnation of the target. A connection to an earlier one is not used: that it
-	// has ended may not show yet.
+	InstanceID string // ID of the intended target; another one at the address must reject the call
+	// Incarnation of the target. A connection to an earlier incarnation is not used:
+	// its end may not have been detected yet.
 	Incarnation uint64
 	RequestID   string
-	Workspace   string // whose request it is; empty: nobody's in particular
+	Workspace   string // that the request belongs to; empty: none
 	Method      string
 	Host        string
 	Path        string // with the query, exactly as the caller sent it
 	Header      http.Header
 	Body        []byte
-	// ResumeAfter is the ID of the last event that is held; 0 starts anew.
+	// ResumeAfter is the ID of the last event received before; 0: start anew.
 	ResumeAfter int64
-	// Deadline ends the attempt; the target is told how much time is left.
+	// Deadline ends the attempt; the remaining time is sent to the target.
 	Deadline time.Time
 }
 
 // Event is one event of a streamed answer.
 type Event struct {
-	ID   int64  // counts from 1 without gaps; 0 when the event carries none
-	Data []byte // payload, lines joined by a line feed
-	Raw  []byte // the event's bytes as the target sent them, with its end
+	ID   int64  // counts from 1 without gaps; 0: the event has no ID
+	Data []byte // payload; several lines are joined by a line feed
+	Raw  []byte // the event's bytes as the target sent them, with its terminator
 }
 
-// Answer is what a target sends back. The reader must call Close.
+// Answer is the response of a target. The reader must close Stream.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Stream is nil for a whole answer.
+	// Stream is nil for a complete answer.
 	Stream Stream
-	// Body is the whole body; nil for a stream.
+	// Body is the complete body; nil for a stream.
 	Body []byte
 }
 
 // Stream delivers the events of one answer in order.
 type Stream interface {
-	// Next returns the next event. io.EOF means that the target ended the
-	// answer as complete; any other error is an *Error.
+	// Next returns the next event. io.EOF means that the target completed the
+	// answer; any other error is an *Error.
 	Next() (Event, error)
-	// Close gives the rest of the answer up; the target stops its work.
+	// Close abandons the rest of the answer; the target stops its work.
 	Close() error
 }
 
@@ -63,37 +63,37 @@
 	Send(ctx context.Context, call Call) (*Answer, error)
 }
 
-// Failure says how a call ended that did not end with a whole answer.
+// Failure is how a call failed that did not return a complete answer.
 type Failure int
 
-// The ends. The list is closed.
+// The failures; the set is complete.
 const (
-	// NotSent: no byte of the request left this node.
+	// NotSent: no byte of the request was sent.
 	NotSent Failure = iota
-	// NotRun: the target said that it did not run the request.
+	// NotRun: the target reported that it did not run the request.
 	NotRun
-	// WrongInstance: another target has the address; not run.
+	// WrongInstance: another target has the address; the request did not run.
 	WrongInstance
-	// Broken: the connection failed after the request was sent, or the answer
-	// was no answer to it. It may have run.
+	// Broken: the connection failed after the request was sent, or the response
+	// was not valid. The request may have run.
 	Broken
-	// Cancelled: the context ended. It may have run.
+	// Cancelled: the context ended. The request may have run.
 	Cancelled
 )
 
-var endNames = map[Failure]string{NotSent: "not sent", NotRun: "not run", WrongInstance: "wrong instance", Broken: "broken", Cancelled: "given up"}
+var failureNames = map[Failure]string{NotSent: "not sent", NotRun: "not run", WrongInstance: "wrong instance", Broken: "broken", Cancelled: "cancelled"}
 
-// String returns the end's name.
-func (e Failure) String() string { return endNames[e] }
+// String returns the failure's name.
+func (f Failure) String() string { return failureNames[f] }
 
 // Error is the error of a call.
 type Error struct {
 	Failure Failure
 	Cause   error
-	// ConnectionLost: the connection broke after the request was sent. The target may
-	// have ended.
+	// ConnectionLost: the connection failed after the request was sent. The target's
+	// process may have ended.
 	ConnectionLost bool
-	// Saturated: the target refused because it was full, not because of the request.
+	// Saturated: the target refused for lack of free slots, not because of the request.
 	Saturated bool
 }
 
@@ -108,8 +108,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// FailureOf returns the end that err stands for; an error of another type is
-// Broken, the end that promises least.
+// FailureOf returns the failure of a call's error. For an error of another type it is
+// Broken, because the request may have run.
 func FailureOf(err error) Failure {
 	var e *Error
 	if errors.As(err, &e) {
@@ -119,4 +119,4 @@
 }
 
 // MayHaveRun reports whether the request may have run.
-func (e Failure) MayHaveRun() bool { return e == Broken || e == Cancelled }
+func (f Failure) MayHaveRun() bool { return f == Broken || f == Cancelled }
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -108,7 +108,7 @@
 mutant 5 internal/request/quarantine/verdict.go 's/!\(there && s == suspect\) &&/!(there \&\& s > cleared) \&\&/' internal/request/quarantine TestOneRequestAtManyTargetsAtOnce
 mutant 5 internal/request/quarantine/verdict.go 's/ && !e\.explained\(other\)//' internal/request/quarantine TestSeveralInStep
 mutant 6 internal/process/crashes/watch.go 's/w\.Leaving\(t\) \|\| w\.EndedBefore\(t\)/w.Leaving(t)/' internal/process/crashes TestLaterAttemptIsNotSuspected
-mutant 6 internal/connection/target/liveness.go 's/silent-time\.Since\(l\.last\)/0*(silent-time.Since(l.last))/' internal/connection/target TestSilentAttemptIsLost
+mutant 6 internal/connection/target/liveness.go 's/timeout-time\.Since\(l\.lastEvent\)/0*(timeout-time.Since(l.lastEvent))/' internal/connection/target TestAttemptWithoutEventsIsLost
 mutant 6 internal/request/forward/attempt.go 's/liveness\.TargetRestarted\(gapTimeout\(req\.Route\)/liveness.TargetRestarted(0*gapTimeout(req.Route)/' lab/hosted TestAnswerGoesOnAtTheNextStart
 mutant 6 internal/connection/dial/checked.go 's/c\.checkNextWrite\.Swap\(false\) && c\.closed\(\)/c.checkNextWrite.Swap(false) \&\& c.closed() \&\& c.raw == nil/' platform TestKeptConnectionsOfAnEndedProcess
 mutant 3 internal/request/job/run.go 's/\tm\.mu\.Lock\(\)\n\tdelete\(h\.stops, i\)\n\tm\.mu\.Unlock\(\)\n//' internal/request/job TestEndedItemsAreNotCountedAsYielding
