--- a/internal/connection/callbudget/budget.go
+++ b/internal/connection/callbudget/budget.go
@@ -1,5 +1,5 @@
-// Package callbudget bounds the calls of one client by class, so that work that
-// callers wait for is not held up by work that can wait.
+// Package callbudget limits the rate of calls of one client by priority class, so that
+// calls that callers wait for are not delayed by calls that can wait.
 package callbudget
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Class orders calls when the budget is short.
+// Class is the priority of a call when the budget is short.
 type Class int
 
 // The classes, most important first.
@@ -22,27 +22,27 @@
 // ErrExhausted: the context ended before the budget allowed the call.
 var ErrExhausted = errors.New("no calls left in the budget")
 
-// Budget is a token bucket with one second of burst. Less important classes
-// must leave part of the bucket to the more important ones.
+// Budget is a token bucket with a burst of one second. Calls of the less important
+// classes leave part of the bucket to the more important ones.
 type Budget struct {
-	mu     sync.Mutex
-	rate   float64
-	tokens float64
-	filled time.Time
+	mu         sync.Mutex
+	rate       float64
+	tokens     float64
+	refilledAt time.Time
 }
 
-// keepFor is the share of the bucket that a class must leave untouched.
-var keepFor = map[Class]float64{Lease: 0, Commit: 0.1, Status: 0.4}
+// reservedShare is the fraction of the bucket that a class must leave to the others.
+var reservedShare = map[Class]float64{Lease: 0, Commit: 0.1, Status: 0.4}
 
-// retryTake is how long a call waits before it looks at the bucket again.
-const retryTake = 5 * time.Millisecond
+// retryInterval is how often a waiting call tries to take a token.
+const retryInterval = 5 * time.Millisecond
 
-// New returns a budget of rate calls a second.
+// New returns a budget of rate calls per second.
 func New(rate int) *Budget {
-	return &Budget{rate: float64(rate), tokens: float64(rate), filled: time.Now()}
+	return &Budget{rate: float64(rate), tokens: float64(rate), refilledAt: time.Now()}
 }
 
-// Wait takes one call of the class, or ErrExhausted when ctx ends first.
+// Wait takes a token for a call of the class. It returns ErrExhausted if ctx ends first.
 func (b *Budget) Wait(ctx context.Context, class Class) error {
 	for {
 		if b.take(class, time.Now()) {
@@ -51,7 +51,7 @@
 		select {
 		case <-ctx.Done():
 			return ErrExhausted
-		case <-time.After(retryTake):
+		case <-time.After(retryInterval):
 		}
 	}
 }
@@ -59,9 +59,9 @@
 func (b *Budget) take(class Class, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.rate, b.tokens+now.Sub(b.filled).Seconds()*b.rate)
-	b.filled = now
-	if b.tokens < 1+keepFor[class]*(b.rate-1) {
+	b.tokens = min(b.rate, b.tokens+now.Sub(b.refilledAt).Seconds()*b.rate)
+	b.refilledAt = now
+	if b.tokens < 1+reservedShare[class]*(b.rate-1) {
 		return false
 	}
 	b.tokens--
