--- a/lab/cmd/marblelab/main.go
+++ b/lab/cmd/marblelab/main.go
@@ -85,7 +85,7 @@
 			&cli.StringFlag{Name: "file", Aliases: []string{"f"}, Required: true, Usage: "the experiment, an INI `FILE`"},
 			&cli.StringFlag{Name: "out", Usage: "write the result as JSON to `FILE`"}},
 		Action: func(_ context.Context, c *cli.Command) error {
-			e, err := load.Read(c.String("file"))
+			e, err := load.ReadExperiment(c.String("file"))
 			if err != nil {
 				return err
 			}
@@ -106,7 +106,7 @@
 				return err
 			}
 			defer os.RemoveAll(dir)
-			return load.Overhead(dir, c.Int("net"), os.Stdout)
+			return load.MeasureOverhead(dir, c.Int("net"), os.Stdout)
 		}}
 }
 
@@ -116,11 +116,11 @@
 			&cli.StringFlag{Name: "file", Aliases: []string{"f"}, Required: true, Usage: "a result, a JSON `FILE`"},
 			&cli.StringFlag{Name: "plot", Usage: "draw into a PNG or SVG `FILE`"}},
 		Action: func(_ context.Context, c *cli.Command) error {
-			result, err := load.Load(c.String("file"))
+			result, err := load.ReadResult(c.String("file"))
 			if err != nil {
 				return err
 			}
-			fmt.Println(load.SummaryHead)
+			fmt.Println(load.SummaryTableHead)
 			for _, s := range result.Summaries() {
 				fmt.Println(s)
 			}
--- a/lab/cmd/marblelab/model.go
+++ b/lab/cmd/marblelab/model.go
@@ -17,9 +17,9 @@
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "load", Usage: "`NAME` of a load, may be given again; all when none is: " + strings.Join(model.Loads(), ", ")},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`N` that gives the course of events"},
-			&cli.IntFlag{Name: "centres", Value: model.Small.Centres, Usage: "`N` data centres"},
-			&cli.IntFlag{Name: "nodes", Value: model.Small.NodesPerCentre, Usage: "`N` nodes in each"},
-			&cli.IntFlag{Name: "targets", Value: model.Small.TargetsPerCentre, Usage: "`N` targets in each"},
+			&cli.IntFlag{Name: "centres", Value: model.Small.DataCentres, Usage: "`N` data centres"},
+			&cli.IntFlag{Name: "nodes", Value: model.Small.NodesPerDataCentre, Usage: "`N` nodes in each"},
+			&cli.IntFlag{Name: "targets", Value: model.Small.TargetsPerDataCentre, Usage: "`N` targets in each"},
 			&cli.StringFlag{Name: "plots", Usage: "draw what slots do over time into this `FOLDER`"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			names := c.StringSlice("load")
@@ -27,7 +27,7 @@
 				names = model.Loads()
 			}
 			d := model.Small
-			d.Centres, d.NodesPerCentre, d.TargetsPerCentre = c.Int("centres"), c.Int("nodes"), c.Int("targets")
+			d.DataCentres, d.NodesPerDataCentre, d.TargetsPerDataCentre = c.Int("centres"), c.Int("nodes"), c.Int("targets")
 			return playModel(d, names, c.Uint64("seed"), c.String("plots"))
 		}}
 }
@@ -35,12 +35,12 @@
 func playModel(d model.Deployment, names []string, seed uint64, plots string) error {
 	var results []model.Result
 	for _, name := range names {
-		load, err := model.Named(name)
+		load, err := model.LoadByName(name)
 		if err != nil {
 			return err
 		}
 		for _, v := range model.Variants {
-			results = append(results, model.Play(d, load, v, seed))
+			results = append(results, model.Run(d, load, v, seed))
 		}
 	}
 	if err := model.Print(os.Stdout, results); err != nil || plots == "" {
--- a/lab/load/experiment.go
+++ b/lab/load/experiment.go
@@ -26,7 +26,7 @@
 	Workload string
 	Modes    []string // run in turn within each round
 	Rounds   int
-	Warm     time.Duration // not counted
+	WarmUp   time.Duration `json:"Warm"` // not counted
 	Length   time.Duration
 	Profile  Profile
 	Seed     uint64
@@ -34,12 +34,12 @@
 	Settings string // added to the nodes' settings
 }
 
-// Leg is one mode of one round.
-type Leg struct {
+// Measurement is one mode of one round.
+type Measurement struct {
 	Mode         string
 	Round        int
 	Sent         int
-	Whole        int
+	Completed    int `json:"Whole"`
 	Refused      map[string]int
 	Broken       int
 	FirstP50MS   float64
@@ -61,12 +61,12 @@
 
 // Result is what an experiment came to.
 type Result struct {
-	Experiment Experiment
-	Legs       []Leg
+	Experiment   Experiment
+	Measurements []Measurement `json:"Legs"`
 }
 
-// Read reads an experiment from an INI file.
-func Read(path string) (Experiment, error) {
+// ReadExperiment reads an experiment from an INI file.
+func ReadExperiment(path string) (Experiment, error) {
 	file, err := ini.Load(path)
 	if err != nil {
 		return Experiment{}, err
@@ -77,7 +77,7 @@
 		Workload: s.Key("workload").In("kurzeme", []string{"kurzeme", "keystel"}),
 		Modes:    s.Key("modes").Strings(","),
 		Rounds:   s.Key("rounds").MustInt(3),
-		Warm:     s.Key("warm").MustDuration(3 * time.Second),
+		WarmUp:   s.Key("warm").MustDuration(3 * time.Second),
 		Length:   s.Key("length").MustDuration(15 * time.Second),
 		Seed:     s.Key("seed").MustUint64(1),
 		Net:      s.Key("net").MustInt(60),
@@ -109,7 +109,7 @@
 			if err != nil {
 				return result, fmt.Errorf("%s round %d: %w", name, round, err)
 			}
-			result.Legs = append(result.Legs, leg)
+			result.Measurements = append(result.Measurements, leg)
 			fmt.Fprintln(out, leg)
 		}
 	}
@@ -117,9 +117,9 @@
 }
 
 // String returns the leg as a row.
-func (l Leg) String() string {
+func (l Measurement) String() string {
 	return fmt.Sprintf("%-18s round %d: sent %5d whole %5d refused %v broken %d | first p50 %6.1f p99 %6.1f ms | whole p50 %7.1f p99 %7.1f ms | token p95 %5.1f p99 %5.1f ms | online %6.0f batch %6.0f tokens/s, %4.1f %% of idle | violations %d",
-		l.Mode, l.Round, l.Sent, l.Whole, l.Refused, l.Broken, l.FirstP50MS, l.FirstP99MS, l.TotalP50MS, l.TotalP99MS, l.PerTokenP95, l.PerTokenP99,
+		l.Mode, l.Round, l.Sent, l.Completed, l.Refused, l.Broken, l.FirstP50MS, l.FirstP99MS, l.TotalP50MS, l.TotalP99MS, l.PerTokenP95, l.PerTokenP99,
 		l.OnlineTokens, l.BatchTokens, 100*l.BatchShare, l.Violations)
 }
 
@@ -133,26 +133,26 @@
 	first    *hdrhistogram.Histogram // microseconds
 	total    *hdrhistogram.Histogram
 	perToken *hdrhistogram.Histogram
-	out      Leg
+	out      Measurement
 }
 
 func histogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 }
 
-func runLeg(e Experiment, m Mode, round int) (Leg, error) {
+func runLeg(e Experiment, m Mode, round int) (Measurement, error) {
 	w := workloads[e.Workload]
 	model := engine.DefaultModel()
 	f, err := deployment.Start(w.layout(e.Net, model, m.Variant, e.Settings))
 	if err != nil {
-		return Leg{}, err
+		return Measurement{}, err
 	}
 	l := &leg{e: e, w: w, fleet: f, caller: client.New(callerKey), first: histogram(), total: histogram(), perToken: histogram(),
-		out: Leg{Mode: m.Name, Round: round, Refused: map[string]int{}}}
+		out: Measurement{Mode: m.Name, Round: round, Refused: map[string]int{}}}
 	rng := rand.New(rand.NewPCG(e.Seed, uint64(round))) // the same arrivals in every mode of a round
 	if m.Batch {
 		if err := l.submit(rng, model); err != nil {
-			return Leg{}, err
+			return Measurement{}, err
 		}
 	}
 	l.online(rng, model)
@@ -163,7 +163,7 @@
 // submit gives the batch side more than it can do in the run.
 func (l *leg) submit(rng *rand.Rand, model engine.Model) error {
 	rate := float64(l.w.engines()) * model.FullRate() / mean(l.w.BatchTokens)
-	n := int(rate * (l.e.Warm + l.e.Length).Seconds() * 1.2)
+	n := int(rate * (l.e.WarmUp + l.e.Length).Seconds() * 1.2)
 	_, err := l.caller.Submit(context.Background(), l.fleet.CallerAddr(0, 0), l.w.items(rand.New(rand.NewPCG(rng.Uint64(), 0)), n), "", "")
 	return err
 }
@@ -182,10 +182,10 @@
 
 // online sends the arrivals at their times, whatever the answers do.
 func (l *leg) online(rng *rand.Rand, model engine.Model) {
-	times := arrivals(rng, l.w.fullRate(model), l.e.Profile, l.e.Warm+l.e.Length)
+	times := arrivals(rng, l.w.fullRate(model), l.e.Profile, l.e.WarmUp+l.e.Length)
 	start := time.Now()
 	var before engine.Tokens
-	counting := time.AfterFunc(l.e.Warm, func() {
+	counting := time.AfterFunc(l.e.WarmUp, func() {
 		l.mu.Lock()
 		before = l.tokens()
 		l.mu.Unlock()
@@ -196,9 +196,9 @@
 		p := l.w.prompt(rng, n)
 		dc, node := rng.IntN(len(l.w.DataCentres)), rng.IntN(l.w.Nodes[0])
 		time.Sleep(time.Until(start.Add(at)))
-		wg.Go(func() { l.send(start.Add(at), l.fleet.CallerAddr(dc, node), p, at >= l.e.Warm) })
+		wg.Go(func() { l.send(start.Add(at), l.fleet.CallerAddr(dc, node), p, at >= l.e.WarmUp) })
 	}
-	time.Sleep(time.Until(start.Add(l.e.Warm + l.e.Length)))
+	time.Sleep(time.Until(start.Add(l.e.WarmUp + l.e.Length)))
 	after := l.tokens()
 	l.mu.Lock()
 	l.out.OnlineTokens = float64(after.Online-before.Online) / l.e.Length.Seconds()
@@ -221,7 +221,7 @@
 	l.out.Sent++
 	switch {
 	case o.Whole:
-		l.out.Whole++
+		l.out.Completed++
 		l.first.RecordValue((o.First + late).Microseconds())
 		l.total.RecordValue((o.Total + late).Microseconds())
 		for _, gap := range o.Gaps {
--- a/lab/load/overhead.go
+++ b/lab/load/overhead.go
@@ -29,10 +29,10 @@
 	idleLength     = 5 * time.Second
 )
 
-// Overhead measures what a node adds to calling an engine straight: latency
+// MeasureOverhead measures what a node adds to calling an engine straight: latency
 // and processor time, paired in one run over separate processes, and what an
 // idle node takes.
-func Overhead(dir string, net int, out io.Writer) error {
+func MeasureOverhead(dir string, net int, out io.Writer) error {
 	if err := procs.Build(dir); err != nil {
 		return err
 	}
--- a/lab/load/report.go
+++ b/lab/load/report.go
@@ -13,8 +13,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Load reads a result written by Save.
-func Load(path string) (Result, error) {
+// ReadResult reads a result written by Save.
+func ReadResult(path string) (Result, error) {
 	var r Result
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -25,26 +25,26 @@
 
 // Summary is a mode's median over its rounds, with the spread.
 type Summary struct {
-	Mode                              string
-	FirstP99, FirstP99Lo, FirstP99Hi  float64 // ms
-	TotalP99                          float64 // ms
-	Harm, HarmLo, HarmHi              float64 // first-token p99 over that of the first mode, paired by round
-	WholeHarm                         float64 // the same of the whole answer
-	BatchShare, BatchShareLo, ShareHi float64
+	Mode                                            string
+	FirstP99, FirstP99Lo, FirstP99Hi                float64 // ms
+	TotalP99                                        float64 // ms
+	FirstP99Ratio, FirstP99RatioLo, FirstP99RatioHi float64 // first-token p99 over that of the first mode, paired by round
+	TotalP99Ratio                                   float64 // the same of the whole answer
+	BatchShare, BatchShareLo, BatchShareHi          float64
 }
 
 // Summaries compares each mode with the experiment's first, round by round.
 func (r Result) Summaries() []Summary {
 	var out []Summary
-	base := map[int]Leg{}
-	for _, l := range r.Legs {
+	base := map[int]Measurement{}
+	for _, l := range r.Measurements {
 		if l.Mode == r.Experiment.Modes[0] {
 			base[l.Round] = l
 		}
 	}
 	for _, mode := range r.Experiment.Modes {
 		var first, total, harm, whole, share []float64
-		for _, l := range r.Legs {
+		for _, l := range r.Measurements {
 			if l.Mode != mode {
 				continue
 			}
@@ -52,10 +52,10 @@
 			harm = append(harm, l.FirstP99MS/base[l.Round].FirstP99MS)
 			whole = append(whole, l.TotalP99MS/base[l.Round].TotalP99MS)
 		}
-		s := Summary{Mode: mode, TotalP99: median(total), WholeHarm: median(whole)}
+		s := Summary{Mode: mode, TotalP99: median(total), TotalP99Ratio: median(whole)}
 		s.FirstP99, s.FirstP99Lo, s.FirstP99Hi = spread(first)
-		s.Harm, s.HarmLo, s.HarmHi = spread(harm)
-		s.BatchShare, s.BatchShareLo, s.ShareHi = spread(share)
+		s.FirstP99Ratio, s.FirstP99RatioLo, s.FirstP99RatioHi = spread(harm)
+		s.BatchShare, s.BatchShareLo, s.BatchShareHi = spread(share)
 		out = append(out, s)
 	}
 	return out
@@ -77,11 +77,11 @@
 // String returns the summary as a row of a Markdown table.
 func (s Summary) String() string {
 	return fmt.Sprintf("| %s | %.1f (%.1f-%.1f) | %.0f | %.2f (%.2f-%.2f) | %.2f | %.0f %% (%.0f-%.0f) |", s.Mode, s.FirstP99, s.FirstP99Lo, s.FirstP99Hi,
-		s.TotalP99, s.Harm, s.HarmLo, s.HarmHi, s.WholeHarm, 100*s.BatchShare, 100*s.BatchShareLo, 100*s.ShareHi)
+		s.TotalP99, s.FirstP99Ratio, s.FirstP99RatioLo, s.FirstP99RatioHi, s.TotalP99Ratio, 100*s.BatchShare, 100*s.BatchShareLo, 100*s.BatchShareHi)
 }
 
-// SummaryHead is the head of the table of summaries.
-const SummaryHead = "| mode | first token p99 ms | whole p99 ms | first-token harm | whole harm | batch share of idle |\n| --- | --- | --- | --- | --- | --- |"
+// SummaryTableHead is the head of the table of summaries.
+const SummaryTableHead = "| mode | first token p99 ms | whole p99 ms | first-token harm | whole harm | batch share of idle |\n| --- | --- | --- | --- | --- | --- |"
 
 var palette = []color.RGBA{{0x1f, 0x77, 0xb4, 0xff}, {0x2c, 0xa0, 0x2c, 0xff}, {0xd6, 0x27, 0x28, 0xff}, {0x94, 0x67, 0xbd, 0xff}, {0x8c, 0x56, 0x4b, 0xff}}
 
@@ -120,13 +120,13 @@
 }
 
 // medianLeg returns the round of a mode with the median first-token p99.
-func (r Result) medianLeg(mode string) Leg {
-	var legs []Leg
-	for _, l := range r.Legs {
+func (r Result) medianLeg(mode string) Measurement {
+	var legs []Measurement
+	for _, l := range r.Measurements {
 		if l.Mode == mode {
 			legs = append(legs, l)
 		}
 	}
-	slices.SortFunc(legs, func(a, b Leg) int { return int(1000 * (a.FirstP99MS - b.FirstP99MS)) })
+	slices.SortFunc(legs, func(a, b Measurement) int { return int(1000 * (a.FirstP99MS - b.FirstP99MS)) })
 	return legs[len(legs)/2]
 }
--- a/lab/model/engine.go
+++ b/lab/model/engine.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// EngineFigures describe one kind of engine.
-type EngineFigures struct {
+// EngineParams describe one kind of engine.
+type EngineParams struct {
 	Slots int
-	// Step is the time of one step with one request, and StepPerRequest what each
+	// StepTime is the time of one step with one request, and StepTimePerRequest what each
 	// further one adds.
-	Step, StepPerRequest time.Duration
-	TokensPerEvent       int
-	PromptPerMS          float64 // prompt tokens read in a millisecond
-	PromptPerStep        int     // most prompt tokens read in one step
-	Memory               int     // tokens of running requests and kept prefixes
+	StepTime, StepTimePerRequest time.Duration
+	TokensPerEvent               int
+	PromptTokensPerMS            float64 // prompt tokens read in a millisecond
+	PromptTokensPerStep          int     // most prompt tokens read in one step
+	MemoryTokens                 int     // tokens of running requests and kept prefixes
 }
 
 // PublishedEngine holds the figures that the users publish of a large model on
@@ -22,8 +22,8 @@
 // millisecond, memory for 103,133 tokens. What a request adds to a step (9 us), the
 // 6 tokens of an event and the 1,024 prompt tokens of a step stand in the
 // description of the same deployment.
-var PublishedEngine = EngineFigures{Slots: 8, Step: 4100 * time.Microsecond, StepPerRequest: 9 * time.Microsecond,
-	TokensPerEvent: 6, PromptPerMS: 51.6, PromptPerStep: 1024, Memory: 103133}
+var PublishedEngine = EngineParams{Slots: 8, StepTime: 4100 * time.Microsecond, StepTimePerRequest: 9 * time.Microsecond,
+	TokensPerEvent: 6, PromptTokensPerMS: 51.6, PromptTokensPerStep: 1024, MemoryTokens: 103133}
 
 // run is one attempt of a request or an item at an engine.
 type run struct {
@@ -37,11 +37,11 @@
 	gone   bool                    // the sender ended it
 }
 
-func (r *run) tokens(f *EngineFigures) int { return r.prompt + r.events*f.TokensPerEvent }
+func (r *run) tokens(f *EngineParams) int { return r.prompt + r.events*f.TokensPerEvent }
 
 // engine is one target.
 type engine struct {
-	f       *EngineFigures
+	f       *EngineParams
 	clock   *clock
 	slow    float64 // factor on the time of a step
 	running []*run
@@ -55,7 +55,7 @@
 	seen                      map[string]bool
 }
 
-func newEngine(f *EngineFigures, c *clock) *engine {
+func newEngine(f *EngineParams, c *clock) *engine {
 	return &engine{f: f, clock: c, slow: 1, sizes: map[string]int{}, seen: map[string]bool{}}
 }
 
@@ -91,8 +91,8 @@
 		return
 	}
 	read := e.read()
-	steps := time.Duration(e.f.TokensPerEvent) * (e.f.Step + time.Duration(len(e.running)-1)*e.f.StepPerRequest)
-	took := time.Duration(e.slow * float64(steps+time.Duration(float64(read)/e.f.PromptPerMS*float64(time.Millisecond))))
+	steps := time.Duration(e.f.TokensPerEvent) * (e.f.StepTime + time.Duration(len(e.running)-1)*e.f.StepTimePerRequest)
+	took := time.Duration(e.slow * float64(steps+time.Duration(float64(read)/e.f.PromptTokensPerMS*float64(time.Millisecond))))
 	made := slices.Clone(e.running)
 	e.busy = true
 	e.clock.after(took, func() {
@@ -126,14 +126,14 @@
 		r.unread = r.prompt - e.touch(r)
 		e.running = append(e.running, r)
 	}
-	for len(e.running) > 1 && e.used() > e.f.Memory {
+	for len(e.running) > 1 && e.used() > e.f.MemoryTokens {
 		newest := e.running[len(e.running)-1]
 		e.running = e.running[:len(e.running)-1]
 		e.waiting = append([]*run{newest}, e.waiting...)
 	}
 }
 
-func (e *engine) fits(r *run) bool { return e.used()+r.tokens(e.f) <= e.f.Memory }
+func (e *engine) fits(r *run) bool { return e.used()+r.tokens(e.f) <= e.f.MemoryTokens }
 
 func (e *engine) used() int {
 	total := 0
@@ -155,7 +155,7 @@
 		e.sharedAgain += r.shared
 	}
 	e.seen[r.prefix] = true
-	for total := e.keptTokens(); total+e.used() > e.f.Memory && len(e.kept) > 1; total = e.keptTokens() {
+	for total := e.keptTokens(); total+e.used() > e.f.MemoryTokens && len(e.kept) > 1; total = e.keptTokens() {
 		delete(e.sizes, e.kept[0])
 		e.kept = e.kept[1:]
 	}
@@ -172,13 +172,13 @@
 
 // read reads prompt tokens of the running requests, up to a step's worth.
 func (e *engine) read() int {
-	left := e.f.PromptPerStep * e.f.TokensPerEvent
+	left := e.f.PromptTokensPerStep * e.f.TokensPerEvent
 	for _, r := range e.running {
 		n := min(left, r.unread)
 		r.unread -= n
 		left -= n
 	}
-	read := e.f.PromptPerStep*e.f.TokensPerEvent - left
+	read := e.f.PromptTokensPerStep*e.f.TokensPerEvent - left
 	e.promptTokens += read
 	return read
 }
--- a/lab/model/fleet.go
+++ b/lab/model/fleet.go
@@ -10,38 +10,38 @@
 
 // Deployment is what the load is played on.
 type Deployment struct {
-	Centres, NodesPerCentre, TargetsPerCentre int
-	Engine                                    EngineFigures
-	// Objective is the time to the first event of an online request, GapObjective
+	DataCentres, NodesPerDataCentre, TargetsPerDataCentre int
+	Engine                                                EngineParams
+	// FirstEventObjective is the time to the first event of an online request, GapObjective
 	// the longest pause after it, Deadline when its caller gives up, and
 	// CompleteWithin when items are due.
-	Objective, GapObjective, Deadline, CompleteWithin time.Duration
-	// NearDelay and FarDelay are the times one way within a data centre and between
+	FirstEventObjective, GapObjective, Deadline, CompleteWithin time.Duration
+	// LocalDelay and RemoteDelay are the times one way within a data centre and between
 	// two.
-	NearDelay, FarDelay time.Duration
-	OnlineEvents        int // mean of an answer
-	ItemEvents          int
+	LocalDelay, RemoteDelay time.Duration
+	OnlineEvents            int // mean of an answer
+	ItemEvents              int
 }
 
 // Small is the deployment of a customer of today: four data centres with six nodes
 // and nine targets, rounded up to two and three in each.
-var Small = Deployment{Centres: 4, NodesPerCentre: 2, TargetsPerCentre: 3, Engine: PublishedEngine, Objective: 300 * time.Millisecond,
-	GapObjective: 250 * time.Millisecond, Deadline: 5 * time.Second, CompleteWithin: 18 * time.Second, NearDelay: 300 * time.Microsecond, FarDelay: 900 * time.Microsecond,
+var Small = Deployment{DataCentres: 4, NodesPerDataCentre: 2, TargetsPerDataCentre: 3, Engine: PublishedEngine, FirstEventObjective: 300 * time.Millisecond,
+	GapObjective: 250 * time.Millisecond, Deadline: 5 * time.Second, CompleteWithin: 18 * time.Second, LocalDelay: 300 * time.Microsecond, RemoteDelay: 900 * time.Microsecond,
 	OnlineEvents: 28, ItemEvents: 193}
 
 // Variant switches a mechanism for comparison.
 type Variant struct {
 	Name string
-	// LeastReserve is how many slots items always leave free.
-	LeastReserve int
-	// Mute keeps a node from telling holders at once that it needs room.
-	Mute bool
+	// MinReserve is how many slots items always leave free.
+	MinReserve int
+	// NoHolderNotices keeps a node from telling holders at once that it needs room.
+	NoHolderNotices bool
 	// OneGroup makes each node tell each other one of its data centre, however many.
 	OneGroup bool
 }
 
 // Variants are the product's policy and the ones that it is measured against.
-var Variants = []Variant{{Name: "product"}, {Name: "two slots kept free", LeastReserve: 2}, {Name: "no word to holders", Mute: true}, {Name: "one group", OneGroup: true}}
+var Variants = []Variant{{Name: "product"}, {Name: "two slots kept free", MinReserve: 2}, {Name: "no word to holders", NoHolderNotices: true}, {Name: "one group", OneGroup: true}}
 
 const (
 	sharedTokens = 200 // of an online prompt, with other requests
@@ -70,8 +70,8 @@
 	result  Result
 }
 
-// Play plays a load and returns what came of it.
-func Play(d Deployment, load Load, v Variant, seed uint64) Result {
+// Run plays a load and returns what came of it.
+func Run(d Deployment, load Load, v Variant, seed uint64) Result {
 	f := &fleet{Deployment: d, load: load, variant: v, draw: rand.New(rand.NewPCG(seed, seed)), engines: map[string]*engine{}, centres: map[string]string{}, byName: map[string]*node{}}
 	f.build(seed)
 	f.arrivals()
@@ -84,15 +84,15 @@
 }
 
 func (f *fleet) build(seed uint64) {
-	for c := range f.Centres {
+	for c := range f.DataCentres {
 		centre := centreName(c)
-		for t := range f.TargetsPerCentre {
+		for t := range f.TargetsPerDataCentre {
 			id := fmt.Sprintf("t%d-%d", c, t)
 			f.list = append(f.list, choose.Target{ID: id, Incarnation: 1, Service: service, DataCentre: centre, Slots: f.Engine.Slots})
 			f.engines[id] = newEngine(&f.Engine, &f.clock)
 			f.centres[id] = centre
 		}
-		for n := range f.NodesPerCentre {
+		for n := range f.NodesPerDataCentre {
 			made := newNode(f, nodeName(c, n), centre, seed+uint64(100*c+n))
 			f.nodes = append(f.nodes, made)
 			f.byName[made.name] = made
@@ -119,17 +119,17 @@
 // slotTime is how long a request of some events holds a slot on an idle engine.
 func (f *fleet) slotTime(events, prompt int) time.Duration {
 	e := f.Engine
-	return time.Duration(events*e.TokensPerEvent)*e.Step + time.Duration(float64(prompt)/e.PromptPerMS*float64(time.Millisecond))
+	return time.Duration(events*e.TokensPerEvent)*e.StepTime + time.Duration(float64(prompt)/e.PromptTokensPerMS*float64(time.Millisecond))
 }
 
 // arrivals draws online requests and jobs as Poisson processes.
 func (f *fleet) arrivals() {
-	slots := float64(f.Centres * f.TargetsPerCentre * f.Engine.Slots)
+	slots := float64(f.DataCentres * f.TargetsPerDataCentre * f.Engine.Slots)
 	online := slots / f.slotTime(f.OnlineEvents, sharedTokens+ownTokens).Seconds()
-	jobs := f.load.Batch * slots / f.slotTime(f.ItemEvents, itemTokens).Seconds() / jobItems
-	f.poisson(func() float64 { return online * f.load.Online(f.clock.now) }, f.request)
+	jobs := f.load.BatchShare * slots / f.slotTime(f.ItemEvents, itemTokens).Seconds() / jobItems
+	f.poisson(func() float64 { return online * f.load.OnlineShare(f.clock.now) }, f.request)
 	f.poisson(func() float64 { return jobs }, f.job)
-	for _, at := range f.load.JobsAt {
+	for _, at := range f.load.JobBurstsAt {
 		f.clock.after(at, func() {
 			for range 10 {
 				f.job()
@@ -167,9 +167,9 @@
 
 func (f *fleet) delay(a, b string) time.Duration {
 	if a == b {
-		return f.NearDelay
+		return f.LocalDelay
 	}
-	return f.FarDelay
+	return f.RemoteDelay
 }
 
 // unlistedAfter is when nodes hear that a target is gone: three heartbeats of a
@@ -198,10 +198,10 @@
 				f.engines[t.ID].slow = 1
 			}
 		})
-	case CentreCut:
-		f.cut = centreName(fault.Centre)
+	case DataCentreIsolated:
+		f.cut = centreName(fault.DataCentre)
 		f.clock.after(fault.For, func() { f.cut = "" })
-	case AllRestart:
+	case AllNodesRestart:
 		for _, n := range f.nodes {
 			n.stop()
 			f.clock.after(fault.For, n.start)
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -15,10 +15,10 @@
 		change(&d)
 		out[name] = d
 	}
-	vary("twice the slots on half the targets", func(d *Deployment) { d.Engine.Slots, d.TargetsPerCentre, d.Centres = 16, 2, 3 })
-	vary("half the slots", func(d *Deployment) { d.Engine.Slots, d.TargetsPerCentre = 4, 6 })
-	vary("engines twice as fast", func(d *Deployment) { d.Engine.Step /= 2 })
-	vary("one data centre with eight nodes", func(d *Deployment) { d.Centres, d.NodesPerCentre, d.TargetsPerCentre = 1, 8, 12 })
+	vary("twice the slots on half the targets", func(d *Deployment) { d.Engine.Slots, d.TargetsPerDataCentre, d.DataCentres = 16, 2, 3 })
+	vary("half the slots", func(d *Deployment) { d.Engine.Slots, d.TargetsPerDataCentre = 4, 6 })
+	vary("engines twice as fast", func(d *Deployment) { d.Engine.StepTime /= 2 })
+	vary("one data centre with eight nodes", func(d *Deployment) { d.DataCentres, d.NodesPerDataCentre, d.TargetsPerDataCentre = 1, 8, 12 })
 	vary("due in half of the time", func(d *Deployment) { d.CompleteWithin /= 2 })
 	return out
 }
@@ -38,19 +38,19 @@
 // free, on other engines, sizes and due times too, and online requests lose
 // nothing by it.
 func TestRoomByArrivals(t *testing.T) {
-	load, err := Named("steps")
+	load, err := LoadByName("steps")
 	if err != nil {
 		t.Fatal(err)
 	}
-	load.Length, load.Batch = 30*time.Second, 0.5 // more than there is room for
+	load.Length, load.BatchShare = 30*time.Second, 0.5 // more than there is room for
 	for name, d := range others() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			items, itemsBefore, online, onlineBefore := 0, 0, 0.0, 0.0
 			for seed := uint64(1); seed <= seeds; seed++ {
-				after, before := Play(d, load, Variants[0], seed), Play(d, load, Variants[1], seed)
+				after, before := Run(d, load, Variants[0], seed), Run(d, load, Variants[1], seed)
 				items, itemsBefore = items+after.Items.InTime, itemsBefore+before.Items.InTime
-				online, onlineBefore = online+after.Online.Share()/seeds, onlineBefore+before.Online.Share()/seeds
+				online, onlineBefore = online+after.Online.InTimeShare()/seeds, onlineBefore+before.Online.InTimeShare()/seeds
 			}
 			t.Logf("items in time %d, with two slots kept free %d; online in aim %.4f and %.4f", items, itemsBefore, online, onlineBefore)
 			if items <= itemsBefore {
@@ -66,11 +66,11 @@
 // TestBurstOfJobs: ten jobs at once beside online traffic at half of the fleet.
 func TestBurstOfJobs(t *testing.T) {
 	is := is.New(t)
-	load, err := Named("burst")
+	load, err := LoadByName("burst")
 	is.NoErr(err)
-	after, before := Play(Small, load, Variants[0], 1), Play(Small, load, Variants[1], 1)
+	after, before := Run(Small, load, Variants[0], 1), Run(Small, load, Variants[1], 1)
 	is.True(after.Items.InTime > before.Items.InTime)
-	is.True(after.Online.Share() >= before.Online.Share()-onlineLoss)
+	is.True(after.Online.InTimeShare() >= before.Online.InTimeShare()-onlineLoss)
 }
 
 // TestEngine: an engine serves as many as it has slots, the others in order of
@@ -78,7 +78,7 @@
 func TestEngine(t *testing.T) {
 	is := is.New(t)
 	var c clock
-	f := EngineFigures{Slots: 2, Step: 10 * time.Millisecond, TokensPerEvent: 1, PromptPerMS: 10, PromptPerStep: 1000, Memory: 1000}
+	f := EngineParams{Slots: 2, StepTime: 10 * time.Millisecond, TokensPerEvent: 1, PromptTokensPerMS: 10, PromptTokensPerStep: 1000, MemoryTokens: 1000}
 	e := newEngine(&f, &c)
 	var order []int
 	add := func(id, prompt, events int, prefix string) *run {
@@ -112,11 +112,11 @@
 // TestOneSeedOneCourse: a play repeats.
 func TestOneSeedOneCourse(t *testing.T) {
 	is := is.New(t)
-	load, err := Named("lost")
+	load, err := LoadByName("lost")
 	is.NoErr(err)
 	load.Length = 20 * time.Second
-	a, b := Play(Small, load, Variants[0], 7), Play(Small, load, Variants[0], 7)
+	a, b := Run(Small, load, Variants[0], 7), Run(Small, load, Variants[0], 7)
 	is.Equal(a.Online, b.Online)
 	is.Equal(a.Items, b.Items)
-	is.Equal(a.Online.Asked, a.Online.InTime+a.Online.Late+a.Online.Refused+a.Online.Failed)
+	is.Equal(a.Online.Total, a.Online.InTime+a.Online.Late+a.Online.Refused+a.Online.Failed)
 }
--- a/lab/model/news.go
+++ b/lab/model/news.go
@@ -22,8 +22,8 @@
 
 func newNews(n *node) news {
 	var peers []beacon.Peer
-	for c := range n.f.Centres {
-		for i := range n.f.NodesPerCentre {
+	for c := range n.f.DataCentres {
+		for i := range n.f.NodesPerDataCentre {
 			if name := nodeName(c, i); name != n.name {
 				peers = append(peers, beacon.Peer{Node: name, DataCentre: centreName(c), Callers: true})
 			}
@@ -118,7 +118,7 @@
 // tellHolders lets those with items at a target hear at once: nodes of the own
 // group, and through one node each the other groups and data centres.
 func (n *node) tellHolders(h choose.Holders) {
-	if n.f.variant.Mute {
+	if n.f.variant.NoHolderNotices {
 		return
 	}
 	n.send(n.f.all(h.Nodes), n.ofNode())
--- a/lab/model/node.go
+++ b/lab/model/node.go
@@ -51,7 +51,7 @@
 	n.life++
 	n.news = newNews(n)
 	n.table = choose.New(choose.Config{EjectAfter: ejectAfter, EjectTime: ejectTime, Policy: choose.LeastOfFew, Node: n.name, LocalDataCentre: n.centre, Group: n.view.Group(),
-		Seed: n.seed, MinReserve: n.f.variant.LeastReserve})
+		Seed: n.seed, MinReserve: n.f.variant.MinReserve})
 	n.table.SetTargets(n.f.list)
 }
 
--- a/lab/model/quota/quota_test.go
+++ b/lab/model/quota/quota_test.go
@@ -21,11 +21,11 @@
 		return s
 	}
 	nothing := func(*Scenario) {}
-	cut := func(s *Scenario) { s.Cut = Span{8 * time.Second, 6 * time.Second} }
+	cut := func(s *Scenario) { s.Partition = Span{8 * time.Second, 6 * time.Second} }
 	cutAndKilled := func(s *Scenario) {
-		s.Cut, s.Killed = Span{8 * time.Second, 6 * time.Second}, Span{9 * time.Second, 2 * time.Second}
+		s.Partition, s.HalfKilled = Span{8 * time.Second, 6 * time.Second}, Span{9 * time.Second, 2 * time.Second}
 	}
-	killed := func(s *Scenario) { s.Killed = Span{8 * time.Second, 2 * time.Second} }
+	killed := func(s *Scenario) { s.HalfKilled = Span{8 * time.Second, 2 * time.Second} }
 	allKilled := func(s *Scenario) { s.AllKilled = Span{8 * time.Second, time.Second} }
 	ownerKilled := func(s *Scenario) { s.OwnerKilled = Span{8 * time.Second, 2 * time.Second} }
 	return []Scenario{
@@ -36,12 +36,12 @@
 		with(base, "usual, half killed", killed), with(hot, "hot, half killed", killed),
 		with(base, "usual, all killed", allKilled),
 		with(base, "usual, owner killed", ownerKilled), with(hot, "hot, owner killed", ownerKilled),
-		with(hot, "hot, limit lowered", func(s *Scenario) { s.Lowered = 8 * time.Second }),
-		with(base, "usual, 30 % lost", func(s *Scenario) { s.Loss = 0.3 }), with(hot, "hot, 30 % lost", func(s *Scenario) { s.Loss = 0.3 }),
+		with(hot, "hot, limit lowered", func(s *Scenario) { s.LimitsHalvedAt = 8 * time.Second }),
+		with(base, "usual, 30 % lost", func(s *Scenario) { s.LossShare = 0.3 }), with(hot, "hot, 30 % lost", func(s *Scenario) { s.LossShare = 0.3 }),
 	}
 }
 
-var ways = []func(*world) Way{Equal, ByDemand, Lent}
+var ways = []func(*world) Limiter{NewEqualShares, NewDemandShares, NewLending}
 
 // TestWaysCompared prints the table of docs/design when QUOTA_TABLE is set, to all or to a
 // number of nodes: all ways in all loads at three sizes of the fleet and with two numbers of
@@ -61,8 +61,8 @@
 		for _, s := range scenarios(size.nodes, size.centres, size.workspaces, size.perSecond) {
 			for _, way := range ways {
 				f := Run(s, way)
-				fmt.Printf("| %d | %d | %s | %s | %.2f | %.2f %% | %.1f / %.1f ms | %.1f | %.0f |\n", s.Nodes, s.Workspaces, s.Name, f.Way, f.Worst, 100*f.Wrong,
-					f.P50.Seconds()*1000, f.P99.Seconds()*1000, f.Messages, f.Bytes)
+				fmt.Printf("| %d | %d | %s | %s | %.2f | %.2f %% | %.1f / %.1f ms | %.1f | %.0f |\n", s.Nodes, s.Workspaces, s.Name, f.Limiter, f.WorstWindow, 100*f.MissingShare,
+					f.P50.Seconds()*1000, f.P99.Seconds()*1000, f.MessageRate, f.ByteRate)
 			}
 		}
 	}
@@ -78,10 +78,10 @@
 	for _, s := range scenarios(51, 3, 73, 262) {
 		t.Run(s.Name, func(t *testing.T) {
 			is := is.New(t)
-			f := Run(s, Lent)
-			t.Logf("worst window %.2f of what is tolerated, %.3f %% of %d refused wrongly, %v and %v added, %.1f messages a node and second", f.Worst, 100*f.Wrong, f.Requests, f.P50, f.P99, f.Messages)
-			is.True(f.Worst <= 1)
-			is.True(f.Wrong <= mostWrong)
+			f := Run(s, NewLending)
+			t.Logf("worst window %.2f of what is tolerated, %.3f %% of %d refused wrongly, %v and %v added, %.1f messages a node and second", f.WorstWindow, 100*f.MissingShare, f.Requests, f.P50, f.P99, f.MessageRate)
+			is.True(f.WorstWindow <= 1)
+			is.True(f.MissingShare <= mostWrong)
 		})
 	}
 }
@@ -98,8 +98,8 @@
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			is := is.New(t)
 			s := Scenario{Nodes: nodes, Centres: 3, Workspaces: 2, PerSecond: 800, Length: 5 * time.Second, OneNode: true, Hot: Span{time.Second, 3 * time.Second}, HotFactor: 7.5, Seed: 7}
-			f := Run(s, Lent)
-			t.Logf("%d requests, %v and %v added, worst window %.2f, %.2f %% missing", f.Requests, f.P50, f.P99, f.Worst, 100*f.Wrong)
+			f := Run(s, NewLending)
+			t.Logf("%d requests, %v and %v added, worst window %.2f, %.2f %% missing", f.Requests, f.P50, f.P99, f.WorstWindow, 100*f.MissingShare)
 			is.True(f.P99 <= 20*time.Millisecond)
 		})
 	}
@@ -122,10 +122,10 @@
 			t.Run(fmt.Sprint("seed ", seed, ", killed at ", killed), func(t *testing.T) {
 				is := is.New(t)
 				s := Scenario{Nodes: 51, Centres: 3, Workspaces: 73, PerSecond: 262, Length: 20 * time.Second, HotFactor: 7.5, Hot: Span{4 * time.Second, 12 * time.Second},
-					Cut: Span{8 * time.Second, 6 * time.Second}, Killed: Span{killed, 2 * time.Second}, Seed: seed}
-				f := Run(s, Lent)
-				t.Logf("worst window %.3f of what is tolerated, %.3f %% missing", f.Worst, 100*f.Wrong)
-				is.True(f.Worst <= 1)
+					Partition: Span{8 * time.Second, 6 * time.Second}, HalfKilled: Span{killed, 2 * time.Second}, Seed: seed}
+				f := Run(s, NewLending)
+				t.Logf("worst window %.3f of what is tolerated, %.3f %% missing", f.WorstWindow, 100*f.MissingShare)
+				is.True(f.WorstWindow <= 1)
 			})
 		}
 	}
--- a/lab/model/quota/ways.go
+++ b/lab/model/quota/ways.go
@@ -9,14 +9,14 @@
 	"github.com/marblepond/marblepond/internal/request/allowance"
 )
 
-// Way keeps workspaces to their allowances.
-type Way interface {
+// Limiter keeps workspaces to their allowances.
+type Limiter interface {
 	Name() string
-	// Take decides about a request that came to a node; decided is called once, at the
+	// Admit decides about a request that came to a node; decided is called once, at the
 	// time when it is known.
-	Take(node, ws int, decided func(admitted bool))
-	// Started has a node begin anew with nothing remembered.
-	Started(node int)
+	Admit(node, ws int, decided func(admitted bool))
+	// Restarted has a node begin anew with nothing remembered.
+	Restarted(node int)
 }
 
 // equal gives each node the same share.
@@ -25,11 +25,11 @@
 	buckets [][]bucket // by node and workspace
 }
 
-// Equal gives each node the same share of each allowance.
-func Equal(w *world) Way {
+// NewEqualShares gives each node the same share of each allowance.
+func NewEqualShares(w *world) Limiter {
 	e := &equal{w: w, buckets: make([][]bucket, w.Nodes)}
 	for node := range e.buckets {
-		e.Started(node)
+		e.Restarted(node)
 		for ws := range e.buckets[node] {
 			e.buckets[node][ws].level = w.limit(ws).Burst
 		}
@@ -39,14 +39,14 @@
 
 func (e *equal) Name() string { return "equal shares" }
 
-func (e *equal) Started(node int) {
+func (e *equal) Restarted(node int) {
 	e.buckets[node] = make([]bucket, e.w.Workspaces)
 	for ws := range e.buckets[node] {
 		e.buckets[node][ws].at = e.w.now
 	}
 }
 
-func (e *equal) Take(node, ws int, decided func(bool)) {
+func (e *equal) Admit(node, ws int, decided func(bool)) {
 	limit, n := e.w.limit(ws), float64(e.w.Nodes)
 	decided(e.buckets[node][ws].take(e.w.now, limit.PerSecond/n, max(1, limit.Burst/n)))
 }
@@ -74,11 +74,11 @@
 	slightDemand = 0.01
 )
 
-// ByDemand gives each node a share of each allowance by the demand told.
-func ByDemand(w *world) Way {
+// NewDemandShares gives each node a share of each allowance by the demand told.
+func NewDemandShares(w *world) Limiter {
 	d := &byDemand{w: w, nodes: make([]demandNode, w.Nodes)}
 	for node := range d.nodes {
-		d.Started(node)
+		d.Restarted(node)
 		for ws := range w.Workspaces {
 			d.nodes[node].buckets[ws].level = 1
 		}
@@ -89,7 +89,7 @@
 
 func (d *byDemand) Name() string { return "shares by demand" }
 
-func (d *byDemand) Started(node int) {
+func (d *byDemand) Restarted(node int) {
 	n := &d.nodes[node]
 	n.buckets, n.demand, n.at = make([]bucket, d.w.Workspaces), make([]float64, d.w.Workspaces), make([]time.Duration, d.w.Workspaces)
 	for ws := range n.buckets {
@@ -138,7 +138,7 @@
 			continue
 		}
 		age := newsAge
-		if d.w.draw.Float64() < d.w.Loss {
+		if d.w.draw.Float64() < d.w.LossShare {
 			age++
 		}
 		if i := len(d.history) - age; i >= 0 && d.history[i][other] != nil {
@@ -148,7 +148,7 @@
 	return sum
 }
 
-func (d *byDemand) Take(node, ws int, decided func(bool)) {
+func (d *byDemand) Admit(node, ws int, decided func(bool)) {
 	n := &d.nodes[node]
 	n.demand[ws] = d.demandNow(node, ws) + 1
 	n.at[ws] = d.w.now
@@ -195,12 +195,12 @@
 	deadAfter   = 250 * time.Millisecond
 )
 
-// Lent has an owner of each workspace lend tokens.
-func Lent(w *world) Way {
+// NewLending has an owner of each workspace lend tokens.
+func NewLending(w *world) Limiter {
 	l := &lent{w: w, nodes: make([]lentNode, w.Nodes)}
 	for node := range w.Nodes {
 		l.names = append(l.names, fmt.Sprint("node-", node))
-		l.Started(node)
+		l.Restarted(node)
 		l.nodes[node].ledger = allowance.NewBuckets(w.clock().Add(-time.Minute), tolerated)
 	}
 	return l
@@ -208,7 +208,7 @@
 
 func (l *lent) Name() string { return "lent by an owner" }
 
-func (l *lent) Started(node int) {
+func (l *lent) Restarted(node int) {
 	n := &l.nodes[node]
 	*n = lentNode{ledger: allowance.NewBuckets(l.w.clock(), tolerated), purse: allowance.NewBalances(), started: n.started + 1,
 		pending: map[int]*asking{}, waiting: map[int]int{}, suspects: map[int]time.Duration{}, lived: map[int]time.Duration{}, doubted: map[int]time.Duration{}}
@@ -225,7 +225,7 @@
 	return slices.Index(names, allowance.PreferredOwner(workspaceName(0), names))
 }
 
-func (l *lent) Take(node, ws int, decided func(bool)) {
+func (l *lent) Admit(node, ws int, decided func(bool)) {
 	n := &l.nodes[node]
 	n.purse.Arrived(l.w.clock(), workspaceName(ws))
 	n.waiting[ws]++
@@ -338,8 +338,8 @@
 
 // centreHeardAt returns when a node last heard a data centre.
 func (l *lent) centreHeardAt(node, dc int) time.Duration {
-	if l.w.Cut.holds(l.w.now) && (l.w.centre(node) == 0) != (dc == 0) {
-		return l.w.Cut.From
+	if l.w.Partition.holds(l.w.now) && (l.w.centre(node) == 0) != (dc == 0) {
+		return l.w.Partition.From
 	}
 	return l.w.now
 }
@@ -369,7 +369,7 @@
 	if (l.w.centre(node) == 0) == (dc == 0) {
 		return true
 	}
-	return !(l.w.Cut.holds(l.w.now) && l.w.Cut.holds(l.w.now-silentAfter))
+	return !(l.w.Partition.holds(l.w.now) && l.w.Partition.holds(l.w.now-silentAfter))
 }
 
 func centreName(dc int) string { return fmt.Sprint("dc", dc) }
--- a/lab/model/quota/world.go
+++ b/lab/model/quota/world.go
@@ -32,16 +32,16 @@
 	// Hot has the largest workspace send HotFactor times its usual.
 	Hot       Span
 	HotFactor float64
-	// Cut separates the first data centre from the others.
-	Cut Span
-	// Killed has half of the nodes down, with nothing remembered afterwards, AllKilled all
+	// Partition separates the first data centre from the others.
+	Partition Span
+	// HalfKilled has half of the nodes down, with nothing remembered afterwards, AllKilled all
 	// of them, and OwnerKilled the owner of the largest workspace. What comes while all are
 	// down comes again when they are back.
-	Killed, AllKilled, OwnerKilled Span
-	// Lowered is when the limits fall to a half, zero: never.
-	Lowered time.Duration
-	Loss    float64 // share of messages between nodes that are lost
-	Seed    uint64
+	HalfKilled, AllKilled, OwnerKilled Span
+	// LimitsHalvedAt is when the limits fall to a half, zero: never.
+	LimitsHalvedAt time.Duration
+	LossShare      float64 // share of messages between nodes that are lost
+	Seed           uint64
 }
 
 const (
@@ -132,7 +132,7 @@
 // limit returns the allowance of a workspace in force.
 func (w *world) limit(ws int) workspace.Allowance {
 	rate := math.Max(leastRate, math.Ceil(headroom*(1+highs)*w.usual[ws]))
-	if w.Lowered > 0 && w.now >= w.Lowered {
+	if w.LimitsHalvedAt > 0 && w.now >= w.LimitsHalvedAt {
 		rate = math.Ceil(rate / 2)
 	}
 	return workspace.Allowance{PerSecond: rate, Burst: rate}
@@ -140,7 +140,7 @@
 
 // up reports whether a node runs.
 func (w *world) up(node int) bool {
-	if w.AllKilled.holds(w.now) || (w.Killed.holds(w.now) && node%2 == 1) {
+	if w.AllKilled.holds(w.now) || (w.HalfKilled.holds(w.now) && node%2 == 1) {
 		return false
 	}
 	return !(w.OwnerKilled.holds(w.now) && node == w.ownerOfLargest())
@@ -148,7 +148,7 @@
 
 // linked reports whether two nodes reach each other.
 func (w *world) linked(a, b int) bool {
-	cut := w.Cut.holds(w.now) && (w.centre(a) == 0) != (w.centre(b) == 0)
+	cut := w.Partition.holds(w.now) && (w.centre(a) == 0) != (w.centre(b) == 0)
 	return !cut && w.up(a) && w.up(b)
 }
 
@@ -156,7 +156,7 @@
 func (w *world) send(from, to, size int, arrive func()) {
 	w.messages++
 	w.bytes += size
-	if !w.linked(from, to) || w.draw.Float64() < w.Loss {
+	if !w.linked(from, to) || w.draw.Float64() < w.LossShare {
 		return
 	}
 	delay := inCentre
@@ -192,20 +192,20 @@
 	return node
 }
 
-// Figures are what a run came to.
-type Figures struct {
-	Way string
-	// Worst is the largest ratio of what was admitted in any window to what may be, with
+// Result are what a run came to.
+type Result struct {
+	Limiter string
+	// WorstWindow is the largest ratio of what was admitted in any window to what may be, with
 	// the tolerance: over 1 the rule is broken.
-	Worst float64
-	// Wrong is the share of what a limiter that knows everything at once would admit by
+	WorstWindow float64
+	// MissingShare is the share of what a limiter that knows everything at once would admit by
 	// which less was admitted, over all workspaces.
-	Wrong    float64
-	Requests int
+	MissingShare float64
+	Requests     int
 	// P50 and P99 are how long an admitted request waited for it.
-	P50, P99 time.Duration
-	Messages float64 // a node and second
-	Bytes    float64 // the same
+	P50, P99    time.Duration
+	MessageRate float64 // a node and second
+	ByteRate    float64 // the same
 }
 
 // tally takes what happens to requests.
@@ -235,7 +235,7 @@
 	return true
 }
 
-func (t *tally) arrive(way Way, ws int) {
+func (t *tally) arrive(way Limiter, ws int) {
 	if all := t.w.AllKilled; all.holds(t.w.now) {
 		back := all.From + all.For - t.w.now + time.Duration(t.w.draw.Float64()*float64(comeBack))
 		t.w.after(back, func() { t.arrive(way, ws) })
@@ -248,7 +248,7 @@
 		t.inside[ws]++
 	}
 	began := t.w.now
-	way.Take(t.w.nodeFor(ws), ws, func(admitted bool) {
+	way.Admit(t.w.nodeFor(ws), ws, func(admitted bool) {
 		if !admitted {
 			return
 		}
@@ -270,7 +270,7 @@
 			for at-times[first] > tolerated.Window {
 				first++
 			}
-			if t.w.Lowered == 0 || times[first] >= t.w.Lowered+tolerated.Window {
+			if t.w.LimitsHalvedAt == 0 || times[first] >= t.w.LimitsHalvedAt+tolerated.Window {
 				worst = max(worst, float64(i-first+1)/most)
 			}
 		}
@@ -289,7 +289,7 @@
 }
 
 // Run plays a scenario in one way.
-func Run(s Scenario, newWay func(w *world) Way) Figures {
+func Run(s Scenario, newWay func(w *world) Limiter) Result {
 	w := newWorld(s)
 	way := newWay(w)
 	t := &tally{w: w, admitted: make([][]time.Duration, s.Workspaces), reference: make([]bucket, s.Workspaces), inside: make([]int, s.Workspaces)}
@@ -303,18 +303,18 @@
 		t.limitsThen = append(t.limitsThen, w.limit(ws))
 	}
 	slices.Sort(t.delays)
-	f := Figures{Way: way.Name(), Worst: t.worst(), Requests: t.requests, Wrong: t.missing()}
+	f := Result{Limiter: way.Name(), WorstWindow: t.worst(), Requests: t.requests, MissingShare: t.missing()}
 	if n := len(t.delays); n > 0 {
 		f.P50, f.P99 = t.delays[n/2], t.delays[n*99/100]
 	}
 	perNode := float64(s.Nodes) * s.Length.Seconds()
-	f.Messages, f.Bytes = float64(w.messages)/perNode, float64(w.bytes)/perNode
+	f.MessageRate, f.ByteRate = float64(w.messages)/perNode, float64(w.bytes)/perNode
 	return f
 }
 
 // schedule has a workspace's next request arrive. Arrivals are drawn at the highest rate
 // and thinned out.
-func (t *tally) schedule(way Way, ws int) {
+func (t *tally) schedule(way Limiter, ws int) {
 	most := t.w.usual[ws] * (1 + highs)
 	if ws == 0 && t.w.HotFactor > 1 {
 		most *= t.w.HotFactor
@@ -329,8 +329,8 @@
 }
 
 // restarts tells a way which nodes start anew.
-func (w *world) restarts(way Way) {
-	for _, span := range []Span{w.Killed, w.AllKilled, w.OwnerKilled} {
+func (w *world) restarts(way Limiter) {
+	for _, span := range []Span{w.HalfKilled, w.AllKilled, w.OwnerKilled} {
 		if span.For == 0 {
 			continue
 		}
@@ -343,7 +343,7 @@
 			}
 			w.after(span.For, func() {
 				for _, node := range down {
-					way.Started(node)
+					way.Restarted(node)
 				}
 			})
 		})
--- a/lab/model/result.go
+++ b/lab/model/result.go
@@ -16,11 +16,11 @@
 
 // Counts says how requests or items ended.
 type Counts struct {
-	Asked, InTime, Late, Refused, Failed int
+	Total, InTime, Late, Refused, Failed int
 }
 
-// Share returns the share that was in time.
-func (c Counts) Share() float64 { return float64(c.InTime) / float64(max(1, c.Asked)) }
+// InTimeShare returns the share that was in time.
+func (c Counts) InTimeShare() float64 { return float64(c.InTime) / float64(max(1, c.Total)) }
 
 func (c *Counts) end(now, due time.Time) {
 	if now.After(due) {
@@ -32,19 +32,19 @@
 
 // Result is what came of a play.
 type Result struct {
-	Load, Variant      string
-	Online, Items      Counts
-	FirstP50, FirstP99 time.Duration // from arrival to the first event
-	OnlineSlots        float64       // share of the slots' time that online requests held
-	ItemSlots          float64
-	Yields             int
-	Datagrams          int     // between nodes
-	DatagramRate       float64 // a second, sent by a node
-	ResumedTokens      int     // of outputs, read again because an item went on
-	PromptTokens       int     // read in all
-	SharedTokensAgain  int     // of prefixes that the same engine had read before
-	Samples            []Sample
-	first              []time.Duration
+	Load, Variant                string
+	Online, Items                Counts
+	FirstEventP50, FirstEventP99 time.Duration // from arrival to the first event
+	OnlineSlotShare              float64       // share of the slots' time that online requests held
+	ItemSlotShare                float64
+	Yields                       int
+	Datagrams                    int     // between nodes
+	DatagramRate                 float64 // a second, sent by a node
+	ResumedTokens                int     // of outputs, read again because an item went on
+	PromptTokens                 int     // read in all
+	RereadPrefixTokens           int     // of prefixes that the same engine had read before
+	Samples                      []Sample
+	first                        []time.Duration
 }
 
 // Sample is what the slots of the fleet were doing at a time.
@@ -85,7 +85,7 @@
 	r.Load, r.Variant = f.load.Name, f.variant.Name
 	slices.Sort(r.first)
 	if n := len(r.first); n > 0 {
-		r.FirstP50, r.FirstP99 = r.first[n/2], r.first[n*99/100]
+		r.FirstEventP50, r.FirstEventP99 = r.first[n/2], r.first[n*99/100]
 	}
 	slots, online, items := 0, 0, 0
 	for _, s := range r.Samples {
@@ -93,11 +93,11 @@
 		online += s.Online
 		items += s.Items
 	}
-	r.OnlineSlots, r.ItemSlots = float64(online)/float64(max(1, slots)), float64(items)/float64(max(1, slots))
+	r.OnlineSlotShare, r.ItemSlotShare = float64(online)/float64(max(1, slots)), float64(items)/float64(max(1, slots))
 	r.DatagramRate = float64(r.Datagrams) / f.clock.now.Seconds() / float64(len(f.nodes))
 	for _, e := range f.engines {
 		r.PromptTokens += e.promptTokens
-		r.SharedTokensAgain += e.sharedAgain
+		r.RereadPrefixTokens += e.sharedAgain
 	}
 	return r
 }
@@ -108,8 +108,8 @@
 	fmt.Fprintln(t, "load\tvariant\tonline in aim\trefused\tfailed\tfirst p50\tp99\titems in time\tslots online\titems\tfree\tyields\ttokens read\tagain for yields\tof prefixes\tdatagrams a node and s")
 	for _, r := range results {
 		fmt.Fprintf(t, "%s\t%s\t%d of %d, %.4f\t%d\t%d\t%v\t%v\t%d of %d, %.4f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%.0f\n", r.Load, r.Variant,
-			r.Online.InTime, r.Online.Asked, r.Online.Share(), r.Online.Refused, r.Online.Failed, r.FirstP50.Round(time.Millisecond), r.FirstP99.Round(time.Millisecond),
-			r.Items.InTime, r.Items.Asked, r.Items.Share(), r.OnlineSlots, r.ItemSlots, 1-r.OnlineSlots-r.ItemSlots, r.Yields, r.PromptTokens, r.ResumedTokens, r.SharedTokensAgain, r.DatagramRate)
+			r.Online.InTime, r.Online.Total, r.Online.InTimeShare(), r.Online.Refused, r.Online.Failed, r.FirstEventP50.Round(time.Millisecond), r.FirstEventP99.Round(time.Millisecond),
+			r.Items.InTime, r.Items.Total, r.Items.InTimeShare(), r.OnlineSlotShare, r.ItemSlotShare, 1-r.OnlineSlotShare-r.ItemSlotShare, r.Yields, r.PromptTokens, r.ResumedTokens, r.RereadPrefixTokens, r.DatagramRate)
 	}
 	return t.Flush()
 }
--- a/lab/model/warmup/warmup.go
+++ b/lab/model/warmup/warmup.go
@@ -20,13 +20,13 @@
 	Targets int
 	// Demand is how many requests a second callers have for each cold target, in all.
 	Demand float64
-	// Learned is within which time the nodes learn that the targets are cold.
-	Learned time.Duration
-	// Cut: the nodes are in two halves that do not hear each other.
-	Cut bool
-	// Killed: half of the nodes end halfway, and the others are told a second later.
-	Killed bool
-	Seed   uint64
+	// LearnTime is within which time the nodes learn that the targets are cold.
+	LearnTime time.Duration
+	// Partitioned: the nodes are in two halves that do not hear each other.
+	Partitioned bool
+	// HalfKilled: half of the nodes end halfway, and the others are told a second later.
+	HalfKilled bool
+	Seed       uint64
 }
 
 // Rate is how the targets of the model warm up.
@@ -34,17 +34,17 @@
 
 // Result sums up a scenario.
 type Result struct {
-	Most   int     // requests in one second at any target
-	Served float64 // share of the demand
-	First  time.Duration
+	MaxPerSecond int     // requests in one second at any target
+	ServedShare  float64 // share of the demand
+	FirstSent    time.Duration
 }
 
-// Way decides whether a node may send a request to a target, so long after the target
+// Strategy decides whether a node may send a request to a target, so long after the target
 // became cold. A node that has not learned of it yet is not asked.
-type Way func(w *World) func(node, target int, now time.Duration) bool
+type Strategy func(w *Fleet) func(node, target int, now time.Duration) bool
 
-// World is what a way may know.
-type World struct {
+// Fleet is what a way may know.
+type Fleet struct {
 	Scenario
 	names   []string
 	targets []string
@@ -52,19 +52,19 @@
 }
 
 // hears reports whether a node hears another one.
-func (w *World) hears(node, other int, now time.Duration) bool {
-	if w.Cut && node%2 != other%2 {
+func (w *Fleet) hears(node, other int, now time.Duration) bool {
+	if w.Partitioned && node%2 != other%2 {
 		return false
 	}
 	return !w.dead(other, now-time.Second)
 }
 
-func (w *World) dead(node int, now time.Duration) bool {
-	return w.Killed && node >= w.Nodes/2 && now > Rate.Time/2
+func (w *Fleet) dead(node int, now time.Duration) bool {
+	return w.HalfKilled && node >= w.Nodes/2 && now > Rate.Time/2
 }
 
-// Turns is what the product does.
-func Turns(w *World) func(node, target int, now time.Duration) bool {
+// Rotation is what the product does.
+func Rotation(w *Fleet) func(node, target int, now time.Duration) bool {
 	used := map[[2]int]int{}
 	return func(node, target int, now time.Duration) bool {
 		turn := (warmup.Position{Index: node, Nodes: w.Nodes}).Turn(w.targets[target], now-w.learned[node], Rate.PerSecond)
@@ -77,9 +77,9 @@
 	}
 }
 
-// Lent has one node for each target lend its requests to the others: the first in the
+// Lending has one node for each target lend its requests to the others: the first in the
 // target's order of those that are heard. A substitute does not know what was lent.
-func Lent(w *World) func(node, target int, now time.Duration) bool {
+func Lending(w *Fleet) func(node, target int, now time.Duration) bool {
 	type bucket struct {
 		tokens float64
 		at     time.Duration
@@ -119,9 +119,9 @@
 	}
 }
 
-// Few lets a few nodes for each target send, each a part of its rate: the first in the
+// FewSenders lets a few nodes for each target send, each a part of its rate: the first in the
 // target's order of those that are heard.
-func Few(w *World) func(node, target int, now time.Duration) bool {
+func FewSenders(w *Fleet) func(node, target int, now time.Duration) bool {
 	const few = 3
 	next := map[[2]int]time.Duration{}
 	return func(node, target int, now time.Duration) bool {
@@ -141,13 +141,13 @@
 
 // Run plays a scenario. A request that a node has is offered to some targets drawn at
 // random and waits a short while for one of them.
-func Run(s Scenario, way Way) Result {
+func Run(s Scenario, way Strategy) Result {
 	const tick = 5 * time.Millisecond
 	draw := rand.New(rand.NewPCG(s.Seed, s.Seed))
-	w := &World{Scenario: s}
+	w := &Fleet{Scenario: s}
 	for i := range s.Nodes {
 		w.names = append(w.names, fmt.Sprintf("node-%d", i))
-		w.learned = append(w.learned, time.Duration(draw.Float64()*float64(s.Learned)))
+		w.learned = append(w.learned, time.Duration(draw.Float64()*float64(s.LearnTime)))
 	}
 	for i := range s.Targets {
 		w.targets = append(w.targets, fmt.Sprintf("target-%d", i))
@@ -174,7 +174,7 @@
 			}
 		}
 	}
-	return Result{Most: most(sent), Served: float64(served) / float64(max(1, asked)), First: first}
+	return Result{MaxPerSecond: most(sent), ServedShare: float64(served) / float64(max(1, asked)), FirstSent: first}
 }
 
 // most returns the most requests that a target got in one second.
--- a/lab/model/warmup/warmup_test.go
+++ b/lab/model/warmup/warmup_test.go
@@ -23,13 +23,13 @@
 }{
 	{"usual", func(*Scenario) {}},
 	{"high", func(s *Scenario) { s.Demand *= 5 }},
-	{"high, cut", func(s *Scenario) { s.Demand *= 5; s.Cut = true }},
-	{"high, half killed", func(s *Scenario) { s.Demand *= 5; s.Killed = true }},
-	{"high, learned late", func(s *Scenario) { s.Demand *= 5; s.Learned = 2 * time.Second }},
+	{"high, cut", func(s *Scenario) { s.Demand *= 5; s.Partitioned = true }},
+	{"high, half killed", func(s *Scenario) { s.Demand *= 5; s.HalfKilled = true }},
+	{"high, learned late", func(s *Scenario) { s.Demand *= 5; s.LearnTime = 2 * time.Second }},
 }
 
 func scenario(nodes int, change func(*Scenario), seed uint64) Scenario {
-	s := Scenario{Nodes: nodes, Targets: max(4, nodes/2), Demand: 4, Learned: 700 * time.Millisecond, Seed: seed}
+	s := Scenario{Nodes: nodes, Targets: max(4, nodes/2), Demand: 4, LearnTime: 700 * time.Millisecond, Seed: seed}
 	change(&s)
 	return s
 }
@@ -42,9 +42,9 @@
 			t.Run(fmt.Sprint(nodes, " ", c.name), func(t *testing.T) {
 				is := is.New(t)
 				for seed := range uint64(3) {
-					r := Run(scenario(nodes, c.change, seed), Turns)
-					is.True(r.Most <= bears)
-					is.True(r.Served > 0)
+					r := Run(scenario(nodes, c.change, seed), Rotation)
+					is.True(r.MaxPerSecond <= bears)
+					is.True(r.ServedShare > 0)
 				}
 			})
 		}
@@ -60,17 +60,17 @@
 	for _, nodes := range []int{9, 64, 295, 985} {
 		for _, c := range scenarios {
 			fmt.Printf("| %d | %s |", nodes, c.name)
-			for i, way := range []Way{Turns, Lent, Few} {
+			for i, way := range []Strategy{Rotation, Lending, FewSenders} {
 				if i == 2 && nodes > mostOfFew {
 					fmt.Print(" - |")
 					continue
 				}
-				worst := Result{Served: 1}
+				worst := Result{ServedShare: 1}
 				for seed := range uint64(3) {
 					r := Run(scenario(nodes, c.change, seed), way)
-					worst = Result{max(worst.Most, r.Most), min(worst.Served, r.Served), max(worst.First, r.First)}
+					worst = Result{max(worst.MaxPerSecond, r.MaxPerSecond), min(worst.ServedShare, r.ServedShare), max(worst.FirstSent, r.FirstSent)}
 				}
-				fmt.Printf(" %d, %.2f |", worst.Most, worst.Served)
+				fmt.Printf(" %d, %.2f |", worst.MaxPerSecond, worst.ServedShare)
 			}
 			fmt.Println()
 		}
--- a/lab/model/work.go
+++ b/lab/model/work.go
@@ -38,7 +38,7 @@
 	for i := range j.items {
 		j.items[i].events = f.length(f.ItemEvents)
 	}
-	f.result.Items.Asked += jobItems
+	f.result.Items.Total += jobItems
 	n.jobs = append(n.jobs, j)
 }
 
@@ -141,7 +141,7 @@
 	n := f.node()
 	counted := f.clock.now < f.load.Length
 	if counted {
-		f.result.Online.Asked++
+		f.result.Online.Total++
 	}
 	if n == nil {
 		if counted {
@@ -167,9 +167,9 @@
 	switch {
 	case ok:
 		q.send(t.ID)
-	case q.first == 0 && f.clock.now-q.arrived > time.Duration(roomShare*float64(f.Objective)) && q.tried > 0:
+	case q.first == 0 && f.clock.now-q.arrived > time.Duration(roomShare*float64(f.FirstEventObjective)) && q.tried > 0:
 		q.end(&f.result.Online.Failed)
-	case q.first == 0 && f.clock.now-q.arrived > time.Duration(roomShare*float64(f.Objective)):
+	case q.first == 0 && f.clock.now-q.arrived > time.Duration(roomShare*float64(f.FirstEventObjective)):
 		q.end(&f.result.Online.Refused)
 	default:
 		if q.tried == 0 {
@@ -226,7 +226,7 @@
 		})
 	}
 	f.submit(n, target, a.run, func() { a.elsewhere(choose.Failure) })
-	a.watch(time.Duration(firstShare * float64(f.Objective)))
+	a.watch(time.Duration(firstShare * float64(f.FirstEventObjective)))
 }
 
 // current reports whether the attempt still counts at its node.
@@ -291,7 +291,7 @@
 	}
 	f := q.n.f
 	f.result.first = append(f.result.first, q.first)
-	if q.first <= f.Objective && q.pause <= f.GapObjective {
+	if q.first <= f.FirstEventObjective && q.pause <= f.GapObjective {
 		f.result.Online.InTime++
 	} else {
 		f.result.Online.Late++
