--- a/internal/request/homes/durable.go
+++ b/internal/request/homes/durable.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// maxObjectBytes bounds one results object; it is below platform.MaxValue.
+	// maxObjectBytes bounds one results object; it is below platform.MaxValueBytes.
 	maxObjectBytes = 900 << 10
 	// maxResultsPerRound bounds the results that one round writes.
 	maxResultsPerRound = 4096
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// splitGroup writes each half of a group that is larger than platform.MaxValue.
+// splitGroup writes each half of a group that is larger than platform.MaxValueBytes.
 func (rp *Replicator) splitGroup(ctx context.Context, group []*hold.Result) error {
 	if len(group) == 1 {
 		rp.recorder.Record(timeline.RingOverflow, group[0].RequestID, "results", "a result is larger than the platform accepts; kept in memory only")
