--- a/api/marblepond/v1/marblepondv1connect/backlog.connect.go
+++ b/api/marblepond/v1/marblepondv1connect/backlog.connect.go
@@ -41,9 +41,10 @@
 
 // BacklogServiceClient is a client for the marblepond.v1.BacklogService service.
 type BacklogServiceClient interface {
-	// Reserve asks whether a job fits that the sender's words count already.
+	// Reserve asks the owner whether a job fits into a backlog. The sender's report already
+	// includes the job's tokens.
 	Reserve(context.Context, *v1.ReserveRequest) (*v1.ReserveResponse, error)
-	// Tell says how much waits with the sender.
+	// Tell reports the sender's waiting tokens to the owner.
 	Tell(context.Context, *v1.TellRequest) (*v1.TellResponse, error)
 }
 
@@ -99,9 +100,10 @@
 
 // BacklogServiceHandler is an implementation of the marblepond.v1.BacklogService service.
 type BacklogServiceHandler interface {
-	// Reserve asks whether a job fits that the sender's words count already.
+	// Reserve asks the owner whether a job fits into a backlog. The sender's report already
+	// includes the job's tokens.
 	Reserve(context.Context, *v1.ReserveRequest) (*v1.ReserveResponse, error)
-	// Tell says how much waits with the sender.
+	// Tell reports the sender's waiting tokens to the owner.
 	Tell(context.Context, *v1.TellRequest) (*v1.TellResponse, error)
 }
 
--- a/api/marblepond/v1/marblepondv1connect/checkpoint.connect.go
+++ b/api/marblepond/v1/marblepondv1connect/checkpoint.connect.go
@@ -41,7 +41,9 @@
 
 // CheckpointServiceClient is a client for the marblepond.v1.CheckpointService service.
 type CheckpointServiceClient interface {
+	// Save stores progress and removes the checkpoints of finished jobs.
 	Save(context.Context, *v1.SaveCheckpointsRequest) (*v1.SaveCheckpointsResponse, error)
+	// Load returns the checkpoint of a job.
 	Load(context.Context, *v1.LoadCheckpointRequest) (*v1.LoadCheckpointResponse, error)
 }
 
@@ -97,7 +99,9 @@
 
 // CheckpointServiceHandler is an implementation of the marblepond.v1.CheckpointService service.
 type CheckpointServiceHandler interface {
+	// Save stores progress and removes the checkpoints of finished jobs.
 	Save(context.Context, *v1.SaveCheckpointsRequest) (*v1.SaveCheckpointsResponse, error)
+	// Load returns the checkpoint of a job.
 	Load(context.Context, *v1.LoadCheckpointRequest) (*v1.LoadCheckpointResponse, error)
 }
 
--- a/api/marblepond/v1/marblepondv1connect/job.connect.go
+++ b/api/marblepond/v1/marblepondv1connect/job.connect.go
@@ -49,20 +49,20 @@
 
 // JobServiceClient is a client for the marblepond.v1.JobService service.
 type JobServiceClient interface {
-	// Results returns committed results from a position on and waits for one
-	// when there is none yet.
+	// Results returns committed results from a position on, and waits for the next one if
+	// there is none yet.
 	Results(context.Context, *v1.ResultsRequest) (*v1.ResultsResponse, error)
 	// Body returns the body of an item.
 	Body(context.Context, *v1.BodyRequest) (*v1.BodyResponse, error)
-	// Held says which of the jobs named the node holds in its present boot.
+	// Held returns which of the given jobs the node holds in its present boot.
 	Held(context.Context, *v1.HeldRequest) (*v1.HeldResponse, error)
-	// End tells the holder that the end of a job is in the object store.
+	// End notifies the holder that the end of a job is in the object store.
 	End(context.Context, *v1.EndRequest) (*v1.EndResponse, error)
-	// Adopt asks the node to hold jobs that the caller has given up.
+	// Adopt asks the node to take over jobs that the caller has released.
 	Adopt(context.Context, *v1.AdoptRequest) (*v1.AdoptResponse, error)
-	// Locate returns the head of a job, from memory or from the object store. One
-	// node of each data centre is asked for a job, so that the store is not asked
-	// by every node that gets a read.
+	// Locate returns the head of a job, from memory or from the object store. One node of
+	// each data centre is queried for a job, so that not every node that serves a read
+	// calls the object store.
 	Locate(context.Context, *v1.LocateRequest) (*v1.LocateResponse, error)
 }
 
@@ -182,20 +182,20 @@
 
 // JobServiceHandler is an implementation of the marblepond.v1.JobService service.
 type JobServiceHandler interface {
-	// Results returns committed results from a position on and waits for one
-	// when there is none yet.
+	// Results returns committed results from a position on, and waits for the next one if
+	// there is none yet.
 	Results(context.Context, *v1.ResultsRequest) (*v1.ResultsResponse, error)
 	// Body returns the body of an item.
 	Body(context.Context, *v1.BodyRequest) (*v1.BodyResponse, error)
-	// Held says which of the jobs named the node holds in its present boot.
+	// Held returns which of the given jobs the node holds in its present boot.
 	Held(context.Context, *v1.HeldRequest) (*v1.HeldResponse, error)
-	// End tells the holder that the end of a job is in the object store.
+	// End notifies the holder that the end of a job is in the object store.
 	End(context.Context, *v1.EndRequest) (*v1.EndResponse, error)
-	// Adopt asks the node to hold jobs that the caller has given up.
+	// Adopt asks the node to take over jobs that the caller has released.
 	Adopt(context.Context, *v1.AdoptRequest) (*v1.AdoptResponse, error)
-	// Locate returns the head of a job, from memory or from the object store. One
-	// node of each data centre is asked for a job, so that the store is not asked
-	// by every node that gets a read.
+	// Locate returns the head of a job, from memory or from the object store. One node of
+	// each data centre is queried for a job, so that not every node that serves a read
+	// calls the object store.
 	Locate(context.Context, *v1.LocateRequest) (*v1.LocateResponse, error)
 }
 
--- a/api/marblepond/v1/marblepondv1connect/operator.connect.go
+++ b/api/marblepond/v1/marblepondv1connect/operator.connect.go
@@ -71,20 +71,21 @@
 type OperatorServiceClient interface {
 	// Plan compares an intent with the configuration in force.
 	Plan(context.Context, *v1.PlanRequest) (*v1.PlanResponse, error)
-	// Apply confirms a plan; it fails as stale when the base has moved on.
+	// Apply puts a plan into force. It fails as stale if another version was applied since
+	// the plan was made.
 	Apply(context.Context, *v1.ApplyRequest) (*v1.ApplyResponse, error)
-	// Status lists nodes and the configuration version each has in force.
+	// Status lists the nodes and the configuration version that each has in force.
 	Status(context.Context, *v1.StatusRequest) (*v1.StatusResponse, error)
 	// Targets lists the targets of the node's data centre.
 	Targets(context.Context, *v1.TargetsRequest) (*v1.TargetsResponse, error)
-	// Timeline merges the event rings of the nodes that answer.
+	// Timeline merges the recent events of all nodes that respond.
 	Timeline(context.Context, *v1.TimelineRequest) (*v1.TimelineResponse, error)
-	// Quarantine lists the work that is refused because targets crash under it.
+	// Quarantine lists the work that is refused because it crashed targets.
 	Quarantine(context.Context, *v1.QuarantineRequest) (*v1.QuarantineResponse, error)
-	// ReleaseWork lets refused work go: it may run again at every node.
+	// ReleaseWork ends the refusal of work at every node.
 	ReleaseWork(context.Context, *v1.ReleaseWorkRequest) (*v1.ReleaseWorkResponse, error)
-	// Workspaces lists the workspaces with the use of their allowances, as far as the
-	// node lends them, and who lends the others.
+	// Workspaces lists the workspaces: the use of the allowances (rate limits) that the node
+	// lends, and which node lends the others.
 	Workspaces(context.Context, *v1.WorkspacesRequest) (*v1.WorkspacesResponse, error)
 	// SubmitBatch stores a JSONL file and creates a job from it.
 	SubmitBatch(context.Context, *v1.SubmitBatchRequest) (*v1.BatchResponse, error)
@@ -310,20 +311,21 @@
 type OperatorServiceHandler interface {
 	// Plan compares an intent with the configuration in force.
 	Plan(context.Context, *v1.PlanRequest) (*v1.PlanResponse, error)
-	// Apply confirms a plan; it fails as stale when the base has moved on.
+	// Apply puts a plan into force. It fails as stale if another version was applied since
+	// the plan was made.
 	Apply(context.Context, *v1.ApplyRequest) (*v1.ApplyResponse, error)
-	// Status lists nodes and the configuration version each has in force.
+	// Status lists the nodes and the configuration version that each has in force.
 	Status(context.Context, *v1.StatusRequest) (*v1.StatusResponse, error)
 	// Targets lists the targets of the node's data centre.
 	Targets(context.Context, *v1.TargetsRequest) (*v1.TargetsResponse, error)
-	// Timeline merges the event rings of the nodes that answer.
+	// Timeline merges the recent events of all nodes that respond.
 	Timeline(context.Context, *v1.TimelineRequest) (*v1.TimelineResponse, error)
-	// Quarantine lists the work that is refused because targets crash under it.
+	// Quarantine lists the work that is refused because it crashed targets.
 	Quarantine(context.Context, *v1.QuarantineRequest) (*v1.QuarantineResponse, error)
-	// ReleaseWork lets refused work go: it may run again at every node.
+	// ReleaseWork ends the refusal of work at every node.
 	ReleaseWork(context.Context, *v1.ReleaseWorkRequest) (*v1.ReleaseWorkResponse, error)
-	// Workspaces lists the workspaces with the use of their allowances, as far as the
-	// node lends them, and who lends the others.
+	// Workspaces lists the workspaces: the use of the allowances (rate limits) that the node
+	// lends, and which node lends the others.
 	Workspaces(context.Context, *v1.WorkspacesRequest) (*v1.WorkspacesResponse, error)
 	// SubmitBatch stores a JSONL file and creates a job from it.
 	SubmitBatch(context.Context, *v1.SubmitBatchRequest) (*v1.BatchResponse, error)
--- a/api/marblepond/v1/marblepondv1connect/peer.connect.go
+++ b/api/marblepond/v1/marblepondv1connect/peer.connect.go
@@ -58,26 +58,29 @@
 
 // PeerServiceClient is a client for the marblepond.v1.PeerService service.
 type PeerServiceClient interface {
-	// Heartbeat exchanges liveness, configuration version and target state.
+	// Heartbeat exchanges liveness, configuration versions and the state of targets. The
+	// response carries the same of the receiver, so that one call informs both nodes.
 	Heartbeat(context.Context, *v1.HeartbeatRequest) (*v1.HeartbeatResponse, error)
-	// Pressure reports the sender's online requests in flight per target to the
-	// node that owns those targets' batch slots. Counts are absolute.
+	// Pressure reports the sender's online requests in flight at targets to the node that
+	// owns the targets' batch slots. Counts are absolute.
 	Pressure(context.Context, *v1.PressureRequest) (*v1.PressureResponse, error)
-	// Hold registers a request at one of its two home nodes.
+	// Hold registers a request at one of its two replica nodes.
 	Hold(context.Context, *v1.HoldRequest) (*v1.HoldResponse, error)
-	// Finish stores the final answer of a held request.
+	// Finish stores the result of a registered request at a replica.
 	Finish(context.Context, *v1.FinishRequest) (*v1.FinishResponse, error)
-	// Flushed tells a second home which results the first has made durable.
+	// Flushed notifies the second replica of results that the first one has stored in the
+	// platform.
 	Flushed(context.Context, *v1.FlushedRequest) (*v1.FlushedResponse, error)
-	// Drop forgets a held request that was refused before anything was sent.
+	// Drop removes a registered request that was refused before anything was sent to a target.
 	Drop(context.Context, *v1.DropRequest) (*v1.DropResponse, error)
-	// Lookup reads the state of a held request by ID.
+	// Lookup returns the state of a registered request by ID.
 	Lookup(context.Context, *v1.LookupRequest) (*v1.LookupResponse, error)
-	// FetchConfig returns a configuration head and the sections asked for.
+	// FetchConfig returns the head of the newest configuration and the requested sections.
 	FetchConfig(context.Context, *v1.FetchConfigRequest) (*v1.FetchConfigResponse, error)
-	// OfferConfig gives a peer a version before the sender serves with it.
+	// OfferConfig sends a configuration version to a peer before the sender puts it in
+	// force, so that it survives a restart of either during an outage of the platform.
 	OfferConfig(context.Context, *v1.OfferConfigRequest) (*v1.OfferConfigResponse, error)
-	// Events returns the events in the node's time line ring.
+	// Events returns the recent events of the node's time line.
 	Events(context.Context, *v1.EventsRequest) (*v1.EventsResponse, error)
 }
 
@@ -261,26 +264,29 @@
 
 // PeerServiceHandler is an implementation of the marblepond.v1.PeerService service.
 type PeerServiceHandler interface {
-	// Heartbeat exchanges liveness, configuration version and target state.
+	// Heartbeat exchanges liveness, configuration versions and the state of targets. The
+	// response carries the same of the receiver, so that one call informs both nodes.
 	Heartbeat(context.Context, *v1.HeartbeatRequest) (*v1.HeartbeatResponse, error)
-	// Pressure reports the sender's online requests in flight per target to the
-	// node that owns those targets' batch slots. Counts are absolute.
+	// Pressure reports the sender's online requests in flight at targets to the node that
+	// owns the targets' batch slots. Counts are absolute.
 	Pressure(context.Context, *v1.PressureRequest) (*v1.PressureResponse, error)
-	// Hold registers a request at one of its two home nodes.
+	// Hold registers a request at one of its two replica nodes.
 	Hold(context.Context, *v1.HoldRequest) (*v1.HoldResponse, error)
-	// Finish stores the final answer of a held request.
+	// Finish stores the result of a registered request at a replica.
 	Finish(context.Context, *v1.FinishRequest) (*v1.FinishResponse, error)
-	// Flushed tells a second home which results the first has made durable.
+	// Flushed notifies the second replica of results that the first one has stored in the
+	// platform.
 	Flushed(context.Context, *v1.FlushedRequest) (*v1.FlushedResponse, error)
-	// Drop forgets a held request that was refused before anything was sent.
+	// Drop removes a registered request that was refused before anything was sent to a target.
 	Drop(context.Context, *v1.DropRequest) (*v1.DropResponse, error)
-	// Lookup reads the state of a held request by ID.
+	// Lookup returns the state of a registered request by ID.
 	Lookup(context.Context, *v1.LookupRequest) (*v1.LookupResponse, error)
-	// FetchConfig returns a configuration head and the sections asked for.
+	// FetchConfig returns the head of the newest configuration and the requested sections.
 	FetchConfig(context.Context, *v1.FetchConfigRequest) (*v1.FetchConfigResponse, error)
-	// OfferConfig gives a peer a version before the sender serves with it.
+	// OfferConfig sends a configuration version to a peer before the sender puts it in
+	// force, so that it survives a restart of either during an outage of the platform.
 	OfferConfig(context.Context, *v1.OfferConfigRequest) (*v1.OfferConfigResponse, error)
-	// Events returns the events in the node's time line ring.
+	// Events returns the recent events of the node's time line.
 	Events(context.Context, *v1.EventsRequest) (*v1.EventsResponse, error)
 }
 
--- a/api/marblepond/v1/marblepondv1connect/quarantine.connect.go
+++ b/api/marblepond/v1/marblepondv1connect/quarantine.connect.go
@@ -39,7 +39,7 @@
 
 // QuarantineServiceClient is a client for the marblepond.v1.QuarantineService service.
 type QuarantineServiceClient interface {
-	// Pull returns the crashes that the caller lacks, or of which it knows less.
+	// Pull returns the crashes that the caller does not know, or knows less of.
 	Pull(context.Context, *v1.PullCrashesRequest) (*v1.PullCrashesResponse, error)
 }
 
@@ -79,7 +79,7 @@
 
 // QuarantineServiceHandler is an implementation of the marblepond.v1.QuarantineService service.
 type QuarantineServiceHandler interface {
-	// Pull returns the crashes that the caller lacks, or of which it knows less.
+	// Pull returns the crashes that the caller does not know, or knows less of.
 	Pull(context.Context, *v1.PullCrashesRequest) (*v1.PullCrashesResponse, error)
 }
 
--- a/api/marblepond/v1/marblepondv1connect/sync.connect.go
+++ b/api/marblepond/v1/marblepondv1connect/sync.connect.go
@@ -39,9 +39,8 @@
 
 // SyncServiceClient is a client for the marblepond.v1.SyncService service.
 type SyncServiceClient interface {
-	// Exchange offers changes to a peer and returns those that it has and the
-	// caller lacks. Entries are merged by revision, so that order and repeats
-	// do not matter.
+	// Exchange offers changes to a peer and returns those that the peer has and the caller
+	// lacks. Entries are merged by revision, so that order and repetition do not matter.
 	Exchange(context.Context, *v1.ExchangeRequest) (*v1.ExchangeResponse, error)
 }
 
@@ -81,9 +80,8 @@
 
 // SyncServiceHandler is an implementation of the marblepond.v1.SyncService service.
 type SyncServiceHandler interface {
-	// Exchange offers changes to a peer and returns those that it has and the
-	// caller lacks. Entries are merged by revision, so that order and repeats
-	// do not matter.
+	// Exchange offers changes to a peer and returns those that the peer has and the caller
+	// lacks. Entries are merged by revision, so that order and repetition do not matter.
 	Exchange(context.Context, *v1.ExchangeRequest) (*v1.ExchangeResponse, error)
 }
 
