--- a/internal/version/follow/cache.go
+++ b/internal/version/follow/cache.go
@@ -1,10 +1,10 @@
-// Package follow keeps this node's copy of the kinds of objects that it
-// follows in the object store, and spreads them between nodes, so that a node
-// that is cut off from the store learns what its peers know.
+// Package follow keeps this node's cache of the kinds of objects that it follows
+// in the object store, and exchanges cached objects between nodes, so that a node
+// that cannot reach the store gets them from its peers.
 //
-// For each object the entry with the higher store revision wins, whoever
-// delivers it. A copy therefore never goes back, and the order in which the
-// store and peers deliver does not matter.
+// For each object the entry with the higher store revision wins, whether the store
+// or a peer delivers it. An entry is therefore never replaced by an older one, and
+// the order of deliveries does not matter.
 package follow
 
 import (
@@ -16,12 +16,12 @@
 	"github.com/marblepond/marblepond/internal/connection/objects"
 )
 
-// tombstoneAge is how long a deletion is remembered. It only has to outlast
-// the longest cut between two nodes; a node that was away longer has been
-// restarted or lists again.
-const tombstoneAge = 10 * time.Minute
+// tombstoneRetention is how long the cache keeps a deletion. It has to be longer than
+// the longest network partition between two nodes; a node that was unreachable for
+// longer has been restarted or lists the kind again.
+const tombstoneRetention = 10 * time.Minute
 
-// Source says who delivered a change.
+// Source says where a change came from.
 type Source int
 
 // The sources.
@@ -36,54 +36,57 @@
 // String returns the source's name.
 func (s Source) String() string { return sourceNames[s] }
 
+// entry is a cached object, or the tombstone of a deleted one.
 type entry struct {
 	objects.Object
 	deletedAt time.Time
 }
 
+// kind is the cached copy of one kind of objects.
 type kind struct {
 	entries map[string]entry
 	// complete is the store revision up to which no change is missing.
 	complete int64
 	// latest is the highest revision of an entry.
 	latest int64
-	// floor is the revision up to which deletions may not be known: that of the
-	// newest list taken, which does not tell what it leaves out, or of the newest
-	// deletion that was forgotten.
+	// floor is the revision up to which deletions may be missing here: the revision of
+	// the newest listing, which does not say what was deleted before, or of the newest
+	// tombstone that was dropped.
 	floor int64
-	// verified is when the store was asked the question whose answer made the
-	// copy complete; zero: never.
+	// verified is the start of the newest store query, by any node, whose answer this
+	// copy contains; zero if there is none.
 	verified time.Time
-	// question is the one that verified stands for, and heard holds those heard of
-	// lately, oldest first.
-	question uint64
-	heard    []uint64
-	// returned is when the store could be asked again after an outage.
-	returned time.Time
+	// queryID identifies the query that verified belongs to. seenQueries holds the IDs
+	// of the queries seen last, oldest first.
+	queryID     uint64
+	seenQueries []uint64
+	// outageEnd is when the store answered again after an outage.
+	outageEnd time.Time
 }
 
 const (
-	// outageAge is the age of a copy at which the store counts as away for every
-	// node in contact: longer than the last of them waits before it asks, and
-	// shorter than the silence after which the store removes an entry.
+	// outageAge is the age of a copy from which the store counts as unreachable for all
+	// nodes that are in contact. It is longer than the lowest-ranked of them waits before
+	// it queries the store, and shorter than the time without a heartbeat after which the
+	// store removes an entry.
 	outageAge = 2 * time.Second
-	// settleTime is how long after an outage a deletion may only mean that the
-	// store missed heartbeats: entries of targets that live are back within about
-	// two seconds (users' letter).
-	settleTime = 2200 * time.Millisecond
+	// recoveryTime is how long after an outage a deletion may only mean that the store
+	// missed heartbeats. Live targets register again within about two seconds, as the
+	// users state.
+	recoveryTime = 2200 * time.Millisecond
 )
 
-// FreshnessMark says how new a copy of a kind is.
+// FreshnessMark says how fresh a node's cached copy of a kind is.
 type FreshnessMark struct {
 	Complete int64         // no change up to this revision is missing
-	Latest   int64         // revision of the newest change held
-	Floor    int64         // deletions up to this revision may not be held
-	Age      time.Duration // since the store was asked
-	QueryID  uint64        // which question to the store that was
-	Known    bool          // the store was ever asked
+	Latest   int64         // revision of the newest change in the copy
+	Floor    int64         // deletions up to this revision may be missing
+	Age      time.Duration // since the newest store query that the copy contains the answer of
+	QueryID  uint64        // identifies that query
+	Known    bool          // there was such a query
 }
 
-// Cache is the copy of all followed kinds. It is safe for concurrent use.
+// Cache holds the cached copies of all followed kinds. It is safe for concurrent use.
 type Cache struct {
 	mu    sync.Mutex
 	kinds map[string]*kind
@@ -92,7 +95,7 @@
 	onVerified func()
 }
 
-// NewCache returns an empty copy of the kinds.
+// NewCache returns an empty cache of the kinds.
 func NewCache(now func() time.Time, kinds ...string) *Cache {
 	c := &Cache{kinds: map[string]*kind{}, now: now, onVerified: func() {}}
 	for _, name := range kinds {
@@ -101,8 +104,8 @@
 	return c
 }
 
-// Apply takes changes that, together with what is held, are complete from
-// revision since up to revision to. It returns the entries that were news.
+// Apply adds changes of a kind, among them all that were made after revision since up to
+// revision to. It returns those that were new to the cache.
 func (c *Cache) Apply(name string, changes []objects.Object, since, to int64) []objects.Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,21 +118,22 @@
 
 // apply is Apply for a caller that holds c.mu.
 func (c *Cache) apply(k *kind, changes []objects.Object, since, to int64) []objects.Object {
-	var news []objects.Object
+	var changed []objects.Object
 	for _, o := range changes {
-		if c.put(k, o) {
-			news = append(news, o)
+		if c.putEntry(k, o) {
+			changed = append(changed, o)
 		}
 	}
 	if since <= k.complete && to > k.complete {
 		k.complete = to
 	}
-	return news
+	return changed
 }
 
-// Replace takes a whole listing at a revision: objects that it lacks are
-// deleted as of that revision. It returns the entries that were news.
-func (c *Cache) Replace(name string, list []objects.Object, revision int64) []objects.Object {
+// Replace replaces a kind by a complete listing at a revision: cached objects that are
+// not listed count as deleted at that revision. It returns the changes that were new to
+// the cache.
+func (c *Cache) Replace(name string, list []objects.Object, listRevision int64) []objects.Object {
 	listed := make(map[string]bool, len(list))
 	for _, o := range list {
 		listed[o.Name] = true
@@ -142,19 +146,19 @@
 	}
 	changes := slices.Clone(list)
 	for id, e := range k.entries {
-		if !listed[id] && !e.Deleted && e.Revision <= revision {
-			changes = append(changes, objects.Object{Name: id, Revision: revision, Deleted: true})
+		if !listed[id] && !e.Deleted && e.Revision <= listRevision {
+			changes = append(changes, objects.Object{Name: id, Revision: listRevision, Deleted: true})
 		}
 	}
-	news := c.apply(k, changes, 0, revision)
-	k.floor = max(k.floor, revision)
-	return news
+	changed := c.apply(k, changes, 0, listRevision)
+	k.floor = max(k.floor, listRevision)
+	return changed
 }
 
-func (c *Cache) put(k *kind, o objects.Object) bool {
+func (c *Cache) putEntry(k *kind, o objects.Object) bool {
 	old, known := k.entries[o.Name]
 	if !known && o.Revision <= k.floor {
-		return false // it was gone when the list was made, and what deleted it is not known
+		return false // it was deleted before the listing, and the tombstone is not known
 	}
 	if known && (old.Revision > o.Revision || (old.Revision == o.Revision && (old.Deleted || !o.Deleted))) {
 		return false
@@ -162,16 +166,16 @@
 	e := entry{Object: o}
 	if o.Deleted {
 		e.deletedAt = c.now()
-		c.prune(k)
+		c.pruneTombstones(k)
 	}
 	k.entries[o.Name] = e
 	k.latest = max(k.latest, o.Revision)
 	return !o.Deleted || known
 }
 
-func (c *Cache) prune(k *kind) {
+func (c *Cache) pruneTombstones(k *kind) {
 	for id, e := range k.entries {
-		if e.Deleted && c.now().Sub(e.deletedAt) > tombstoneAge {
+		if e.Deleted && c.now().Sub(e.deletedAt) > tombstoneRetention {
 			delete(k.entries, id)
 			k.floor = max(k.floor, e.Revision)
 		}
@@ -188,14 +192,14 @@
 // Now returns the cache's time.
 func (c *Cache) Now() time.Time { return c.now() }
 
-// OnVerified sets the function that is told when a question to the store counts
-// here that did not before, whoever asked it: other nodes ask themselves unless
-// they hear of it soon. It must not block, nor call the cache. Call it before the
-// cache is used.
+// OnVerified sets the function that is called when a newer store query, by any node,
+// makes a copy fresher: other nodes query the store themselves unless they learn of it
+// soon. The function must not block, nor call the cache. Call OnVerified before the cache
+// is used.
 func (c *Cache) OnVerified(f func()) { c.onVerified = f }
 
-// MarkVerified notes that the copy holds all that the store held at a moment, by a
-// question that this node asked.
+// MarkVerified records that the copy contains all that the store held at the time given,
+// when this node sent a query to the store.
 func (c *Cache) MarkVerified(name string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -204,35 +208,35 @@
 	}
 }
 
-// heardQuestions is how many questions are remembered of a kind: a datagram that
-// is older than the last few of them is too old to be news.
-const heardQuestions = 32
+// maxSeenQueries is how many query IDs are kept for each kind: a datagram that is older
+// than the last few queries cannot make the copy fresher.
+const maxSeenQueries = 32
 
-// verify notes the moment that a question stands for. A question counts when it
-// is first heard of, and not again: what a mark says of its age leaves out the
-// time that datagrams wait to be read, so that a mark that goes from node to node
-// would stay young.
-func (c *Cache) verify(k *kind, at time.Time, question uint64) {
-	if slices.Contains(k.heard, question) {
+// verify records that the copy contains the answer of a store query that was sent at the
+// time given. Each query counts only when it is first seen: the age in a mark leaves out
+// the time that datagrams wait to be read, so that a mark which nodes pass to and fro
+// would seem fresher than it is.
+func (c *Cache) verify(k *kind, at time.Time, queryID uint64) {
+	if slices.Contains(k.seenQueries, queryID) {
 		return
 	}
-	k.heard = append(k.heard, question)
-	if len(k.heard) > heardQuestions {
-		k.heard = slices.Delete(k.heard, 0, 1)
+	k.seenQueries = append(k.seenQueries, queryID)
+	if len(k.seenQueries) > maxSeenQueries {
+		k.seenQueries = slices.Delete(k.seenQueries, 0, 1)
 	}
 	if !at.After(k.verified) {
 		return
 	}
 	if now := c.now(); !k.verified.IsZero() && now.Sub(k.verified) > outageAge {
-		k.returned = now
+		k.outageEnd = now
 	}
-	k.verified, k.question = at, question
+	k.verified, k.queryID = at, queryID
 	c.onVerified()
 }
 
 // DeletionsUncertain reports whether a deletion of this kind may only mean that the store
-// was away and missed heartbeats. An outage that meets this node alone is none:
-// its copy stays new through the nodes that reach the store.
+// missed heartbeats during an outage. If only this node cannot reach the store, deletions
+// are certain: the nodes that reach it keep this node's copy fresh.
 func (c *Cache) DeletionsUncertain(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -241,11 +245,11 @@
 		return false
 	}
 	now := c.now()
-	return now.Sub(k.verified) > outageAge || now.Sub(k.returned) < settleTime
+	return now.Sub(k.verified) > outageAge || now.Sub(k.outageEnd) < recoveryTime
 }
 
-// Age returns how long ago the copy was last known to hold all that the store
-// held; known is false when it never was.
+// Age returns how long ago the copy is known to have contained all that the store held;
+// known is false when it never did.
 func (c *Cache) Age(name string) (age time.Duration, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -253,7 +257,8 @@
 	return c.now().Sub(k.verified), !k.verified.IsZero()
 }
 
-// EverVerified reports whether the copy of each kind ever held all that the store held.
+// EverVerified reports whether the copy of each kind given ever contained all that the
+// store held.
 func (c *Cache) EverVerified(kinds ...string) bool {
 	for _, name := range kinds {
 		if _, known := c.Age(name); !known {
@@ -263,20 +268,20 @@
 	return true
 }
 
-// FreshnessMarks returns how new the copy of each kind is.
+// FreshnessMarks returns the freshness mark of each kind.
 func (c *Cache) FreshnessMarks() map[string]FreshnessMark {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	marks := make(map[string]FreshnessMark, len(c.kinds))
 	for name, k := range c.kinds {
-		marks[name] = FreshnessMark{Complete: k.complete, Latest: k.latest, Floor: k.floor, Age: c.now().Sub(k.verified), QueryID: k.question, Known: !k.verified.IsZero()}
+		marks[name] = FreshnessMark{Complete: k.complete, Latest: k.latest, Floor: k.floor, Age: c.now().Sub(k.verified), QueryID: k.queryID, Known: !k.verified.IsZero()}
 	}
 	return marks
 }
 
-// ReceiveMark takes how new another node's copy is. It reports whether this copy
-// lacks a change that the other holds; when it does not, the other's question
-// to the store counts for this copy too.
+// ReceiveMark takes the freshness mark of another node's copy. It reports whether this
+// copy lacks a change that the other has; when it lacks nothing, the other node's store
+// query counts for this copy too.
 func (c *Cache) ReceiveMark(name string, m FreshnessMark) (behind bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -285,17 +290,17 @@
 		return false
 	}
 	if k.complete < m.Latest {
-		return true // a list of several pages may hold a newer change and lack one before it
+		return true // a listing in several pages may contain a newer change and lack an older one
 	}
 	if k.complete < m.Floor {
-		return false // a deletion that the other does not know may be missing here
+		return false // a deletion that the other node does not know may be missing here
 	}
 	k.complete = max(k.complete, m.Complete)
 	c.verify(k, c.now().Add(-m.Age), m.QueryID)
 	return false
 }
 
-// CompleteRevisions returns Complete of every kind.
+// CompleteRevisions returns the CompleteRevision of every kind.
 func (c *Cache) CompleteRevisions() map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -306,26 +311,26 @@
 	return marks
 }
 
-// ChangesSince returns the changes of a kind after a revision, as far as this copy knows
-// them. Where it may lack a deletion after that revision it returns all objects
-// that exist, and whole is true.
-func (c *Cache) ChangesSince(name string, revision int64) (changes []objects.Object, whole bool) {
+// ChangesSince returns the changes of a kind after a revision. If this copy may lack a
+// deletion after that revision, it returns all existing objects instead, and full is
+// true.
+func (c *Cache) ChangesSince(name string, revision int64) (changes []objects.Object, full bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := c.kinds[name]
 	if k == nil || k.complete <= revision {
 		return nil, false
 	}
-	whole = revision < k.floor
+	full = revision < k.floor
 	for _, e := range k.entries {
-		if (whole && !e.Deleted) || (!whole && e.Revision > revision) {
+		if (full && !e.Deleted) || (!full && e.Revision > revision) {
 			changes = append(changes, e.Object)
 		}
 	}
-	return changes, whole
+	return changes, full
 }
 
-// Get returns an object that exists as far as is known.
+// Get returns an object, and whether it exists as far as this node knows.
 func (c *Cache) Get(name, id string) (objects.Object, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -333,7 +338,7 @@
 	return e.Object, ok && !e.Deleted
 }
 
-// List returns the objects of a kind that exist as far as is known.
+// List returns the objects of a kind that exist as far as this node knows.
 func (c *Cache) List(name string) []objects.Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/version/follow/gossip.go
+++ b/internal/version/follow/gossip.go
@@ -12,37 +12,38 @@
 	"github.com/marblepond/marblepond/internal/process/wait"
 )
 
-// Gossip exchanges the cache with one random peer at a time (push and pull
-// anti-entropy, Demers et al., 1987). What one node knows reaches n nodes in
-// about log2(n) rounds, at a cost for each node that does not grow with n.
+// Gossip exchanges changes of the cache with one random peer at a time (push-pull
+// anti-entropy, Demers et al., 1987). A change reaches n nodes in about log2(n)
+// rounds, at a cost for each node that does not grow with n.
 type Gossip struct {
 	Node     string
 	Cache    *Cache
 	Listener Listener
-	// Peers returns the addresses of the other nodes known.
+	// Peers returns the addresses of the other nodes.
 	Peers func() []string
 	// Client returns the client of a peer.
 	Client func(address string) marblepondv1connect.SyncServiceClient
-	// SeedClient returns the client of a seed that is asked at the start. It connects for
-	// a short time only: a seed whose machine starts at the same time may be dark.
+	// SeedClient returns the client of a seed that is queried at the start. Its connect
+	// timeout is short: a seed whose VM starts at the same time may be unreachable.
 	SeedClient func(address string) marblepondv1connect.SyncServiceClient
 	// Interval is the time between rounds.
 	Interval time.Duration
-	// Isolated reports whether no other node's datagrams are heard.
+	// Isolated reports whether no datagrams of other nodes are received.
 	Isolated func() bool
-	// PullQueue holds the addresses of peers that were heard to know more.
+	// PullQueue holds the addresses of peers whose marks showed a change that this node
+	// lacks.
 	PullQueue *ring.Ring[string]
 }
 
-// pulls is how many peers may wait to be asked; one that finds no room is heard
-// again within a fraction of a second.
-const pulls = 8
+// pullQueueSize is how many peers may wait for a pull. The mark of a peer that finds the
+// queue full arrives again within a fraction of a second.
+const pullQueueSize = 8
 
-// NewPullQueue returns the ring for Gossip.PullQueue.
-func NewPullQueue() *ring.Ring[string] { return ring.New[string](pulls, ring.Refuse) }
+// NewPullQueue returns a queue for Gossip.PullQueue.
+func NewPullQueue() *ring.Ring[string] { return ring.New[string](pullQueueSize, ring.Refuse) }
 
-// exchangeTimeout bounds one exchange. A peer that does not answer must not
-// hold up the next round's peer for long.
+// exchangeTimeout bounds one exchange: a peer that does not answer must not delay the
+// next exchange for long.
 const exchangeTimeout = 400 * time.Millisecond
 
 // Run exchanges until ctx ends.
@@ -60,27 +61,27 @@
 	}
 }
 
-// aloneInterval is the time between rounds of a node that no datagram reaches, as
-// one that the store refuses, so that the others do not know it: rounds are all
-// that brings it news, and a change has to be in force within 2 s.
-const aloneInterval = 500 * time.Millisecond
+// isolatedInterval is the time between rounds of a node that receives no datagrams, for
+// instance because the store refuses its registration, so that other nodes do not know
+// it. Such a node gets changes in rounds only, and a change has to be in force within 2 s.
+const isolatedInterval = 500 * time.Millisecond
 
 // nextRound returns the time until the next round.
 func (g *Gossip) nextRound() time.Duration {
 	interval := g.Interval
 	if g.Isolated() {
-		interval = min(interval, aloneInterval)
+		interval = min(interval, isolatedInterval)
 	}
 	return interval*3/4 + rand.N(interval/2)
 }
 
-// pullPause is the least time between two pulls. While many changes are made, as
-// when all nodes start again and register, each datagram tells of a newer one; a
-// pull brings all that there are.
-const pullPause = 50 * time.Millisecond
+// minPullInterval is the least time between two pulls. While many changes are made, for
+// instance when all nodes restart and register, each datagram announces a newer change;
+// one pull fetches all of them.
+const minPullInterval = 50 * time.Millisecond
 
-// pull asks a node that was heard to know more, and drops what was asked for
-// meanwhile except the newest.
+// pull exchanges with the peer that was queued last, and drops the others that wait in
+// the queue.
 func (g *Gossip) pull(ctx context.Context, address string) {
 	for last := false; !last; {
 		select {
@@ -92,51 +93,52 @@
 	}
 	if address != "" {
 		g.round(ctx, address)
-		wait.For(ctx, pullPause)
+		wait.For(ctx, minPullInterval)
 	}
 }
 
-// round is one exchange with a peer that need not be there.
+// round makes one exchange with a peer, which may be unreachable.
 func (g *Gossip) round(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	_ = g.exchange(ctx, g.Client(address)) // the peer is away; the next round asks another
+	_ = g.exchange(ctx, g.Client(address)) // after a failure the next round takes another peer
 }
 
-// exchange takes what a peer has and this node lacks; a second message follows
-// when it is the other way round too.
+// exchange fetches the changes of a peer that this node lacks, and sends those that the
+// peer lacks in a second call.
 func (g *Gossip) exchange(ctx context.Context, client marblepondv1connect.SyncServiceClient) error {
-	asked := g.Cache.Now()
+	started := g.Cache.Now()
 	resp, err := client.Exchange(ctx, &v1.ExchangeRequest{Node: g.Node, Complete: g.Cache.CompleteRevisions()})
 	if err != nil {
 		return err
 	}
-	g.take(resp.Missing)
+	g.applyMissing(resp.Missing)
 	for kind, mark := range UnpackMarks(resp.Marks) {
-		mark.Age += g.Cache.Now().Sub(asked) // the answer was composed in this time
+		mark.Age += g.Cache.Now().Sub(started) // the peer stated the age at some time since started
 		g.Cache.ReceiveMark(kind, mark)
 	}
-	if offer := g.lacking(resp.Complete); len(offer) > 0 {
+	if offer := g.missingFor(resp.Complete); len(offer) > 0 {
 		_, err = client.Exchange(ctx, &v1.ExchangeRequest{Node: g.Node, Complete: g.Cache.CompleteRevisions(), Offered: offer})
 	}
 	return err
 }
 
-// Exchange answers another node's round.
+// Exchange answers another node's exchange call.
 func (g *Gossip) Exchange(_ context.Context, req *v1.ExchangeRequest) (*v1.ExchangeResponse, error) {
-	g.take(req.Offered)
-	return &v1.ExchangeResponse{Complete: g.Cache.CompleteRevisions(), Missing: g.lacking(req.Complete), Marks: PackMarks(g.Cache.FreshnessMarks())}, nil
+	g.applyMissing(req.Offered)
+	return &v1.ExchangeResponse{Complete: g.Cache.CompleteRevisions(), Missing: g.missingFor(req.Complete), Marks: PackMarks(g.Cache.FreshnessMarks())}, nil
 }
 
-// lacking returns what a node lacks that is complete up to the marks given.
-func (g *Gossip) lacking(marks map[string]int64) []*v1.KindChanges {
+// missingFor returns the changes that a node lacks whose kinds are complete up to the
+// revisions given.
+func (g *Gossip) missingFor(revisions map[string]int64) []*v1.KindChanges {
 	var out []*v1.KindChanges
 	for kind, complete := range g.Cache.CompleteRevisions() {
-		theirs, follows := marks[kind]
-		if !follows || theirs >= complete {
+		peerComplete, follows := revisions[kind]
+		if !follows || peerComplete >= complete {
 			continue
 		}
-		changes := changesOf(g.Cache, kind, theirs)
+		changes := changesOf(g.Cache, kind, peerComplete)
 		if len(changes.Changes) > 0 || changes.Whole {
 			out = append(out, changes)
 		}
@@ -144,26 +146,26 @@
 	return out
 }
 
-// changesOf returns the changes of a kind after a revision, as they are sent.
+// changesOf returns the changes of a kind after a revision as a message.
 func changesOf(c *Cache, kind string, since int64) *v1.KindChanges {
 	complete := c.CompleteRevision(kind)
-	changes, whole := c.ChangesSince(kind, since)
-	out := &v1.KindChanges{Kind: kind, Since: since, Complete: complete, Whole: whole}
+	changes, full := c.ChangesSince(kind, since)
+	out := &v1.KindChanges{Kind: kind, Since: since, Complete: complete, Whole: full}
 	for _, o := range changes {
 		out.Changes = append(out.Changes, &v1.ObjectChange{Name: o.Name, Revision: o.Revision, Value: o.Value, Deleted: o.Deleted})
 	}
 	return out
 }
 
-// adopt takes changes that were sent and returns what was news.
+// adopt adds received changes to the cache and returns those that were new to it.
 func adopt(c *Cache, m *v1.KindChanges) []objects.Object {
 	if m.Whole {
-		return c.Replace(m.Kind, received(m.Changes), m.Complete)
+		return c.Replace(m.Kind, objectsFromProto(m.Changes), m.Complete)
 	}
-	return c.Apply(m.Kind, received(m.Changes), m.Since, m.Complete)
+	return c.Apply(m.Kind, objectsFromProto(m.Changes), m.Since, m.Complete)
 }
 
-func received(changes []*v1.ObjectChange) []objects.Object {
+func objectsFromProto(changes []*v1.ObjectChange) []objects.Object {
 	out := make([]objects.Object, 0, len(changes))
 	for _, c := range changes {
 		out = append(out, objects.Object{Name: c.Name, Revision: c.Revision, Value: c.Value, Deleted: c.Deleted})
@@ -171,10 +173,10 @@
 	return out
 }
 
-func (g *Gossip) take(missing []*v1.KindChanges) {
+func (g *Gossip) applyMissing(missing []*v1.KindChanges) {
 	for _, m := range missing {
-		if news := adopt(g.Cache, m); len(news) > 0 {
-			g.Listener.Changed(m.Kind, news, FromPeer)
+		if changed := adopt(g.Cache, m); len(changed) > 0 {
+			g.Listener.Changed(m.Kind, changed, FromPeer)
 		}
 	}
 }
--- a/internal/version/follow/marks.go
+++ b/internal/version/follow/marks.go
@@ -6,8 +6,8 @@
 	v1 "github.com/marblepond/marblepond/api/marblepond/v1"
 )
 
-// PackMarks returns marks as they are sent. Copies that never held all that the
-// store held are left out.
+// PackMarks converts marks to messages. It leaves out the marks of copies that never
+// contained all that the store held.
 func PackMarks(marks map[string]FreshnessMark) []*v1.KindMark {
 	var out []*v1.KindMark
 	for kind, m := range marks {
@@ -18,7 +18,7 @@
 	return out
 }
 
-// UnpackMarks returns marks as they were sent.
+// UnpackMarks converts received messages to marks, by kind.
 func UnpackMarks(marks []*v1.KindMark) map[string]FreshnessMark {
 	out := make(map[string]FreshnessMark, len(marks))
 	for _, k := range marks {
--- a/internal/version/follow/refresh.go
+++ b/internal/version/follow/refresh.go
@@ -12,104 +12,106 @@
 	"github.com/marblepond/marblepond/internal/process/wait"
 )
 
-// Store is what following needs of the object store.
+// Store is the part of the object store that a Refresher uses.
 type Store interface {
 	// List returns every object of a kind.
 	List(ctx context.Context, class callbudget.Class, kind string) (objects.Page, error)
-	// Changes returns at once what changed in a kind after a revision. It fails
-	// with objects.ErrHistoryExpired when that is no longer known.
+	// Changes returns the changes of a kind after a revision, without waiting for one.
+	// It fails with objects.ErrHistoryExpired when the store no longer has them.
 	Changes(ctx context.Context, kind string, revision int64) (objects.Page, error)
 }
 
-// Listener hears of changes. It is called from several goroutines and must not
-// block.
+// Listener is notified of changes in the cache. It is called from several goroutines and
+// must not block.
 type Listener interface {
-	Changed(kind string, news []objects.Object, from Source)
-	// Failed hears that the store did not answer a question about a kind.
+	Changed(kind string, changed []objects.Object, from Source)
+	// Failed is called when a query of a kind to the store has failed; revision is the one
+	// up to which the copy is complete.
 	Failed(kind string, revision int64, cause error)
 }
 
 const (
-	// mostRankDelay is how much longer each further node waits before it asks the
-	// store itself: the answer that the node before it got has arrived by then,
-	// by a datagram or two. It is shorter where copies have to be newer: the
-	// share rankShare of their age.
-	mostRankDelay = 250 * time.Millisecond
-	rankShare     = 0.36
-	// mostRank bounds the delay of nodes far down the order.
-	mostRank = 4
-	// listTimeout bounds one listing; the store answers in milliseconds, and a
-	// call that hangs must not use up the time a change has to be in force.
+	// maxRankDelay is how much longer each rank waits than the one above it before it
+	// queries the store. Within that time a datagram or two report that the node ranked
+	// above has an answer. Where MaxAge is small, the delay is the share rankDelayShare
+	// of it.
+	maxRankDelay   = 250 * time.Millisecond
+	rankDelayShare = 0.36
+	// maxRank bounds the rank, and with it the delay of low-ranked nodes.
+	maxRank = 4
+	// listTimeout bounds one listing. The store answers in milliseconds, and a call that
+	// hangs must not use up the time within which a change has to be in force.
 	listTimeout = time.Second
-	// failurePause is the pause after a question that was not answered; it
-	// doubles up to mostFailurePause, and a node pauses longer the farther down
-	// the order it stands. Refused calls are charged like others, and the first
-	// node that is answered again tells the rest within a fraction of a second.
-	failurePause     = 100 * time.Millisecond
-	mostFailurePause = time.Second
+	// minRetryDelay is the mean delay after a failed query. It doubles up to
+	// maxRetryDelay, and is multiplied by the node's rank plus one: refused calls count
+	// against the call budget like others, and the first node that gets an answer reports
+	// it to the other nodes within a fraction of a second.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
-// Refresher keeps one kind of the cache up to date. Nodes in contact
-// share the work: each knows how old its copy is, whoever asked the store, and
-// the first in order asks when it is older than MaxAge. A node that hears
-// nobody asks for itself. The store is thus asked about once each MaxAge by
-// every group of nodes that are in contact, however many they are.
+// Refresher keeps one kind of the cache up to date. Nodes that are in contact share the
+// work: each knows the age of its copy, whichever node queried the store, and the first
+// in rank queries the store when the copy is older than MaxAge. A node that receives
+// nothing from other nodes queries for itself. Nodes that are in contact thus send
+// together about one query per MaxAge, however many they are.
 //
-// It asks over and over in place of leaving a watch waiting, because a waiting
-// watch of this store can go silent: it was seen to miss changes for seconds
-// while the store dropped its history, without being answered or cut.
+// The refresher polls instead of keeping a watch open, because a waiting watch of this
+// store can stop delivering: it was seen to miss changes for seconds while the store
+// dropped its history, without an answer or a closed connection.
 type Refresher struct {
 	Kind     string
 	Store    Store
 	Cache    *Cache
 	Listener Listener
 	MaxAge   time.Duration
-	// Self is this node and DataCentre its own. PeersInDataCentre returns the other nodes of it
-	// that are heard and follow the kind, and OtherDataCentres the other data centres heard.
+	// Self is this node, and DataCentre is its data centre. PeersInDataCentre returns the
+	// other reachable nodes there that follow the kind, and OtherDataCentres the other
+	// reachable data centres.
 	Self              string
 	DataCentre        string
 	PeersInDataCentre func() []string
 	OtherDataCentres  func() []string
 
-	kicks chan struct{}
+	triggers chan struct{}
 }
 
-// Trigger makes the refresher ask the store at once. It never blocks.
+// Trigger makes the refresher query the store at once. It never blocks.
 func (r *Refresher) Trigger() {
 	select {
-	case r.kicks <- struct{}{}:
-	default: // a kick is waiting already
+	case r.triggers <- struct{}{}:
+	default: // a trigger is waiting already
 	}
 }
 
 // NewRefresher returns a refresher of a kind; the caller sets the other fields.
 func NewRefresher(kind string) *Refresher {
-	return &Refresher{Kind: kind, kicks: make(chan struct{}, 1)}
+	return &Refresher{Kind: kind, triggers: make(chan struct{}, 1)}
 }
 
 // Run refreshes until ctx ends.
 func (r *Refresher) Run(ctx context.Context) {
-	pause := failurePause
+	retryDelay := minRetryDelay
 	for ctx.Err() == nil {
-		if due := r.due(); due > 0 && !r.kicked(ctx, due) {
+		if wait := r.untilDue(); wait > 0 && !r.waitForTrigger(ctx, wait) {
 			continue
 		}
 		if err := r.refresh(ctx); err != nil {
 			r.Listener.Failed(r.Kind, r.Cache.CompleteRevision(r.Kind), err)
-			wait.For(ctx, time.Duration(1+r.rank())*(pause/2+rand.N(pause)))
-			pause = min(2*pause, mostFailurePause)
+			wait.For(ctx, time.Duration(1+r.rank())*(retryDelay/2+rand.N(retryDelay)))
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 			continue
 		}
-		pause = failurePause
+		retryDelay = minRetryDelay
 	}
 }
 
-// kicked waits and reports whether a kick came meanwhile.
-func (r *Refresher) kicked(ctx context.Context, d time.Duration) bool {
+// waitForTrigger waits for the time d, or until Trigger is called, which it reports.
+func (r *Refresher) waitForTrigger(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
-	case <-r.kicks:
+	case <-r.triggers:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
@@ -117,8 +119,8 @@
 	return false
 }
 
-// due returns how long the copy may still go without a question.
-func (r *Refresher) due() time.Duration {
+// untilDue returns the time until this node has to query the store.
+func (r *Refresher) untilDue() time.Duration {
 	age, known := r.Cache.Age(r.Kind)
 	if !known {
 		return 0
@@ -127,26 +129,26 @@
 }
 
 func (r *Refresher) rankDelay() time.Duration {
-	return min(mostRankDelay, time.Duration(rankShare*float64(r.MaxAge)))
+	return min(maxRankDelay, time.Duration(rankDelayShare*float64(r.MaxAge)))
 }
 
-// rank returns this node's place in the order of those that may ask: data
-// centres are in an order, and so are the nodes of each. What decides it is known
-// the same everywhere, also where the fleet is too large to hear every node.
+// rank returns this node's place in the order of nodes that may query the store, 0 being
+// the first: the rank of its data centre plus its rank within the data centre. Nodes agree
+// on the order also where the fleet is too large for each to reach every other.
 func (r *Refresher) rank() int {
-	centre := rendezvous.Place(r.Kind, r.DataCentre, r.OtherDataCentres(), mostRank)
-	return min(mostRank, centre+rendezvous.Place(r.Kind, r.Self, r.PeersInDataCentre(), mostRank))
+	centre := rendezvous.Place(r.Kind, r.DataCentre, r.OtherDataCentres(), maxRank)
+	return min(maxRank, centre+rendezvous.Place(r.Kind, r.Self, r.PeersInDataCentre(), maxRank))
 }
 
-// refresh asks the store once.
+// refresh queries the store once.
 func (r *Refresher) refresh(ctx context.Context) error {
-	asked := r.Cache.Now()
+	queried := r.Cache.Now()
 	since := r.Cache.CompleteRevision(r.Kind)
 	if since > 0 {
 		page, err := r.Store.Changes(ctx, r.Kind, since)
 		if err == nil {
-			r.Cache.MarkVerified(r.Kind, asked)
-			r.take(r.Cache.Apply(r.Kind, page.Objects, since, page.Revision))
+			r.Cache.MarkVerified(r.Kind, queried)
+			r.notify(r.Cache.Apply(r.Kind, page.Objects, since, page.Revision))
 			return nil
 		}
 		if !errors.Is(err, objects.ErrHistoryExpired) {
@@ -159,13 +161,13 @@
 	if err != nil {
 		return err
 	}
-	r.Cache.MarkVerified(r.Kind, asked)
-	r.take(r.Cache.Replace(r.Kind, page.Objects, page.Revision))
+	r.Cache.MarkVerified(r.Kind, queried)
+	r.notify(r.Cache.Replace(r.Kind, page.Objects, page.Revision))
 	return nil
 }
 
-func (r *Refresher) take(news []objects.Object) {
-	if len(news) > 0 {
-		r.Listener.Changed(r.Kind, news, FromStore)
+func (r *Refresher) notify(changed []objects.Object) {
+	if len(changed) > 0 {
+		r.Listener.Changed(r.Kind, changed, FromStore)
 	}
 }
--- a/internal/version/follow/refresh_test.go
+++ b/internal/version/follow/refresh_test.go
@@ -16,14 +16,14 @@
 	"github.com/marblepond/marblepond/internal/process/rendezvous"
 )
 
-// fakeStore answers lists and changes as it is told.
+// fakeStore answers listings and queries for changes with its fields, and counts them.
 type fakeStore struct {
 	mu      sync.Mutex
 	list    objects.Page
 	changes objects.Page
 	err     error
 	lists   int
-	asked   int
+	queries int
 }
 
 func (s *fakeStore) List(context.Context, callbudget.Class, string) (objects.Page, error) {
@@ -36,37 +36,37 @@
 func (s *fakeStore) Changes(context.Context, string, int64) (objects.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked++
+	s.queries++
 	return s.changes, s.err
 }
 
-// heardNews counts what listeners are told.
-type heardNews struct {
-	mu     sync.Mutex
-	news   []objects.Object
-	failed int
+// fakeListener records the changed objects and counts the failures.
+type fakeListener struct {
+	mu      sync.Mutex
+	objects []objects.Object
+	failed  int
 }
 
-func (h *heardNews) Changed(_ string, news []objects.Object, _ Source) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.news = append(h.news, news...)
+func (l *fakeListener) Changed(_ string, changed []objects.Object, _ Source) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.objects = append(l.objects, changed...)
 }
 
-func (h *heardNews) Failed(string, int64, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.failed++
+func (l *fakeListener) Failed(string, int64, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.failed++
 }
 
-func newTestRefresher(s *fakeStore, heard ...string) (*Refresher, *heardNews) {
-	news := &heardNews{}
+func newTestRefresher(s *fakeStore, peers ...string) (*Refresher, *fakeListener) {
+	listener := &fakeListener{}
 	r := NewRefresher(kindT)
-	r.Store, r.Listener, r.MaxAge, r.Self = s, news, 30*time.Millisecond, "self"
+	r.Store, r.Listener, r.MaxAge, r.Self = s, listener, 30*time.Millisecond, "self"
 	r.Cache = NewCache(time.Now, kindT)
-	r.PeersInDataCentre = func() []string { return slices.Clone(heard) }
+	r.PeersInDataCentre = func() []string { return slices.Clone(peers) }
 	r.OtherDataCentres = func() []string { return nil }
-	return r, news
+	return r, listener
 }
 
 func runFor(r *Refresher, d time.Duration) {
@@ -75,35 +75,34 @@
 	r.Run(ctx)
 }
 
-// TestLostHistoryIsListedAgain: what changed while the store forgot its history
-// is found by a new list.
+// TestLostHistoryIsListedAgain: changes that the store dropped from its history are found
+// by a new listing.
 func TestLostHistoryIsListedAgain(t *testing.T) {
 	is := is.New(t)
 	s := &fakeStore{list: objects.Page{Objects: []objects.Object{{Name: "a", Revision: 2}}, Revision: 3}, err: objects.ErrHistoryExpired}
-	r, news := newTestRefresher(s)
+	r, listener := newTestRefresher(s)
 	runFor(r, 100*time.Millisecond)
 	is.True(s.lists >= 2)
-	is.Equal(len(news.news), 1)
-	is.Equal(news.failed, 0)
+	is.Equal(len(listener.objects), 1)
+	is.Equal(listener.failed, 0)
 }
 
-// TestFailedQuestionsAreRepeated: an unanswered question changes nothing, is
-// told, and is asked again at a bounded rate.
-func TestFailedQuestionsAreRepeated(t *testing.T) {
+// TestFailedQueriesAreRetried: a failed query changes nothing, is reported to the
+// listener, and is retried at a bounded rate.
+func TestFailedQueriesAreRetried(t *testing.T) {
 	is := is.New(t)
 	s := &fakeStore{list: objects.Page{Revision: 3}, err: errors.Join(objects.ErrUnavailable)}
-	r, news := newTestRefresher(s)
+	r, listener := newTestRefresher(s)
 	runFor(r, 450*time.Millisecond)
 	is.Equal(s.lists, 1)
-	is.True(news.failed >= 2)
-	is.True(s.asked <= 6)
+	is.True(listener.failed >= 2)
+	is.True(s.queries <= 6)
 	is.Equal(r.Cache.CompleteRevision(kindT), int64(3))
 }
 
-// TestOthersAnswersSpareTheStore: a node that hears how new the copies of
-// others are asks nothing while they are new enough, and asks when they are
-// not.
-func TestOthersAnswersSpareTheStore(t *testing.T) {
+// TestFreshMarksOfPeersAvoidQueries: a node does not query the store while marks of its
+// peers keep its copy fresh, and queries it when they do not.
+func TestFreshMarksOfPeersAvoidQueries(t *testing.T) {
 	is := is.New(t)
 	s := &fakeStore{list: objects.Page{Revision: 3}, changes: objects.Page{Revision: 3}}
 	r, _ := newTestRefresher(s, "n1", "n2")
@@ -117,13 +116,13 @@
 	}()
 	runFor(r, 300*time.Millisecond)
 	cancel()
-	is.Equal(s.asked, 0)
-	runFor(r, time.Second) // nobody is heard any more
-	is.True(s.asked > 0)
+	is.Equal(s.queries, 0)
+	runFor(r, time.Second) // no more marks arrive
+	is.True(s.queries > 0)
 }
 
-// TestKick: a kicked refresher asks at once.
-func TestKick(t *testing.T) {
+// TestTrigger: a triggered refresher queries the store at once.
+func TestTrigger(t *testing.T) {
 	is := is.New(t)
 	s := &fakeStore{list: objects.Page{Revision: 3}, changes: objects.Page{Revision: 3}}
 	r, _ := newTestRefresher(s)
@@ -134,26 +133,26 @@
 		r.Trigger()
 	}()
 	runFor(r, 150*time.Millisecond)
-	is.True(s.lists+s.asked >= 2)
+	is.True(s.lists+s.queries >= 2)
 }
 
-// TestNodesDownTheOrderAskLessInAnOutage: while the store is away, nodes in
-// contact together ask it little more often than one alone.
-func TestNodesDownTheOrderAskLessInAnOutage(t *testing.T) {
+// TestLowerRankedNodesQueryLessInOutage: while the store is unreachable, nodes in contact
+// together query it little more often than one node would alone.
+func TestLowerRankedNodesQueryLessInOutage(t *testing.T) {
 	is := is.New(t)
-	asked := func(self string) int {
+	queriesOf := func(self string) int {
 		s := &fakeStore{list: objects.Page{Revision: 3}, err: objects.ErrUnavailable}
 		r, _ := newTestRefresher(s, "n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7")
 		r.Self = self
 		runFor(r, 1500*time.Millisecond)
-		return s.asked
+		return s.queries
 	}
 	names := []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7", "self"}
 	order := rendezvous.Rank(kindT, names, len(names))
 	var wg sync.WaitGroup
 	var first, last int
-	wg.Go(func() { first = asked(order[0]) })
-	wg.Go(func() { last = asked(order[len(order)-1]) })
+	wg.Go(func() { first = queriesOf(order[0]) })
+	wg.Go(func() { last = queriesOf(order[len(order)-1]) })
 	wg.Wait()
 	is.True(last >= 1)
 	is.True(first > last)
--- a/internal/version/follow/snapshot.go
+++ b/internal/version/follow/snapshot.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	// snapshotName is the file in the data folder.
+	// snapshotName is the name of the file in Snapshot.Dir.
 	snapshotName = "followed.snapshot"
-	// snapshotInterval is the time between looks whether there is news to write:
-	// a snapshot only has to be newer than none when all nodes start while the
-	// store is away.
+	// snapshotInterval is the time between two checks for changes to write. The snapshot
+	// need not be recent: it serves only when all nodes start while the store is
+	// unreachable.
 	snapshotInterval = 2 * time.Second
 )
 
-// Snapshot keeps the copy of some kinds on a disk, for a start while the object
-// store is away. A node that reads it serves by it until the store or a peer
-// knows better, and never takes it for fresh.
+// Snapshot keeps the cached copies of some kinds on a disk, for a start while the object
+// store is unreachable. A node that loads it uses it until the store or a peer delivers
+// newer objects, and never counts it as verified.
 type Snapshot struct {
 	Dir   string
 	Cache *Cache
 	Kinds []string
-	// OnError is told what could not be written.
+	// OnError is called with the error of a failed write.
 	OnError func(error)
 
-	written map[string]int64 // by kind: revision of the newest change on the disk
+	written map[string]int64 // revision of the newest change on the disk, by kind
 }
 
-// Load applies the snapshot, if there is one, and tells the listener.
+// Load applies the snapshot, if there is one, and notifies the listener of its objects.
 func (s *Snapshot) Load(listener Listener) error {
 	data, err := os.ReadFile(filepath.Join(s.Dir, snapshotName))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -52,14 +52,14 @@
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	for _, kind := range stored.Kinds {
-		if news := adopt(s.Cache, kind); len(news) > 0 {
-			listener.Changed(kind.Kind, news, FromDisk)
+		if changed := adopt(s.Cache, kind); len(changed) > 0 {
+			listener.Changed(kind.Kind, changed, FromDisk)
 		}
 	}
 	return nil
 }
 
-// Run writes the copy whenever it has changed, until ctx ends.
+// Run writes the snapshot whenever the cache has changed, until ctx ends.
 func (s *Snapshot) Run(ctx context.Context) {
 	for wait.For(ctx, snapshotInterval) {
 		if err := s.Save(); err != nil {
@@ -68,14 +68,14 @@
 	}
 }
 
-// Save writes the copy if it holds a change that the disk lacks.
+// Save writes the snapshot if the cache has a change that the disk lacks.
 func (s *Snapshot) Save() error {
 	marks := s.Cache.FreshnessMarks()
-	news := false
+	changed := false
 	for _, kind := range s.Kinds {
-		news = news || marks[kind].Latest > s.written[kind]
+		changed = changed || marks[kind].Latest > s.written[kind]
 	}
-	if !news {
+	if !changed {
 		return nil
 	}
 	var stored v1.Snapshot
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -75,10 +75,10 @@
 mutant 7 platform/wire.go 's/\*w\.State != stateDraining\)/*w.State == "")/' platform TestEntriesOfAnotherWriterNameNoTarget
 mutant 1 internal/request/job/heads.go 's/return !fresh && k\.holderUsable/return k.holderUsable/' internal/request/job TestStaleHeadDoesNotHideResults
 mutant 1 internal/request/job/verify.go 's/head\.Epoch > h\.head\.Epoch/head.Epoch > h.head.Epoch+9/' internal/request/job TestFormerHolderStopsAfterTakeover
-mutant 7 internal/version/follow/cache.go 's/if slices\.Contains\(k\.heard, question\)/if question == 0/' internal/version/follow TestMarksDoNotStayYoungOnTheWay
-mutant 9 internal/version/follow/cache.go 's/k\.complete < m\.Latest/k.latest < m.Latest/' internal/version/follow TestGapInAListIsNoFreshness
+mutant 7 internal/version/follow/cache.go 's/if slices\.Contains\(k\.seenQueries, queryID\)/if queryID == 0/' internal/version/follow TestMarkAgeGrowsInTransit
+mutant 9 internal/version/follow/cache.go 's/k\.complete < m\.Latest/k.latest < m.Latest/' internal/version/follow TestGapInListIsNotFresh
 mutant 7 internal/version/follow/cache.go 's/if k\.complete < m\.Floor/if m.Floor < 0/' internal/version/follow TestListHidesNoDeletion
-mutant 7 internal/version/follow/cache.go 's/if !known && o\.Revision <= k\.floor/if !known \&\& o.Revision < 0/' internal/version/follow TestListKeepsOutWhatIsGone
+mutant 7 internal/version/follow/cache.go 's/if !known && o\.Revision <= k\.floor/if !known \&\& o.Revision < 0/' internal/version/follow TestListedCacheRejectsDeletedObject
 mutant 1 internal/request/batch/suspect.go 's/it\.startedAsSuspect = it\.suspect/it.startedAsSuspect = it.suspect \&\& it.attempts > 9/' internal/request/batch TestOnlyTheItemThatCrashesTargetsEnds
 mutant 1 internal/request/batch/suspect.go 's/it\.suspect = true/it.suspect = !s.runningAt(it.target)/' internal/request/batch TestExcusedItemIsASuspect
 mutant 1 internal/request/checkpoint/checkpoint.go 's/saved\.Epoch < state\.epoch/saved.Epoch+9 < state.epoch/' internal/request/checkpoint TestFormerHolderIsIgnored
