--- a/internal/version/fleet/evacuation.go
+++ b/internal/version/fleet/evacuation.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// Names in the sections of data centres.
+// The kind and the key of data centre sections.
 const (
 	kindDataCentre = "data_centre"
 	keyEvacuated   = "evacuated"
@@ -18,7 +18,7 @@
 	return found
 }
 
-// WithEvacuation returns the configuration with a data centre evacuated, or not.
+// WithEvacuation returns the configuration with a data centre evacuated or not.
 func (c *Config) WithEvacuation(dataCentre string, evacuated bool) (*Config, error) {
 	sections := maps.Clone(c.sections)
 	name := SectionName(kindDataCentre, dataCentre)
--- a/internal/version/fleet/evacuation_test.go
+++ b/internal/version/fleet/evacuation_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// TestEvacuationChangesNothingElse: an evacuation is one difference, and its end brings
-// back the configuration of before.
+// TestEvacuationChangesNothingElse: an evacuation changes one key, and ending it restores
+// the previous configuration.
 func TestEvacuationChangesNothingElse(t *testing.T) {
 	is := is.New(t)
 	before, err := Parse([]byte("[service \"s\"]\nversion = 2\n"))
--- a/internal/version/fleet/fleet.go
+++ b/internal/version/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet holds the configuration that operators change while nodes
-// run: services with their model versions and adapters, workspaces with their keys
-// and limits, and data centres whose targets get no work. A Config is immutable; a new version replaces it
-// whole, and requests keep the version they started with.
+// Package fleet holds the configuration that operators change while nodes run:
+// services with their model versions and adapters, workspaces with their keys and
+// limits, and data centres whose targets get no work. A Config is immutable; a new
+// version replaces it as a whole, and requests keep the version they started with.
 package fleet
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/marblepond/marblepond/internal/version/workspace"
 )
 
-// Kind says what stands behind a service.
+// Kind is the kind of targets that run a service.
 type Kind string
 
 // The kinds of services.
@@ -26,15 +26,15 @@
 	KindPlain Kind = "plain" // plain HTTP services
 )
 
-// Service is what callers name and targets run.
+// Service is a model or an HTTP service that callers request by name and targets run.
 type Service struct {
 	Name          string
 	Kind          Kind
 	Model         string
 	Version       string
 	Adapters      []string
-	ChecksFence   bool // its targets refuse orders with an old fencing number
-	NonIdempotent bool // its calls may not be repeated
+	ChecksFence   bool // its targets refuse orders with an old fencing token
+	NonIdempotent bool // its calls must not be repeated
 	Deadline      time.Duration
 	MaxInFlight   int // online requests per data centre; 0: no limit
 	WarmUp        warmup.Rate
@@ -51,9 +51,9 @@
 	return names
 }
 
-// Resolve returns the loaded name that a caller's model name asks for: the
-// service's name, its model, or service:adapter. ok is false when the service
-// has no such model.
+// Resolve returns the name that a target must have loaded for a caller's model name,
+// which is the service's name or its model, either alone or with ":adapter". ok is false
+// when the service has no such model.
 func (s *Service) Resolve(model string) (loaded string, ok bool) {
 	base := s.Model + "@" + s.Version
 	if model == s.Name || model == s.Model {
@@ -78,7 +78,8 @@
 
 type section map[string]string
 
-// Fault is one thing wrong with an intent.
+// Fault is one invalid section or value of an intent, the configuration that an
+// operator wants.
 type Fault struct{ Section, Key, Found, Allowed string }
 
 // String returns the fault in one line.
@@ -86,10 +87,10 @@
 	return fmt.Sprintf("[%s] %s: found %q, allowed: %s", f.Section, f.Key, f.Found, f.Allowed)
 }
 
-// Faults is every fault of an intent.
+// Faults are all faults of an intent.
 type Faults []Fault
 
-// Error joins the faults, one a line.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -104,7 +105,7 @@
 	return c
 }
 
-// Parse reads INI text whole; the error is Faults.
+// Parse returns the configuration that INI text states; the error is Faults.
 func Parse(text []byte) (*Config, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{}, text)
 	if err != nil {
@@ -143,34 +144,34 @@
 			faults = append(faults, Fault{name, "-", name, `[service "name"], [workspace "name"] or [data_centre "name"]`})
 			continue
 		}
-		r.refuseUnknown()
+		r.rejectUnknownKeys()
 		faults = append(faults, r.faults...)
 	}
-	index, doubles := workspace.NewIndex(workspaces)
+	index, duplicates := workspace.NewIndex(workspaces)
 	c.Workspaces = index
-	faults = append(faults, asFaults(doubles)...)
-	faults = append(faults, c.crossChecks()...)
+	faults = append(faults, workspaceFaults(duplicates)...)
+	faults = append(faults, c.checkReferences()...)
 	if len(faults) > 0 {
 		return nil, faults
 	}
 	return c, nil
 }
 
-// asFaults words the faults of the list of workspaces.
-func asFaults(doubles []workspace.Fault) Faults {
+// workspaceFaults converts the faults of a list of workspaces.
+func workspaceFaults(duplicates []workspace.Fault) Faults {
 	var faults Faults
-	for _, d := range doubles {
+	for _, d := range duplicates {
 		section := SectionName("workspace", d.Workspace)
 		if d.Key == nil {
-			faults = append(faults, Fault{section, "-", d.Workspace, "a name of its own"})
+			faults = append(faults, Fault{section, "-", d.Workspace, "a unique name"})
 			continue
 		}
-		faults = append(faults, Fault{section, "key_sha256", d.Key.String(), "a key that workspace " + d.Other + " does not have"})
+		faults = append(faults, Fault{section, "key_sha256", d.Key.String(), "a key that workspace " + d.Other + " does not use"})
 	}
 	return faults
 }
 
-func (c *Config) crossChecks() Faults {
+func (c *Config) checkReferences() Faults {
 	var faults Faults
 	for _, name := range c.Workspaces.Names() {
 		for _, service := range c.Workspaces.ByName(name).Services {
@@ -182,24 +183,24 @@
 	return faults
 }
 
-// ServiceFor returns the service that serves the model name for the workspace
-// and the loaded name it needs; nil when there is none.
+// ServiceFor returns the service that serves a model name for a workspace, and the name
+// that its targets must have loaded; nil when there is none.
 func (c *Config) ServiceFor(w *workspace.Workspace, model string) (*Service, string) {
 	if i := strings.IndexByte(model, ':'); i > 0 && c.Services[model[:i]] != nil {
-		return c.match(w, c.Services[model[:i]], model)
+		return c.resolveFor(w, c.Services[model[:i]], model)
 	}
 	if s := c.Services[model]; s != nil {
-		return c.match(w, s, model)
+		return c.resolveFor(w, s, model)
 	}
 	for _, name := range sortedKeys(c.Services) {
-		if s, loaded := c.match(w, c.Services[name], model); s != nil {
+		if s, loaded := c.resolveFor(w, c.Services[name], model); s != nil {
 			return s, loaded
 		}
 	}
 	return nil, ""
 }
 
-func (c *Config) match(w *workspace.Workspace, s *Service, model string) (*Service, string) {
+func (c *Config) resolveFor(w *workspace.Workspace, s *Service, model string) (*Service, string) {
 	if s.Kind != KindModel || !w.MayUse(s.Name) {
 		return nil, ""
 	}
@@ -209,7 +210,7 @@
 	return nil, ""
 }
 
-// Text returns the configuration as INI text with sorted sections and keys.
+// Text returns the configuration as INI text, with sections and keys sorted.
 func (c *Config) Text() string {
 	var b strings.Builder
 	for _, name := range sortedKeys(c.sections) {
@@ -268,7 +269,7 @@
 	return w
 }
 
-// reader takes the keys of one section and collects faults.
+// reader reads the values of one section, and collects its faults and the keys used.
 type reader struct {
 	section string
 	values  section
@@ -354,7 +355,7 @@
 	return d
 }
 
-func (r *reader) refuseUnknown() {
+func (r *reader) rejectUnknownKeys() {
 	for _, key := range sortedKeys(r.values) {
 		if !r.used[key] {
 			r.fault(key, r.values[key], "no such key in this section")
--- a/internal/version/fleet/fleet_test.go
+++ b/internal/version/fleet/fleet_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestSectionsCarryTheWhole: a configuration cut into sections and put
-// together again is the same, and a change touches few sections.
-func TestSectionsCarryTheWhole(t *testing.T) {
+// TestSectionsRoundTrip: a configuration that is divided into sections and assembled
+// again is the same, and a change of one workspace changes one section.
+func TestSectionsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b strings.Builder
 		for n := range rapid.IntRange(1, 30).Draw(t, "workspaces") {
@@ -84,14 +84,14 @@
 			t.Fatalf("%v\n%s", err, again.Text())
 		}
 		changed, _ := Parse([]byte(b.String() + "[workspace \"w0\"]\nbatch_weight = 5\n"))
-		fresh := 0
+		newSections := 0
 		for _, hash := range NewHead(changed, head, "t").Sections {
 			if bodies[hash] == nil {
-				fresh++
+				newSections++
 			}
 		}
-		if diff := Diff(c, changed); fresh != 1 || len(diff) != 1 || diff[0].Key != "batch_weight" {
-			t.Fatalf("%d sections changed, diff %v", fresh, diff)
+		if diff := Diff(c, changed); newSections != 1 || len(diff) != 1 || diff[0].Key != "batch_weight" {
+			t.Fatalf("%d sections changed, diff %v", newSections, diff)
 		}
 	})
 }
@@ -99,12 +99,12 @@
 func TestWritersAreRemembered(t *testing.T) {
 	is := is.New(t)
 	head := Head{}
-	for n := range writersKept + 5 {
+	for n := range maxWriters + 5 {
 		head = NewHead(Empty(), head, fmt.Sprint(n))
 	}
-	is.Equal(len(head.Writers), writersKept)
-	is.True(head.WrittenBy(head.Version-3, fmt.Sprint(writersKept+1)))  // under later versions
-	is.True(!head.WrittenBy(head.Version-3, fmt.Sprint(writersKept+2))) // another's
+	is.Equal(len(head.Writers), maxWriters)
+	is.True(head.WrittenBy(head.Version-3, fmt.Sprint(maxWriters+1)))  // below later versions
+	is.True(!head.WrittenBy(head.Version-3, fmt.Sprint(maxWriters+2))) // a token of another writer
 }
 
 func FuzzParse(f *testing.F) {
@@ -115,8 +115,8 @@
 		if err != nil {
 			return
 		}
-		if again, err := Parse([]byte(c.Text())); err == nil && len(Diff(c, again)) != 0 && !strings.ContainsAny(string(text), "`\"\\;#=:%") {
-			t.Fatalf("text does not carry the configuration: %v", Diff(c, again))
+		if parsed, err := Parse([]byte(c.Text())); err == nil && len(Diff(c, parsed)) != 0 && !strings.ContainsAny(string(text), "`\"\\;#=:%") {
+			t.Fatalf("Text loses part of the configuration: %v", Diff(c, parsed))
 		}
 	})
 }
--- a/internal/version/fleet/head.go
+++ b/internal/version/fleet/head.go
@@ -10,28 +10,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// workspaceBuckets is how many sections the workspaces are spread over, so
-// that one change moves a small part of the configuration between nodes.
+// workspaceBuckets is the number of sections over which the workspaces are spread, so
+// that nodes exchange only a small part of the configuration after a change.
 const workspaceBuckets = 64
 
-// Head names the content of one version: section names to content hashes.
-// It is the object that a confirmed plan replaces conditionally.
+// Head identifies the content of one version by the hash of each section. It is stored
+// as an object that applying a plan replaces by compare-and-swap.
 type Head struct {
 	Version  uint64
 	Sections map[string]string
-	// Writers names who wrote the last versions, newest first, so that a writer
-	// whose answer was lost recognises its own write under later ones.
+	// Writers holds the writers of the last versions, newest first, so that a writer
+	// whose response was lost recognises its own write below later ones.
 	Writers []Writer
 }
 
-// Writer is the token of the one that wrote a version.
+// Writer identifies the write of a version by a random token.
 type Writer struct {
 	Version uint64
 	Token   string
 }
 
-// writersKept bounds Head.Writers.
-const writersKept = 32
+// maxWriters bounds Head.Writers.
+const maxWriters = 32
 
 // WrittenBy reports whether the head is, or follows, the version written with
 // the token.
@@ -44,9 +44,9 @@
 	return false
 }
 
-// Sections returns the configuration cut into content-addressed sections: one
-// per service and workspaceBuckets for all workspaces. The key is the section
-// name, the value its INI text as JSON.
+// Sections returns the configuration divided into content-addressed sections: one for
+// each service and data centre, and workspaceBuckets for all workspaces. The key is the
+// section name, the value its INI sections as JSON.
 func (c *Config) Sections() map[string][]byte {
 	grouped := map[string]map[string]section{}
 	for name, keys := range c.sections {
@@ -60,7 +60,7 @@
 	for group, members := range grouped {
 		data, err := json.Marshal(members)
 		if err != nil {
-			panic(err) // strings only
+			panic(err) // maps of strings can always be encoded
 		}
 		out[group] = data
 	}
@@ -74,23 +74,23 @@
 	return name
 }
 
-// HashSection returns the content address of a section.
+// HashSection returns the content hash of a section, by which it is stored.
 func HashSection(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:16])
 }
 
-// NewHead returns the head of c that follows base.
+// NewHead returns the head of c as the version after base, written with token.
 func NewHead(c *Config, base Head, token string) Head {
 	head := Head{Version: base.Version + 1, Sections: map[string]string{}}
-	head.Writers = append([]Writer{{head.Version, token}}, base.Writers[:min(len(base.Writers), writersKept-1)]...)
+	head.Writers = append([]Writer{{head.Version, token}}, base.Writers[:min(len(base.Writers), maxWriters-1)]...)
 	for name, body := range c.Sections() {
 		head.Sections[name] = HashSection(body)
 	}
 	return head
 }
 
-// Assemble builds the configuration of a head from its sections, by hash.
+// Assemble builds the configuration of a head; bodies are the sections by hash.
 func Assemble(head Head, bodies map[string][]byte) (*Config, error) {
 	sections := map[string]section{}
 	for name, hash := range head.Sections {
@@ -120,7 +120,7 @@
 	Before, After string // empty: absent
 }
 
-// Diff returns what changes from a to b, sorted by section and key.
+// Diff returns the changes from a to b, sorted by section and key.
 func Diff(a, b *Config) []Change {
 	var changes []Change
 	names := map[string]bool{}
