--- a/internal/version/config/bootstrap.go
+++ b/internal/version/config/bootstrap.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// offerTimeout bounds how long a version waits for a peer to hold it.
+	// offerTimeout bounds how long a new version waits for a peer to confirm that it
+	// holds the version too.
 	offerTimeout = 300 * time.Millisecond
-	// bootstrapPause is the pause between rounds of asking.
+	// bootstrapPause is the pause between rounds of queries.
 	bootstrapPause = 200 * time.Millisecond
-	// bootstrapRounds is how many rounds in a row the peers must be asked
-	// before a node trusts that it has heard of all it can reach.
+	// bootstrapRounds is how many rounds of queries come before the one in which a
+	// version from peers suffices: until then the node may not know all reachable peers.
 	bootstrapRounds = 5
 )
 
-// bootstrap gets the first version before the node serves: from the platform,
-// or, while it is out, the newest that any peer holds.
+// bootstrap gets the first version before the node serves: from the platform, or during
+// an outage of the platform the newest that any reachable peer has.
 func (m *Manager) bootstrap(ctx context.Context) {
 	for round := 0; ctx.Err() == nil && !m.Loaded(); round++ {
-		if m.fromPlatform(ctx) || (m.fromPeers(ctx) && round >= bootstrapRounds) {
+		if m.loadFromPlatform(ctx) || (m.loadFromPeers(ctx) && round >= bootstrapRounds) {
 			m.loaded.Store(true)
 			return
 		}
@@ -37,17 +38,17 @@
 	}
 }
 
-func (m *Manager) fromPlatform(ctx context.Context) bool {
+func (m *Manager) loadFromPlatform(ctx context.Context) bool {
 	o, err := m.platform.Get(ctx, platform.Commit, record.ConfigHead)
 	if errors.Is(err, platform.ErrNotFound) {
-		return true // a new fleet
+		return true // a new fleet, without a configuration yet
 	}
 	return err == nil && m.adoptHead(ctx, o.Value) == nil
 }
 
-// fromPeers takes the newest version of the reachable peers; false when none
-// has any.
-func (m *Manager) fromPeers(ctx context.Context) bool {
+// loadFromPeers adopts the newest version of the reachable peers, and reports whether
+// there is any.
+func (m *Manager) loadFromPeers(ctx context.Context) bool {
 	view := m.membership.View()
 	var wg sync.WaitGroup
 	for _, p := range slices.Concat(view.Members, view.Contacts) {
@@ -57,10 +58,10 @@
 	return m.Current().Version > 0
 }
 
-// offer gives a version to one peer before this node serves with it, so that
-// it outlives a restart of either during an outage of the platform. Without a
-// reachable peer the version is taken all the same.
-func (m *Manager) offer(head fleet.Head, bodies map[string][]byte) {
+// offerToPeer sends a version to one peer before this node serves with it, so that the
+// version survives a restart of either node during an outage of the platform. If no peer
+// is reachable, the version comes into force all the same.
+func (m *Manager) offerToPeer(head fleet.Head, bodies map[string][]byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), offerTimeout)
 	defer cancel()
 	req := &v1.OfferConfigRequest{Version: head.Version, Head: record.Encode(head)}
@@ -80,14 +81,14 @@
 	}
 }
 
-// OfferConfig takes a version from a peer. The peer serves with it next, so
-// this node holds it; it serves with it itself from now on.
+// OfferConfig adopts a version that a peer offers. The peer serves with the version as soon
+// as this node holds it.
 func (m *Manager) OfferConfig(_ context.Context, req *v1.OfferConfigRequest) (*v1.OfferConfigResponse, error) {
 	head, err := record.Decode[fleet.Head](req.Head)
 	if err != nil {
 		return nil, err
 	}
-	bodies, missing := m.have(head)
+	bodies, missing := m.splitSections(head)
 	for _, s := range req.Sections {
 		bodies[s.Hash] = s.Body
 	}
@@ -96,10 +97,10 @@
 			return &v1.OfferConfigResponse{}, nil
 		}
 	}
-	s, err := m.hold(head, bodies)
+	s, err := m.publish(head, bodies)
 	if err != nil {
 		return nil, err
 	}
-	m.take(s, "an offer")
+	m.activate(s, "an offer")
 	return &v1.OfferConfigResponse{Held: true}, nil
 }
--- a/internal/version/config/config.go
+++ b/internal/version/config/config.go
@@ -1,7 +1,7 @@
-// Package config keeps a node on the newest fleet configuration. Versions
-// only go up: a node takes a version from the platform or from a peer,
-// whichever shows it first, and never one older than it has. A node that
-// starts during an outage asks its peers before it serves.
+// Package config keeps a node on the newest fleet configuration. A node adopts a
+// version from the platform or from a peer, whichever has it first, and never an
+// older version than its own. A node that starts during an outage of the platform
+// queries its peers before it serves.
 package config
 
 import (
@@ -27,52 +27,52 @@
 	"github.com/marblepond/marblepond/internal/version/fleet"
 )
 
-// Membership is what the manager needs of the membership.
+// Membership is the part of the membership that a Manager uses.
 type Membership interface {
 	View() *member.View
 	SetConfigVersion(v uint64)
 }
 
-// snapshot is one version with all that another node needs to adopt it.
+// snapshot is one version, with all that another node needs to adopt it.
 type snapshot struct {
 	config *fleet.Config
 	head   fleet.Head
 	bodies map[string][]byte // sections by hash
 }
 
-// Manager holds the configuration in force.
+// Manager holds the configuration in force and adopts newer versions.
 type Manager struct {
 	platform   *platform.Client
 	pool       *peer.Pool
 	membership Membership
 	recorder   *timeline.Recorder
 	checker    *invariant.Checker
-	wait       time.Duration
-
-	mu      sync.Mutex               // serialises adoption
-	current atomic.Pointer[snapshot] // in force
-	held    atomic.Pointer[snapshot] // newest known: in force or about to be; what peers are told
-	loaded  atomic.Bool
-	hints   chan hint
-	changed []func(*fleet.Config)
+	watchWait  time.Duration
+
+	mu            sync.Mutex               // serialises adoption
+	current       atomic.Pointer[snapshot] // in force
+	newest        atomic.Pointer[snapshot] // newest known: in force or about to be; sent to peers that fetch it
+	loaded        atomic.Bool
+	newerVersions chan newerVersion
+	onChange      []func(*fleet.Config)
 }
 
-// hint says that a peer has a newer version.
-type hint struct {
+// newerVersion is the announcement of a newer version by a peer.
+type newerVersion struct {
 	addr    string
 	version uint64
 }
 
 // New returns a manager with the empty configuration, version 0.
 func New(p *platform.Client, pool *peer.Pool, m Membership, r *timeline.Recorder, c *invariant.Checker, wait time.Duration) *Manager {
-	mgr := &Manager{platform: p, pool: pool, membership: m, recorder: r, checker: c, wait: wait, hints: make(chan hint, 16)}
+	mgr := &Manager{platform: p, pool: pool, membership: m, recorder: r, checker: c, watchWait: wait, newerVersions: make(chan newerVersion, 16)}
 	mgr.current.Store(&snapshot{config: fleet.Empty(), bodies: map[string][]byte{}})
-	mgr.held.Store(mgr.current.Load())
+	mgr.newest.Store(mgr.current.Load())
 	return mgr
 }
 
-// OnChange adds a function called with each adopted version; call it before Run.
-func (m *Manager) OnChange(f func(*fleet.Config)) { m.changed = append(m.changed, f) }
+// OnChange adds a function that is called with each adopted version; call it before Run.
+func (m *Manager) OnChange(f func(*fleet.Config)) { m.onChange = append(m.onChange, f) }
 
 // Current returns the configuration in force.
 func (m *Manager) Current() *fleet.Config { return m.current.Load().config }
@@ -89,27 +89,28 @@
 func (m *Manager) Unpack(from *v1.NodeInfo, state *v1.HeartbeatRequest) {
 	if state.HeadVersion > m.Current().Version {
 		select {
-		case m.hints <- hint{from.PeerAddr, state.HeadVersion}:
-		default: // a fetch is under way; the next heartbeat hints again
+		case m.newerVersions <- newerVersion{from.PeerAddr, state.HeadVersion}:
+		default: // fetches are in progress; the next heartbeat announces the version again
 		}
 	}
 }
 
-// Run watches the platform and follows hints until ctx ends.
+// Run watches the platform, and fetches newer versions that peers announce, until ctx
+// ends.
 func (m *Manager) Run(ctx context.Context) {
 	m.bootstrap(ctx)
 	var wg sync.WaitGroup
-	wg.Go(func() { m.followHints(ctx) })
+	wg.Go(func() { m.fetchNewerVersions(ctx) })
 	wg.Go(func() { m.watch(ctx) })
 	wg.Wait()
 }
 
-func (m *Manager) followHints(ctx context.Context) {
+func (m *Manager) fetchNewerVersions(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case h := <-m.hints:
+		case h := <-m.newerVersions:
 			if h.version > m.Current().Version {
 				m.fetchFromPeer(ctx, h.addr)
 			}
@@ -117,38 +118,38 @@
 	}
 }
 
-// watchersPerDC is how many nodes of a data centre watch the platform; the
-// others hear of a new version by heartbeat.
-const watchersPerDC = 2
+// watchersPerDataCentre is how many nodes of a data centre watch the platform; the
+// others learn of a new version by heartbeat.
+const watchersPerDataCentre = 2
 
-// retryWatch is the pause after a failed watch.
-const retryWatch = 200 * time.Millisecond
+// retryPause is the pause after a failed watch.
+const retryPause = 200 * time.Millisecond
 
 func (m *Manager) watch(ctx context.Context) {
 	var since int64
 	for ctx.Err() == nil {
-		if !m.watches() {
+		if !m.isWatcher() {
 			wait.For(ctx, time.Second)
 			continue
 		}
-		change, err := m.platform.Watch(ctx, record.ConfigHead, since, m.wait)
+		change, err := m.platform.Watch(ctx, record.ConfigHead, since, m.watchWait)
 		if err != nil {
-			wait.For(ctx, retryWatch)
+			wait.For(ctx, retryPause)
 			continue
 		}
 		since = change.Newest
 		for _, o := range change.Objects {
 			if err := m.adoptHead(ctx, o.Value); err != nil {
-				since = 0 // try again from the start
-				wait.For(ctx, retryWatch)
+				since = 0 // retry from the beginning
+				wait.For(ctx, retryPause)
 			}
 		}
 	}
 }
 
-func (m *Manager) watches() bool {
+func (m *Manager) isWatcher() bool {
 	view := m.membership.View()
-	for _, id := range rendezvous.Rank("config-watch", view.ActiveIDs, watchersPerDC) {
+	for _, id := range rendezvous.Rank("config-watch", view.ActiveIDs, watchersPerDataCentre) {
 		if id == view.Self.ID {
 			return true
 		}
@@ -162,9 +163,9 @@
 		return err
 	}
 	if head.Version <= m.Current().Version {
-		return nil // stale
+		return nil // not newer
 	}
-	bodies, missing := m.have(head)
+	bodies, missing := m.splitSections(head)
 	for _, hash := range missing {
 		o, err := m.platform.Get(ctx, platform.Commit, record.SectionName(hash))
 		if err != nil {
@@ -175,8 +176,9 @@
 	return m.adopt(head, bodies, "platform")
 }
 
-// have splits a head's sections into those at hand and the hashes missing.
-func (m *Manager) have(head fleet.Head) (bodies map[string][]byte, missing []string) {
+// splitSections returns the sections of a head that this node has, by hash, and the hashes
+// of the others.
+func (m *Manager) splitSections(head fleet.Head) (bodies map[string][]byte, missing []string) {
 	bodies = map[string][]byte{}
 	known := m.current.Load().bodies
 	for _, hash := range head.Sections {
@@ -201,7 +203,7 @@
 	if err != nil || head.Version <= m.Current().Version {
 		return
 	}
-	bodies, missing := m.have(head)
+	bodies, missing := m.splitSections(head)
 	if len(missing) > 0 {
 		resp, err = client.FetchConfig(ctx, &v1.FetchConfigRequest{Sections: missing})
 		if err != nil {
@@ -214,21 +216,21 @@
 	m.adopt(head, bodies, "peer "+addr)
 }
 
-// adopt makes a version the one in force, after a peer holds it too.
+// adopt puts a version in force, after offering it to a reachable peer.
 func (m *Manager) adopt(head fleet.Head, bodies map[string][]byte, source string) error {
-	s, err := m.hold(head, bodies)
+	s, err := m.publish(head, bodies)
 	if err != nil {
 		return err
 	}
 	if head.Version > m.Current().Version {
-		m.offer(head, bodies)
+		m.offerToPeer(head, bodies)
 	}
-	m.take(s, source)
+	m.activate(s, source)
 	return nil
 }
 
-// hold keeps a version for peers that ask, before it is in force here.
-func (m *Manager) hold(head fleet.Head, bodies map[string][]byte) (*snapshot, error) {
+// publish makes a version available to peers that fetch it, before it is in force here.
+func (m *Manager) publish(head fleet.Head, bodies map[string][]byte) (*snapshot, error) {
 	config, err := fleet.Assemble(head, bodies)
 	if err != nil {
 		return nil, err
@@ -236,14 +238,14 @@
 	s := &snapshot{config, head, bodies}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if head.Version > m.held.Load().head.Version {
-		m.held.Store(s)
+	if head.Version > m.newest.Load().head.Version {
+		m.newest.Store(s)
 	}
 	return s, nil
 }
 
-// take makes a version the one in force, if it is newer.
-func (m *Manager) take(s *snapshot, source string) {
+// activate puts a version in force, if it is newer than the one in force.
+func (m *Manager) activate(s *snapshot, source string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	old := m.Current().Version
@@ -254,14 +256,14 @@
 	m.current.Store(s)
 	m.membership.SetConfigVersion(s.config.Version)
 	m.recorder.Record(timeline.ConfigAdopted, "", fmt.Sprintf("version %d", s.config.Version), "from "+source)
-	for _, f := range m.changed {
+	for _, f := range m.onChange {
 		f(s.config)
 	}
 }
 
-// FetchConfig answers a peer.
+// FetchConfig returns the newest version to a peer: its head, and the sections requested.
 func (m *Manager) FetchConfig(_ context.Context, req *v1.FetchConfigRequest) (*v1.FetchConfigResponse, error) {
-	s := m.held.Load()
+	s := m.newest.Load()
 	if s.head.Version == 0 {
 		return &v1.FetchConfigResponse{}, nil
 	}
@@ -278,17 +280,17 @@
 	return resp, nil
 }
 
-// Plan is what an intent would change, and the version it was compared with.
+// Plan is the changes that an intent would make, and the version it was compared with.
 type Plan struct {
 	Base    uint64
 	Changes []fleet.Change
 }
 
-// Intent returns the configuration that an operator wants, made from the newest one;
-// nil: that can't be read whole. Errors are of errkind.
+// Intent returns the configuration that an operator wants, made from the newest one, which
+// is nil if it can't be read completely. Its errors have a kind of package errkind.
 type Intent func(newest *fleet.Config) (*fleet.Config, error)
 
-// TextIntent returns the intent that INI text states whole.
+// TextIntent returns the intent of a complete configuration in INI text.
 func TextIntent(text string) Intent {
 	return func(*fleet.Config) (*fleet.Config, error) {
 		want, err := fleet.Parse([]byte(text))
@@ -299,12 +301,11 @@
 	}
 }
 
-// EvacuationIntent returns the intent that changes only whether a data centre is
-// evacuated.
+// EvacuationIntent returns the intent to change only whether a data centre is evacuated.
 func EvacuationIntent(dataCentre string, evacuated bool) Intent {
 	return func(newest *fleet.Config) (*fleet.Config, error) {
 		if newest == nil {
-			return nil, errkind.PlatformUnavailable.New("the newest configuration can't be read whole; nothing was changed")
+			return nil, errkind.PlatformUnavailable.New("the newest configuration can't be read completely; nothing was changed")
 		}
 		want, err := newest.WithEvacuation(dataCentre, evacuated)
 		if err != nil {
@@ -317,16 +318,16 @@
 // Plan compares an intent with the newest configuration.
 func (m *Manager) Plan(ctx context.Context, intent Intent) (Plan, error) {
 	m.refresh(ctx)
-	have := m.Current()
-	want, err := intent(have)
+	current := m.Current()
+	want, err := intent(current)
 	if err != nil {
 		return Plan{}, err
 	}
-	return Plan{have.Version, fleet.Diff(have, want)}, nil
+	return Plan{current.Version, fleet.Diff(current, want)}, nil
 }
 
-// refresh reads the newest head; on failure the version at hand stands, and
-// Apply will find it stale if it is.
+// refresh reads the newest head and adopts it. On failure the version in force stays, and
+// Apply finds out if it is stale.
 func (m *Manager) refresh(ctx context.Context) {
 	if o, err := m.platform.Get(ctx, platform.Commit, record.ConfigHead); err == nil {
 		m.adoptHead(ctx, o.Value)
@@ -334,21 +335,22 @@
 }
 
 // Apply makes the intent the next version if base is still the newest one.
-// Errors: Malformed, StalePlan (another operator was first; plan again),
-// PlatformUnavailable (nothing was changed), UnknownOutcome (it may have been).
+// Errors: Malformed, StalePlan (another operator applied a version first; plan again),
+// PlatformUnavailable (nothing was changed), UnknownOutcome (the version may have been
+// applied).
 func (m *Manager) Apply(ctx context.Context, intent Intent, base uint64) (uint64, error) {
 	newest, err := m.newestHead(ctx, base)
 	if err != nil {
 		return 0, err
 	}
-	have := m.Current()
+	current := m.Current()
 	switch {
-	case have.Version > base:
-		return 0, m.stale(base, have.Version)
-	case have.Version < base:
-		have = nil // the sections of the newest can't be read
+	case current.Version > base:
+		return 0, m.stalePlan(base, current.Version)
+	case current.Version < base:
+		current = nil // the sections of the newest can't be read
 	}
-	want, err := intent(have)
+	want, err := intent(current)
 	if err != nil {
 		return 0, err
 	}
@@ -361,45 +363,45 @@
 		return 0, err
 	}
 	m.recorder.Record(timeline.ConfigApplied, "", fmt.Sprintf("version %d", head.Version), "by operator")
-	m.refresh(ctx) // on failure it comes into force once the platform can be read
+	m.refresh(ctx) // on failure the version comes into force once the platform can be read
 	return head.Version, nil
 }
 
-// stored is the head as it stands in the platform; object is its version
-// there, 0 when there is none yet.
-type stored struct {
-	head   fleet.Head
-	object int64
+// storedHead is the head that the platform has. objectVersion is the version of its object
+// there, 0 if there is no head yet.
+type storedHead struct {
+	head          fleet.Head
+	objectVersion int64
 }
 
 // newestHead returns the stored head if its configuration version is base.
-func (m *Manager) newestHead(ctx context.Context, base uint64) (stored, error) {
+func (m *Manager) newestHead(ctx context.Context, base uint64) (storedHead, error) {
 	o, err := m.platform.Get(ctx, platform.Commit, record.ConfigHead)
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
-		return stored{}, errkind.PlatformUnavailable.New("the configuration can't be read; nothing was changed")
+		return storedHead{}, errkind.PlatformUnavailable.New("the configuration can't be read; nothing was changed")
 	}
-	s := stored{object: o.Version}
+	s := storedHead{objectVersion: o.Version}
 	if err == nil {
 		if s.head, err = record.Decode[fleet.Head](o.Value); err != nil {
-			return stored{}, err
+			return storedHead{}, err
 		}
 	}
-	if s.object > 0 {
-		m.adoptHead(ctx, o.Value) // where that fails, an intent that needs it says so
+	if s.objectVersion > 0 {
+		m.adoptHead(ctx, o.Value) // if that fails, an intent that needs the configuration returns an error
 	}
 	if s.head.Version != base {
-		return stored{}, m.stale(base, s.head.Version)
+		return storedHead{}, m.stalePlan(base, s.head.Version)
 	}
 	return s, nil
 }
 
-func (m *Manager) stale(base, newest uint64) error {
+func (m *Manager) stalePlan(base, newest uint64) error {
 	m.recorder.Record(timeline.ConfigStalePlan, "", fmt.Sprintf("version %d", base), fmt.Sprintf("newest is %d", newest))
 	return errkind.StalePlan.New("the plan was made from version %d, the newest is %d", base, newest)
 }
 
-// writeSections stores the sections that the platform does not have. Writing
-// one twice is harmless: its name is the hash of its content.
+// writeSections stores the sections that the platform may not have. Writing one twice is
+// harmless: its name is the hash of its content.
 func (m *Manager) writeSections(ctx context.Context, want *fleet.Config) error {
 	known := m.current.Load().bodies
 	for _, body := range want.Sections() {
@@ -414,22 +416,23 @@
 	return nil
 }
 
-const sectionAttempts = 4
+const sectionWriteAttempts = 4
 
 func (m *Manager) writeSection(ctx context.Context, hash string, body []byte) (err error) {
-	for range sectionAttempts {
+	for range sectionWriteAttempts {
 		_, err = m.platform.Create(ctx, platform.Commit, record.SectionName(hash), body)
 		if err == nil || errors.Is(err, platform.ErrConflict) {
 			return nil
 		}
-		wait.For(ctx, retryWatch)
+		wait.For(ctx, retryPause)
 	}
 	return err
 }
 
-// swapHead replaces the newest head and settles lost answers by the writer
-// token. Repeating the write is safe: it is conditional and takes effect once.
-func (m *Manager) swapHead(ctx context.Context, head fleet.Head, token string, newest stored) error {
+// swapHead replaces the newest head. If a response is lost, the writer token shows whether
+// the write took effect. Repeating the write is safe: it is conditional and takes effect
+// at most once.
+func (m *Manager) swapHead(ctx context.Context, head fleet.Head, token string, newest storedHead) error {
 	for ctx.Err() == nil {
 		err := m.writeHead(ctx, head, newest)
 		if err == nil {
@@ -442,21 +445,21 @@
 			if readErr == nil && now.WrittenBy(head.Version, token) {
 				return nil
 			}
-			if readErr == nil && o.Version != newest.object {
+			if readErr == nil && o.Version != newest.objectVersion {
 				m.adoptHead(ctx, o.Value)
-				return m.stale(newest.head.Version, now.Version)
+				return m.stalePlan(newest.head.Version, now.Version)
 			}
 		}
-		wait.For(ctx, retryWatch)
+		wait.For(ctx, retryPause)
 	}
 	return errkind.UnknownOutcome.New("the platform did not confirm version %d; see status", head.Version)
 }
 
-func (m *Manager) writeHead(ctx context.Context, head fleet.Head, newest stored) error {
-	if newest.object == 0 {
+func (m *Manager) writeHead(ctx context.Context, head fleet.Head, newest storedHead) error {
+	if newest.objectVersion == 0 {
 		_, err := m.platform.Create(ctx, platform.Commit, record.ConfigHead, record.Encode(head))
 		return err
 	}
-	_, err := m.platform.Update(ctx, platform.Commit, record.ConfigHead, newest.object, record.Encode(head))
+	_, err := m.platform.Update(ctx, platform.Commit, record.ConfigHead, newest.objectVersion, record.Encode(head))
 	return err
 }
