--- a/internal/version/route/route.go
+++ b/internal/version/route/route.go
@@ -1,5 +1,5 @@
-// Package route holds one version of the routing configuration: which service
-// answers which host and path, and under which policy. Tables are immutable;
+// Package route holds one version of the routing configuration: which services
+// serve which host and path prefix, and under which policy. Tables are immutable;
 // a new version is a new table.
 package route
 
@@ -12,18 +12,18 @@
 	"github.com/marblepond/marblepond/internal/version/workspace"
 )
 
-// Kind says what a route's requests are.
+// Kind is the kind of a route's requests.
 type Kind int
 
-// The kinds. A kind that is not known is NonIdempotent, which promises least.
+// The kinds. An unknown kind counts as NonIdempotent, the strictest one.
 const (
 	NonIdempotent Kind = iota // runs at most once
 	Idempotent                // may run more than once
-	Stream                    // answered by events; runs at most once unless resumable
+	Stream                    // answered with a stream of events; runs at most once unless resumable
 	Batch                     // accepts jobs
 )
 
-// Share is one service of a route and its part of the traffic.
+// Share is one service of a route and its weight in the traffic split.
 type Share struct {
 	Service string
 	Weight  int
@@ -37,18 +37,19 @@
 	Shares    []Share
 	Kind      Kind
 	Resumable bool
-	Attempts  int  // most targets that one request may run on
+	Attempts  int  // bounds the targets that one request may run on
 	Priority  int  // 0 is the highest
 	Open      bool // callers need no key
-	// Timeout is the longest time that a request may be kept waiting; 0: no bound.
+	// Timeout bounds the time that a request may wait; 0: no bound.
 	Timeout time.Duration
-	// Objective is the time to the first event, whole answer or acceptance.
+	// Objective is the latency objective for the first event, the complete answer or the
+	// acceptance of a job.
 	Objective time.Duration
-	// GapObjective is the longest pause between events.
+	// GapObjective is the latency objective for each further event.
 	GapObjective time.Duration
 	// Batch routes only.
 	CompleteWithin time.Duration // results are due this long after submission
-	AbandonAfter   time.Duration // an item may be given up this long after submission
+	AbandonAfter   time.Duration // an item may be abandoned this long after submission
 	TokenCap       int64         // tokens of one workspace that may wait on the route; 0: no limit
 }
 
@@ -67,11 +68,11 @@
 type Table struct {
 	Version int64
 	Limits  Limits
-	// Workspaces are whose requests are served; nil: callers need no key.
+	// Workspaces are the workspaces whose requests are served; nil: callers need no key.
 	Workspaces *workspace.Index
-	// WarmUps tell, by service, how its targets warm up.
+	// WarmUps holds the slow start of targets, by service.
 	WarmUps map[string]warmup.Rate
-	// Faults are what could not be read of the version and is left out.
+	// Faults describes the parts of the version that could not be read and are left out.
 	Faults []string
 	byHost map[string][]*Route // longest prefix first
 }
@@ -89,7 +90,7 @@
 	return t
 }
 
-// Match returns the route with the longest prefix that begins the path, or nil.
+// Match returns the route of the host with the longest prefix of the path, or nil.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// HasBatch reports whether any batch route has the host.
+// HasBatch reports whether the host has a batch route.
 func (t *Table) HasBatch(host string) bool {
 	for _, r := range t.byHost[host] {
 		if r.Kind == Batch {
@@ -121,18 +122,19 @@
 	return nil
 }
 
-// PickService picks the service of one request; draw is uniform in [0, 1).
+// PickService returns the service of one request, by weight; draw is a random number
+// uniform in [0, 1).
 func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	at := int(draw * float64(total))
+	position := int(draw * float64(total))
 	for _, s := range r.Shares {
-		if at < s.Weight {
+		if position < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		position -= s.Weight
 	}
 	if len(r.Shares) == 0 {
 		return ""
