--- a/internal/version/order/order_test.go
+++ b/internal/version/order/order_test.go
@@ -11,9 +11,9 @@
 	"github.com/marblepond/marblepond/internal/version/fleet"
 )
 
-// TestOrdersConverge carries orders out on a target that loses some of them:
-// it ends with exactly what is wanted, and until then some version of the
-// model is always loaded.
+// TestOrdersConverge applies orders to a target that loses some of them. The target
+// ends with exactly the wanted models, and until then always has some version of the
+// model loaded.
 func TestOrdersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &fleet.Service{Kind: fleet.KindModel, Model: "m", Version: "2", Adapters: []string{"a"}}
