--- a/internal/version/workspace/workspace.go
+++ b/internal/version/workspace/workspace.go
@@ -1,5 +1,6 @@
-// Package workspace holds one version of the workspaces: who holds which key, and what
-// each workspace may ask for. Both interfaces of the product look callers up in it.
+// Package workspace holds one version of the workspaces: the keys by which callers
+// authenticate, and the services and limits of each workspace. Both interfaces of the
+// product look callers up in it.
 package workspace
 
 import (
@@ -11,11 +12,11 @@
 	"slices"
 )
 
-// Allowance is what a workspace may ask for online, over all nodes together. The zero
-// value is no limit.
+// Allowance is the rate limit of a workspace's online requests, over all nodes together.
+// The zero value is no limit.
 type Allowance struct {
-	PerSecond float64 // requests a second in the long run; 0: no limit
-	Burst     float64 // requests at once on top of it
+	PerSecond float64 // requests per second in the long run; 0: no limit
+	Burst     float64 // requests at once on top of that rate
 }
 
 // Limited reports whether there is a limit at all.
@@ -25,13 +26,13 @@
 type Workspace struct {
 	Name      string
 	KeyHashes []KeyHash
-	Services  []string // that it may use; empty: all
+	Services  []string // services that it may use; empty: all
 	Allowance Allowance
 	// MaxInFlight bounds online requests in progress at each node; 0: no limit.
 	MaxInFlight int
 	BatchWeight int // share of batch capacity against other workspaces
-	// Priority of its requests goes before that of their routes; 0 is the highest, nil:
-	// the route's holds.
+	// Priority overrides the priority of the routes of its requests; 0 is the highest,
+	// nil leaves the route's.
 	Priority *int
 }
 
@@ -40,7 +41,7 @@
 	return len(w.Services) == 0 || slices.Contains(w.Services, service)
 }
 
-// KeyHash is the SHA-256 of a key, the only form in which keys are kept.
+// KeyHash is the SHA-256 hash of a key, the only form in which keys are stored.
 type KeyHash [sha256.Size]byte
 
 // HashKey returns the hash of a key as a caller sends it.
@@ -60,15 +61,15 @@
 	return KeyHash(raw), nil
 }
 
-// Fault is one thing wrong with a list of workspaces.
+// Fault is one error in a list of workspaces.
 type Fault struct {
 	Workspace string
-	Other     string   // that has the same name or key, where that is the fault
-	Key       *KeyHash // that two workspaces have; nil: another fault
+	Other     string   // workspace with the same name or key, if that is the fault
+	Key       *KeyHash // key of two workspaces; nil: the fault is another one
 	Cause     string
 }
 
-// String returns the fault in one line. Keys are not named, nor their hashes.
+// String returns the fault in one line, without the key or its hash.
 func (f Fault) String() string { return fmt.Sprintf("workspace %q: %s", f.Workspace, f.Cause) }
 
 // Index finds workspaces by key and by name. It is immutable.
@@ -77,10 +78,10 @@
 	byName map[string]*Workspace
 }
 
-// NewIndex returns the index of a list and what is wrong with it. What is wrong
-// disturbs nothing else: a workspace without a name or with one that is taken is left
-// out, and a key that two workspaces have is nobody's, since whose caller it names
-// can't be told.
+// NewIndex returns the index of a list, and the faults of the list. A fault affects no
+// other workspace: a workspace without a name, or with a name that is already used, is
+// left out, and a key of two workspaces belongs to none, since it does not identify the
+// workspace of a caller.
 func NewIndex(list []*Workspace) (*Index, []Fault) {
 	x := &Index{byKey: make(map[KeyHash]*Workspace, 2*len(list)), byName: make(map[string]*Workspace, len(list))}
 	var faults []Fault
@@ -89,7 +90,7 @@
 		case w.Name == "":
 			faults = append(faults, Fault{Cause: "it has no name"})
 		case x.byName[w.Name] != nil:
-			faults = append(faults, Fault{Workspace: w.Name, Other: w.Name, Cause: "the name stands twice"})
+			faults = append(faults, Fault{Workspace: w.Name, Other: w.Name, Cause: "the name is used twice"})
 		default:
 			x.byName[w.Name] = w
 			faults = append(faults, x.addKeys(w)...)
@@ -99,19 +100,20 @@
 	return x, faults
 }
 
-// addKeys adds the keys of a workspace. A key that is taken is left as nobody's.
+// addKeys adds the keys of a workspace. A key that another workspace has then belongs to
+// none: its entry stays as nil until NewIndex removes it.
 func (x *Index) addKeys(w *Workspace) []Fault {
 	var faults []Fault
 	for _, hash := range w.KeyHashes {
-		holder, taken := x.byKey[hash]
-		if !taken || holder == w {
+		owner, taken := x.byKey[hash]
+		if !taken || owner == w {
 			x.byKey[hash] = w
 			continue
 		}
 		x.byKey[hash] = nil
 		other := ""
-		if holder != nil {
-			other = holder.Name
+		if owner != nil {
+			other = owner.Name
 		}
 		faults = append(faults, Fault{Workspace: w.Name, Other: other, Key: &hash, Cause: "another workspace has one of its keys"})
 	}
@@ -121,7 +123,7 @@
 // ByKey returns the workspace that a key belongs to, or nil.
 func (x *Index) ByKey(key string) *Workspace { return x.byKey[HashKey(key)] }
 
-// ByName returns the workspace with a name, or nil.
+// ByName returns the workspace with the name, or nil.
 func (x *Index) ByName(name string) *Workspace { return x.byName[name] }
 
 // Names returns the names of all workspaces, sorted.
--- a/internal/version/workspace/workspace_test.go
+++ b/internal/version/workspace/workspace_test.go
@@ -17,9 +17,10 @@
 	return w
 }
 
-// TestFaultsDisturbNoOther: a name that is missing or stands twice leaves out one
-// workspace, and a key that two have is nobody's; the faults tell no key.
-func TestFaultsDisturbNoOther(t *testing.T) {
+// TestFaultsAffectNoOtherWorkspace: a name that is missing or used twice leaves out one
+// workspace, and a key of two workspaces belongs to none; the texts of the faults contain
+// no key.
+func TestFaultsAffectNoOtherWorkspace(t *testing.T) {
 	is := is.New(t)
 	x, faults := NewIndex([]*Workspace{named("a", "k1", "shared"), named("", "k2"), named("b", "shared", "k3"), named("b", "k4"), named("c", "shared", "k5", "k5")})
 	is.Equal(x.Names(), []string{"a", "b", "c"})
@@ -35,26 +36,26 @@
 	}
 }
 
-// TestKeysNameOneWorkspace: whatever the list, a key is found if exactly one
-// workspace of the index has it.
-func TestKeysNameOneWorkspace(t *testing.T) {
+// TestKeyBelongsToOneWorkspace: in any list, a key is found if exactly one workspace of
+// the index has it.
+func TestKeyBelongsToOneWorkspace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.SampledFrom([]string{"k1", "k2", "k3", "k4"})
-		holders := map[string]map[string]bool{}
+		owners := map[string]map[string]bool{}
 		var list []*Workspace
 		for i := range rapid.IntRange(0, 6).Draw(t, "workspaces") {
 			keys := rapid.SliceOfN(key, 0, 4).Draw(t, "keys")
 			name := fmt.Sprint("w", i)
 			list = append(list, named(name, keys...))
 			for _, k := range keys {
-				if holders[k] == nil {
-					holders[k] = map[string]bool{}
+				if owners[k] == nil {
+					owners[k] = map[string]bool{}
 				}
-				holders[k][name] = true
+				owners[k][name] = true
 			}
 		}
 		x, _ := NewIndex(list)
-		for k, names := range holders {
+		for k, names := range owners {
 			w := x.ByKey(k)
 			if (len(names) == 1) != (w != nil) || (w != nil && !names[w.Name]) {
 				t.Fatalf("key %s of %v names %v", k, names, w)
@@ -63,7 +64,7 @@
 	})
 }
 
-// listOf returns so many workspaces with two keys each.
+// listOf returns a list of count workspaces with two keys each.
 func listOf(count int) []*Workspace {
 	var list []*Workspace
 	for i := range count {
@@ -72,9 +73,9 @@
 	return list
 }
 
-// BenchmarkByKey is the look-up of a caller, for each request, and BenchmarkNewIndex
-// taking a version on, keys hashed, with as many workspaces as there are and as there
-// are to be.
+// BenchmarkByKey measures the lookup of a caller, which each request makes, and
+// BenchmarkNewIndex the indexing of a new version with hashed keys. 73 workspaces are in
+// use now, and 5700 are expected.
 func BenchmarkByKey(b *testing.B) {
 	for _, count := range []int{73, 5700} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -50,7 +50,7 @@
 mutant 3 internal/request/forward/forward.go 's/final == nil && Saturated\(err\)/final == nil \&\& Saturated(err) \&\& p.begun/' internal/request/forward TestRefusedRequestCountsWhileItWaits
 mutant 6 internal/request/choose/prefer.go 's/if key == 0 \{/if key < 1<<63 {/' internal/request/choose TestScatterSeparatesRequests
 mutant 6 internal/request/run/run.go 's/waitAfterLosses = 2/waitAfterLosses = 60/' internal/request/run TestLostLinksAwaitLoadReports
-mutant 10 internal/version/workspace/workspace.go 's/x\.byKey\[hash\] = nil/x.byKey[hash] = holder/' internal/version/workspace TestKeysNameOneWorkspace
+mutant 10 internal/version/workspace/workspace.go 's/x\.byKey\[hash\] = nil/x.byKey[hash] = owner/' internal/version/workspace TestKeyBelongsToOneWorkspace
 mutant 10 platform/workspaces.go 's/h\.Del\(headerAuthorization\)/h.Del(headerWorkspace)/' lab/hosted TestTargetsLearnTheWorkspace
 mutant 10 internal/request/job/record.go 's/if workspace == "" \{/if workspace != "never" {/' lab/hosted TestJobsBelongToTheirWorkspace
 mutant 10 internal/request/allowance/ledger.go 's/last\.sequence == req\.Sequence &&/last.sequence > req.Sequence \&\&/' internal/request/allowance TestBucketsKeepTheAllowance
