--- a/internal/version/discovery/discovery.go
+++ b/internal/version/discovery/discovery.go
@@ -29,7 +29,7 @@
 	mu                sync.Mutex
 	table             *choose.Table
 	records           map[string]Record
-	lapsed            map[string]Record     // removed from the list while it was uncertain
+	lapsed            map[string]Record     // removed from the list while it was uncertain, and still in the table
 	newestIncarnation map[string]uint64     // newest incarnation seen, by target; kept after the target is removed
 	attempts          map[string][]*attempt // running attempts, by target; they end when the target restarts
 	onOwnChange       func()                // called after each change of this node's counts in flight
@@ -212,8 +212,8 @@
 	return p.table.AllEvacuated(service)
 }
 
-// SetPosition sets this node's position among the nodes that send work, by which targets
-// in slow start take turns.
+// SetPosition sets this node's position among the nodes that send work: they take turns
+// at targets in slow start.
 func (p *Pool) SetPosition(position warmup.Position) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/version/follow/cache.go
+++ b/internal/version/follow/cache.go
@@ -81,7 +81,7 @@
 	Complete int64         // no change up to this revision is missing
 	Latest   int64         // revision of the newest change in the copy
 	Floor    int64         // deletions up to this revision may be missing
-	Age      time.Duration // since the newest store query that the copy contains the answer of
+	Age      time.Duration // since the newest store query whose answer the copy contains
 	QueryID  uint64        // identifies that query
 	Known    bool          // there was such a query
 }
@@ -248,8 +248,8 @@
 	return now.Sub(k.verified) > outageAge || now.Sub(k.outageEnd) < recoveryTime
 }
 
-// Age returns how long ago the copy is known to have contained all that the store held;
-// known is false when it never did.
+// Age returns the time since the copy was last known to contain all that the store held;
+// known is false if it never was.
 func (c *Cache) Age(name string) (age time.Duration, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/version/follow/refresh.go
+++ b/internal/version/follow/refresh.go
@@ -32,9 +32,8 @@
 
 const (
 	// maxRankDelay is how much longer each rank waits than the one above it before it
-	// queries the store. Within that time a datagram or two report that the node ranked
-	// above has an answer. Where MaxAge is small, the delay is the share rankDelayShare
-	// of it.
+	// queries the store: long enough for the datagram or two that report the answer of
+	// the node above. Where MaxAge is small, the delay is rankDelayShare of MaxAge.
 	maxRankDelay   = 250 * time.Millisecond
 	rankDelayShare = 0.36
 	// maxRank bounds the rank, and with it the delay of low-ranked nodes.
@@ -43,9 +42,9 @@
 	// hangs must not use up the time within which a change has to be in force.
 	listTimeout = time.Second
 	// minRetryDelay is the mean delay after a failed query. It doubles up to
-	// maxRetryDelay, and is multiplied by the node's rank plus one: refused calls count
-	// against the call budget like others, and the first node that gets an answer reports
-	// it to the other nodes within a fraction of a second.
+	// maxRetryDelay, and is multiplied by the node's rank plus one: refused calls are
+	// charged like others, and the first node that gets an answer reports it to the other
+	// nodes within a fraction of a second.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = time.Second
 )
