--- a/lab/model/clock.go
+++ b/lab/model/clock.go
@@ -7,26 +7,26 @@
 
 // clock runs functions in the order of their virtual time.
 type clock struct {
-	now   time.Duration
-	queue events
-	count int
+	now       time.Duration
+	queue     eventQueue
+	scheduled int
 }
 
 type event struct {
-	at    time.Duration
-	order int // of two at one time the first that was set runs first
-	f     func()
+	at       time.Duration
+	sequence int // of two at one time the first that was set runs first
+	run      func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || (e[i].at == e[j].at && e[i].order < e[j].order)
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
+	return e[i].at < e[j].at || (e[i].at == e[j].at && e[i].sequence < e[j].sequence)
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
@@ -34,8 +34,8 @@
 
 // after runs f once the time has passed.
 func (c *clock) after(d time.Duration, f func()) {
-	c.count++
-	heap.Push(&c.queue, event{c.now + max(0, d), c.count, f})
+	c.scheduled++
+	heap.Push(&c.queue, event{c.now + max(0, d), c.scheduled, f})
 }
 
 // every runs f at each interval.
@@ -51,12 +51,12 @@
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		next := heap.Pop(&c.queue).(event)
 		c.now = next.at
-		next.f()
+		next.run()
 	}
 	c.now = end
 }
 
-// epoch is the wall clock at virtual time 0.
-var epoch = time.Unix(1_700_000_000, 0)
+// startTime is the wall clock at virtual time 0.
+var startTime = time.Unix(1_700_000_000, 0)
 
-func (c *clock) wall() time.Time { return epoch.Add(c.now) }
+func (c *clock) wallTime() time.Time { return startTime.Add(c.now) }
--- a/lab/model/engine.go
+++ b/lab/model/engine.go
@@ -25,56 +25,58 @@
 var PublishedEngine = EngineParams{Slots: 8, StepTime: 4100 * time.Microsecond, StepTimePerRequest: 9 * time.Microsecond,
 	TokensPerEvent: 6, PromptTokensPerMS: 51.6, PromptTokensPerStep: 1024, MemoryTokens: 103133}
 
-// run is one attempt of a request or an item at an engine.
-type run struct {
-	prefix string                  // shared part of the prompt
-	shared int                     // tokens of it
-	prompt int                     // tokens of the whole prompt and of the output that is held
-	events int                     // still to make
-	unread int                     // prompt tokens still to read
-	event  func(now time.Duration) // told each event
-	end    func(now time.Duration) // told when it is whole
-	gone   bool                    // the sender ended it
+// engineCall is one attempt of a request or an item at an engine.
+type engineCall struct {
+	prefix       string                  // shared part of the prompt
+	prefixTokens int                     // tokens of it
+	promptTokens int                     // tokens of the whole prompt and of the output that is held
+	eventsLeft   int                     // still to make
+	unreadTokens int                     // prompt tokens still to read
+	onEvent      func(now time.Duration) // told each event
+	onEnd        func(now time.Duration) // told when it is whole
+	ended        bool                    // the sender ended it
 }
 
-func (r *run) tokens(f *EngineParams) int { return r.prompt + r.events*f.TokensPerEvent }
+func (c *engineCall) tokens(p *EngineParams) int {
+	return c.promptTokens + c.eventsLeft*p.TokensPerEvent
+}
 
 // engine is one target.
 type engine struct {
-	f       *EngineParams
-	clock   *clock
-	slow    float64 // factor on the time of a step
-	running []*run
-	waiting []*run
-	kept    []string       // prefixes, least recently used first
-	sizes   map[string]int // tokens of the kept prefixes
-	busy    bool           // a step is under way
-	down    bool
-
-	promptTokens, sharedAgain int // read in all, and of shared parts more than once
-	seen                      map[string]bool
+	params         *EngineParams
+	clock          *clock
+	slowdown       float64 // factor on the time of a step
+	running        []*engineCall
+	waiting        []*engineCall
+	cachedPrefixes []string       // prefixes, least recently used first
+	prefixSizes    map[string]int // tokens of the kept prefixes
+	stepping       bool           // a step is under way
+	down           bool
+
+	readTokens, rereadPrefixTokens int // read in all, and of shared parts more than once
+	seenPrefixes                   map[string]bool
 }
 
-func newEngine(f *EngineParams, c *clock) *engine {
-	return &engine{f: f, clock: c, slow: 1, sizes: map[string]int{}, seen: map[string]bool{}}
+func newEngine(p *EngineParams, c *clock) *engine {
+	return &engine{params: p, clock: c, slowdown: 1, prefixSizes: map[string]int{}, seenPrefixes: map[string]bool{}}
 }
 
-// add takes a run; end drops one.
-func (e *engine) add(r *run) {
-	e.waiting = append(e.waiting, r)
-	e.wake()
+// enqueue takes a run; end drops one.
+func (e *engine) enqueue(c *engineCall) {
+	e.waiting = append(e.waiting, c)
+	e.scheduleStep()
 }
 
-func (e *engine) drop(r *run) {
-	r.gone = true
-	e.waiting = slices.DeleteFunc(e.waiting, func(o *run) bool { return o == r })
-	e.running = slices.DeleteFunc(e.running, func(o *run) bool { return o == r })
-	e.wake()
+func (e *engine) remove(c *engineCall) {
+	c.ended = true
+	e.waiting = slices.DeleteFunc(e.waiting, func(o *engineCall) bool { return o == c })
+	e.running = slices.DeleteFunc(e.running, func(o *engineCall) bool { return o == c })
+	e.scheduleStep()
 }
 
-func (e *engine) wake() {
-	if !e.busy && !e.down && len(e.running)+len(e.waiting) > 0 {
-		e.busy = true
+func (e *engine) scheduleStep() {
+	if !e.stepping && !e.down && len(e.running)+len(e.waiting) > 0 {
+		e.stepping = true
 		e.clock.after(0, e.step)
 	}
 }
@@ -82,7 +84,7 @@
 // step admits what there is room for, reads prompts, and gives the running
 // requests whose prompt is read an event.
 func (e *engine) step() {
-	e.busy = false
+	e.stepping = false
 	if e.down {
 		return
 	}
@@ -90,104 +92,106 @@
 	if len(e.running) == 0 {
 		return
 	}
-	read := e.read()
-	steps := time.Duration(e.f.TokensPerEvent) * (e.f.StepTime + time.Duration(len(e.running)-1)*e.f.StepTimePerRequest)
-	took := time.Duration(e.slow * float64(steps+time.Duration(float64(read)/e.f.PromptTokensPerMS*float64(time.Millisecond))))
-	made := slices.Clone(e.running)
-	e.busy = true
-	e.clock.after(took, func() {
-		e.busy = false
-		for _, r := range made {
-			e.made(r)
+	read := e.readPrompts()
+	decodeTime := time.Duration(e.params.TokensPerEvent) * (e.params.StepTime + time.Duration(len(e.running)-1)*e.params.StepTimePerRequest)
+	duration := time.Duration(e.slowdown * float64(decodeTime+time.Duration(float64(read)/e.params.PromptTokensPerMS*float64(time.Millisecond))))
+	batch := slices.Clone(e.running)
+	e.stepping = true
+	e.clock.after(duration, func() {
+		e.stepping = false
+		for _, c := range batch {
+			e.emit(c)
 		}
-		e.wake()
+		e.scheduleStep()
 	})
 }
 
-func (e *engine) made(r *run) {
-	if r.gone || e.down || r.unread > 0 {
+func (e *engine) emit(c *engineCall) {
+	if c.ended || e.down || c.unreadTokens > 0 {
 		return
 	}
-	r.events--
-	r.prompt += e.f.TokensPerEvent
-	r.event(e.clock.now)
-	if r.events <= 0 {
-		e.drop(r)
-		r.end(e.clock.now)
+	c.eventsLeft--
+	c.promptTokens += e.params.TokensPerEvent
+	c.onEvent(e.clock.now)
+	if c.eventsLeft <= 0 {
+		e.remove(c)
+		c.onEnd(e.clock.now)
 	}
 }
 
 // admit starts waiting requests in order of arrival. One that has started keeps
 // its slot unless memory runs out.
 func (e *engine) admit() {
-	for len(e.waiting) > 0 && len(e.running) < e.f.Slots && e.fits(e.waiting[0]) {
-		r := e.waiting[0]
+	for len(e.waiting) > 0 && len(e.running) < e.params.Slots && e.fits(e.waiting[0]) {
+		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		r.unread = r.prompt - e.touch(r)
-		e.running = append(e.running, r)
+		next.unreadTokens = next.promptTokens - e.usePrefix(next)
+		e.running = append(e.running, next)
 	}
-	for len(e.running) > 1 && e.used() > e.f.MemoryTokens {
-		newest := e.running[len(e.running)-1]
+	for len(e.running) > 1 && e.runningTokens() > e.params.MemoryTokens {
+		latest := e.running[len(e.running)-1]
 		e.running = e.running[:len(e.running)-1]
-		e.waiting = append([]*run{newest}, e.waiting...)
+		e.waiting = append([]*engineCall{latest}, e.waiting...)
 	}
 }
 
-func (e *engine) fits(r *run) bool { return e.used()+r.tokens(e.f) <= e.f.MemoryTokens }
+func (e *engine) fits(c *engineCall) bool {
+	return e.runningTokens()+c.tokens(e.params) <= e.params.MemoryTokens
+}
 
-func (e *engine) used() int {
+func (e *engine) runningTokens() int {
 	total := 0
-	for _, r := range e.running {
-		total += r.prompt
+	for _, c := range e.running {
+		total += c.promptTokens
 	}
 	return total
 }
 
-// touch returns how many tokens of a prompt are kept, and keeps its shared part.
-func (e *engine) touch(r *run) int {
-	if r.prefix == "" {
+// usePrefix returns how many tokens of a prompt are kept, and keeps its shared part.
+func (e *engine) usePrefix(c *engineCall) int {
+	if c.prefix == "" {
 		return 0
 	}
-	held := e.sizes[r.prefix]
-	e.kept = append(slices.DeleteFunc(e.kept, func(p string) bool { return p == r.prefix }), r.prefix)
-	e.sizes[r.prefix] = r.shared
-	if held == 0 && e.seen[r.prefix] {
-		e.sharedAgain += r.shared
+	cached := e.prefixSizes[c.prefix]
+	e.cachedPrefixes = append(slices.DeleteFunc(e.cachedPrefixes, func(p string) bool { return p == c.prefix }), c.prefix)
+	e.prefixSizes[c.prefix] = c.prefixTokens
+	if cached == 0 && e.seenPrefixes[c.prefix] {
+		e.rereadPrefixTokens += c.prefixTokens
 	}
-	e.seen[r.prefix] = true
-	for total := e.keptTokens(); total+e.used() > e.f.MemoryTokens && len(e.kept) > 1; total = e.keptTokens() {
-		delete(e.sizes, e.kept[0])
-		e.kept = e.kept[1:]
+	e.seenPrefixes[c.prefix] = true
+	for total := e.cachedTokens(); total+e.runningTokens() > e.params.MemoryTokens && len(e.cachedPrefixes) > 1; total = e.cachedTokens() {
+		delete(e.prefixSizes, e.cachedPrefixes[0])
+		e.cachedPrefixes = e.cachedPrefixes[1:]
 	}
-	return held
+	return cached
 }
 
-func (e *engine) keptTokens() int {
+func (e *engine) cachedTokens() int {
 	total := 0
-	for _, n := range e.sizes {
+	for _, n := range e.prefixSizes {
 		total += n
 	}
 	return total
 }
 
-// read reads prompt tokens of the running requests, up to a step's worth.
-func (e *engine) read() int {
-	left := e.f.PromptTokensPerStep * e.f.TokensPerEvent
-	for _, r := range e.running {
-		n := min(left, r.unread)
-		r.unread -= n
+// readPrompts reads prompt tokens of the running requests, up to a step's worth.
+func (e *engine) readPrompts() int {
+	left := e.params.PromptTokensPerStep * e.params.TokensPerEvent
+	for _, c := range e.running {
+		n := min(left, c.unreadTokens)
+		c.unreadTokens -= n
 		left -= n
 	}
-	read := e.f.PromptTokensPerStep*e.f.TokensPerEvent - left
-	e.promptTokens += read
+	read := e.params.PromptTokensPerStep*e.params.TokensPerEvent - left
+	e.readTokens += read
 	return read
 }
 
 // fail takes the engine down; what it had is lost without a word.
 func (e *engine) fail() {
 	e.down = true
-	for _, r := range append(e.running, e.waiting...) {
-		r.gone = true
+	for _, c := range append(e.running, e.waiting...) {
+		c.ended = true
 	}
 	e.running, e.waiting = nil, nil
 }
--- a/lab/model/fleet.go
+++ b/lab/model/fleet.go
@@ -44,11 +44,11 @@
 var Variants = []Variant{{Name: "product"}, {Name: "two slots kept free", MinReserve: 2}, {Name: "no word to holders", NoHolderNotices: true}, {Name: "one group", OneGroup: true}}
 
 const (
-	sharedTokens = 200 // of an online prompt, with other requests
-	ownTokens    = 250
-	itemTokens   = 350
-	prefixes     = 40 // different shared parts
-	jobItems     = 10
+	prefixTokens   = 200 // of an online prompt, with other requests
+	questionTokens = 250
+	itemTokens     = 350
+	prefixCount    = 40 // different shared parts
+	jobItems       = 10
 	// lengthSpread is the deviation of a length from its mean, as a share.
 	lengthSpread = 0.25
 )
@@ -56,46 +56,46 @@
 // fleet is one play.
 type fleet struct {
 	Deployment
-	load    Load
-	variant Variant
-	clock   clock
-	draw    *rand.Rand
-	engines map[string]*engine
-	centres map[string]string // of targets
-	list    []choose.Target
-	nodes   []*node
-	byName  map[string]*node
-	cut     string // data centre that is cut off
-	jobs    int
-	result  Result
+	load              Load
+	variant           Variant
+	clock             clock
+	rng               *rand.Rand
+	engines           map[string]*engine
+	targetDataCentres map[string]string // of targets
+	targets           []choose.Target
+	nodes             []*node
+	nodesByName       map[string]*node
+	isolated          string // data centre that is cut off
+	jobCount          int
+	result            Result
 }
 
 // Run plays a load and returns what came of it.
 func Run(d Deployment, load Load, v Variant, seed uint64) Result {
-	f := &fleet{Deployment: d, load: load, variant: v, draw: rand.New(rand.NewPCG(seed, seed)), engines: map[string]*engine{}, centres: map[string]string{}, byName: map[string]*node{}}
+	f := &fleet{Deployment: d, load: load, variant: v, rng: rand.New(rand.NewPCG(seed, seed)), engines: map[string]*engine{}, targetDataCentres: map[string]string{}, nodesByName: map[string]*node{}}
 	f.build(seed)
-	f.arrivals()
+	f.scheduleArrivals()
 	for _, fault := range load.Faults {
-		f.clock.after(fault.At, func() { f.strike(fault) })
+		f.clock.after(fault.At, func() { f.inject(fault) })
 	}
-	f.clock.every(sampleEvery, f.sample)
+	f.clock.every(sampleInterval, f.sample)
 	f.clock.run(load.Length + d.CompleteWithin)
-	return f.finish()
+	return f.summarize()
 }
 
 func (f *fleet) build(seed uint64) {
 	for c := range f.DataCentres {
-		centre := centreName(c)
+		dataCentre := dataCentreName(c)
 		for t := range f.TargetsPerDataCentre {
 			id := fmt.Sprintf("t%d-%d", c, t)
-			f.list = append(f.list, choose.Target{ID: id, Incarnation: 1, Service: service, DataCentre: centre, Slots: f.Engine.Slots})
+			f.targets = append(f.targets, choose.Target{ID: id, Incarnation: 1, Service: serviceName, DataCentre: dataCentre, Slots: f.Engine.Slots})
 			f.engines[id] = newEngine(&f.Engine, &f.clock)
-			f.centres[id] = centre
+			f.targetDataCentres[id] = dataCentre
 		}
 		for n := range f.NodesPerDataCentre {
-			made := newNode(f, nodeName(c, n), centre, seed+uint64(100*c+n))
-			f.nodes = append(f.nodes, made)
-			f.byName[made.name] = made
+			created := newNode(f, nodeName(c, n), dataCentre, seed+uint64(100*c+n))
+			f.nodes = append(f.nodes, created)
+			f.nodesByName[created.name] = created
 		}
 	}
 	for _, n := range f.nodes {
@@ -103,15 +103,15 @@
 	}
 }
 
-func centreName(c int) string { return fmt.Sprint("dc", c) }
+func dataCentreName(c int) string { return fmt.Sprint("dc", c) }
 
 func nodeName(c, n int) string { return fmt.Sprintf("n%d-%d", c, n) }
 
-// all returns the nodes named.
-func (f *fleet) all(names []string) []*node {
+// nodesByNames returns the nodes named.
+func (f *fleet) nodesByNames(names []string) []*node {
 	var out []*node
 	for _, name := range names {
-		out = append(out, f.byName[name])
+		out = append(out, f.nodesByName[name])
 	}
 	return out
 }
@@ -122,17 +122,17 @@
 	return time.Duration(events*e.TokensPerEvent)*e.StepTime + time.Duration(float64(prompt)/e.PromptTokensPerMS*float64(time.Millisecond))
 }
 
-// arrivals draws online requests and jobs as Poisson processes.
-func (f *fleet) arrivals() {
+// scheduleArrivals draws online requests and jobs as Poisson processes.
+func (f *fleet) scheduleArrivals() {
 	slots := float64(f.DataCentres * f.TargetsPerDataCentre * f.Engine.Slots)
-	online := slots / f.slotTime(f.OnlineEvents, sharedTokens+ownTokens).Seconds()
+	online := slots / f.slotTime(f.OnlineEvents, prefixTokens+questionTokens).Seconds()
 	jobs := f.load.BatchShare * slots / f.slotTime(f.ItemEvents, itemTokens).Seconds() / jobItems
-	f.poisson(func() float64 { return online * f.load.OnlineShare(f.clock.now) }, f.request)
-	f.poisson(func() float64 { return jobs }, f.job)
+	f.schedulePoisson(func() float64 { return online * f.load.OnlineShare(f.clock.now) }, f.startRequest)
+	f.schedulePoisson(func() float64 { return jobs }, f.startJob)
 	for _, at := range f.load.JobBurstsAt {
 		f.clock.after(at, func() {
 			for range 10 {
-				f.job()
+				f.startJob()
 			}
 		})
 	}
@@ -141,29 +141,29 @@
 // arrivalTick is the time between draws of arrivals.
 const arrivalTick = time.Millisecond
 
-func (f *fleet) poisson(perSecond func() float64, arrive func()) {
+func (f *fleet) schedulePoisson(perSecond func() float64, arrive func()) {
 	f.clock.every(arrivalTick, func() {
-		if f.draw.Float64() < perSecond()*arrivalTick.Seconds() {
+		if f.rng.Float64() < perSecond()*arrivalTick.Seconds() {
 			arrive()
 		}
 	})
 }
 
-func (f *fleet) length(mean int) int {
-	return max(1, int(float64(mean)*(1+lengthSpread*f.draw.NormFloat64())))
+func (f *fleet) drawLength(mean int) int {
+	return max(1, int(float64(mean)*(1+lengthSpread*f.rng.NormFloat64())))
 }
 
-// node draws one that takes callers.
-func (f *fleet) node() *node {
-	n := f.nodes[f.draw.IntN(len(f.nodes))]
+// randomNode draws one that takes callers.
+func (f *fleet) randomNode() *node {
+	n := f.nodes[f.rng.IntN(len(f.nodes))]
 	if n.down {
 		return nil
 	}
 	return n
 }
 
-// reaches reports whether two data centres reach each other.
-func (f *fleet) reaches(a, b string) bool { return a == b || (a != f.cut && b != f.cut) }
+// reachable reports whether two data centres reach each other.
+func (f *fleet) reachable(a, b string) bool { return a == b || (a != f.isolated && b != f.isolated) }
 
 func (f *fleet) delay(a, b string) time.Duration {
 	if a == b {
@@ -172,35 +172,35 @@
 	return f.RemoteDelay
 }
 
-// unlistedAfter is when nodes hear that a target is gone: three heartbeats of a
+// delistDelay is when nodes hear that a target is gone: three heartbeats of a
 // third of a second.
-const unlistedAfter = time.Second
+const delistDelay = time.Second
 
-func (f *fleet) strike(fault Fault) {
-	struck := f.list[:int(fault.Share*float64(len(f.list)))]
+func (f *fleet) inject(fault Fault) {
+	affected := f.targets[:int(fault.Share*float64(len(f.targets)))]
 	switch fault.Kind {
 	case TargetsLost:
-		for _, t := range struck {
+		for _, t := range affected {
 			f.engines[t.ID].fail()
 		}
-		f.clock.after(unlistedAfter, func() {
-			f.list = f.list[len(struck):]
+		f.clock.after(delistDelay, func() {
+			f.targets = f.targets[len(affected):]
 			for _, n := range f.nodes {
-				n.table.SetTargets(f.list)
+				n.table.SetTargets(f.targets)
 			}
 		})
 	case TargetsSlow:
-		for _, t := range struck {
-			f.engines[t.ID].slow = fault.Factor
+		for _, t := range affected {
+			f.engines[t.ID].slowdown = fault.Factor
 		}
 		f.clock.after(fault.For, func() {
-			for _, t := range struck {
-				f.engines[t.ID].slow = 1
+			for _, t := range affected {
+				f.engines[t.ID].slowdown = 1
 			}
 		})
 	case DataCentreIsolated:
-		f.cut = centreName(fault.DataCentre)
-		f.clock.after(fault.For, func() { f.cut = "" })
+		f.isolated = dataCentreName(fault.DataCentre)
+		f.clock.after(fault.For, func() { f.isolated = "" })
 	case AllNodesRestart:
 		for _, n := range f.nodes {
 			n.stop()
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// others returns deployments that differ from Small in one thing each.
-func others() map[string]Deployment {
+// deployments returns deployments that differ from Small in one thing each.
+func deployments() map[string]Deployment {
 	out := map[string]Deployment{"small": Small}
 	vary := func(name string, change func(*Deployment)) {
 		d := Small
@@ -27,10 +27,10 @@
 // with two slots kept free: what two plays of one policy differ by.
 const onlineLoss = 0.006
 
-// seeds is how many plays of each policy are compared. The items in time of two
+// runsPerPolicy is how many plays of each policy are compared. The items in time of two
 // plays ranged from 436 to 487 in sum with nothing but the order of datagrams
 // changed, which is more than the two policies differ by.
-const seeds = 6
+const runsPerPolicy = 6
 
 // TestRoomByArrivals: online traffic in steps beside batch work that fills what it
 // leaves, the pattern of the users' heaviest days. Slots reserved by arrivals and
@@ -43,14 +43,14 @@
 		t.Fatal(err)
 	}
 	load.Length, load.BatchShare = 30*time.Second, 0.5 // more than there is room for
-	for name, d := range others() {
+	for name, d := range deployments() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			items, itemsBefore, online, onlineBefore := 0, 0, 0.0, 0.0
-			for seed := uint64(1); seed <= seeds; seed++ {
+			for seed := uint64(1); seed <= runsPerPolicy; seed++ {
 				after, before := Run(d, load, Variants[0], seed), Run(d, load, Variants[1], seed)
 				items, itemsBefore = items+after.Items.InTime, itemsBefore+before.Items.InTime
-				online, onlineBefore = online+after.Online.InTimeShare()/seeds, onlineBefore+before.Online.InTimeShare()/seeds
+				online, onlineBefore = online+after.Online.InTimeShare()/runsPerPolicy, onlineBefore+before.Online.InTimeShare()/runsPerPolicy
 			}
 			t.Logf("items in time %d, with two slots kept free %d; online in aim %.4f and %.4f", items, itemsBefore, online, onlineBefore)
 			if items <= itemsBefore {
@@ -81,23 +81,23 @@
 	f := EngineParams{Slots: 2, StepTime: 10 * time.Millisecond, TokensPerEvent: 1, PromptTokensPerMS: 10, PromptTokensPerStep: 1000, MemoryTokens: 1000}
 	e := newEngine(&f, &c)
 	var order []int
-	add := func(id, prompt, events int, prefix string) *run {
-		r := &run{prompt: prompt, events: events, prefix: prefix, shared: prompt, event: func(time.Duration) {}, end: func(time.Duration) { order = append(order, id) }}
-		e.add(r)
-		return r
+	add := func(id, prompt, events int, prefix string) *engineCall {
+		call := &engineCall{promptTokens: prompt, eventsLeft: events, prefix: prefix, prefixTokens: prompt, onEvent: func(time.Duration) {}, onEnd: func(time.Duration) { order = append(order, id) }}
+		e.enqueue(call)
+		return call
 	}
 	add(1, 100, 3, "p")
 	add(2, 100, 5, "p")
 	add(3, 100, 1, "")
 	c.run(35 * time.Millisecond) // two steps of 10 ms and a prompt of 100 tokens
 	is.Equal(order, []int(nil))
-	is.Equal(e.promptTokens, 100) // the second one found it kept
+	is.Equal(e.readTokens, 100) // the second one found it kept
 	c.run(time.Second)
 	is.Equal(order, []int{1, 3, 2})
 	add(4, 100, 50, "")
-	gone := add(5, 100, 50, "")
+	cancelled := add(5, 100, 50, "")
 	c.run(c.now + 100*time.Millisecond)
-	e.drop(gone)
+	e.remove(cancelled)
 	c.run(c.now + time.Second)
 	is.Equal(order, []int{1, 3, 2, 4})
 	add(6, 480, 60, "")
--- a/lab/model/news.go
+++ b/lab/model/news.go
@@ -9,83 +9,83 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// news is what a node tells others and hears of them, as package beacon does.
-type news struct {
-	view    *beacon.View
-	claims  map[string]int          // demand of the other nodes of the own group
-	groups  map[string]int          // of the other groups of the own data centre
-	centres map[string]choose.Claim // of other data centres
-	pending bool                    // a round is on its way
-	told    time.Duration           // when the newest round was, and next when the pace allows another
-	next    time.Duration
-}
-
-func newNews(n *node) news {
+// peerState is what a node tells others and hears of them, as package beacon does.
+type peerState struct {
+	view             *beacon.View
+	nodeDemand       map[string]int          // demand of the other nodes of the own group
+	groupDemand      map[string]int          // of the other groups of the own data centre
+	dataCentreClaims map[string]choose.Claim // of other data centres
+	roundPending     bool                    // a round is on its way
+	lastRound        time.Duration           // when the newest round was, and next when the pace allows another
+	nextRound        time.Duration
+}
+
+func newPeerState(n *node) peerState {
 	var peers []beacon.Peer
-	for c := range n.f.DataCentres {
-		for i := range n.f.NodesPerDataCentre {
+	for c := range n.fleet.DataCentres {
+		for i := range n.fleet.NodesPerDataCentre {
 			if name := nodeName(c, i); name != n.name {
-				peers = append(peers, beacon.Peer{Node: name, DataCentre: centreName(c), Callers: true})
+				peers = append(peers, beacon.Peer{Node: name, DataCentre: dataCentreName(c), Callers: true})
 			}
 		}
 	}
-	view := beacon.NewView(n.name, n.centre, peers)
-	if n.f.variant.OneGroup {
-		view = beacon.NewViewWithGroups(n.name, n.centre, peers, 1)
+	view := beacon.NewView(n.name, n.dataCentre, peers)
+	if n.fleet.variant.OneGroup {
+		view = beacon.NewViewWithGroups(n.name, n.dataCentre, peers, 1)
 	}
-	return news{view: view, claims: map[string]int{}, groups: map[string]int{}, centres: map[string]choose.Claim{}}
+	return peerState{view: view, nodeDemand: map[string]int{}, groupDemand: map[string]int{}, dataCentreClaims: map[string]choose.Claim{}}
 }
 
 // ownLoadChanged makes room and has the change told.
 func (n *node) ownLoadChanged() {
-	n.touch()
+	n.requestRound()
 	n.othersLoadChanged()
 }
 
 // othersLoadChanged makes room.
 func (n *node) othersLoadChanged() {
-	excess := n.table.Excess(n.f.clock.wall())
+	excess := n.table.Excess(n.fleet.clock.wallTime())
 	for _, id := range slices.Sorted(maps.Keys(excess)) {
-		n.yield(id, excess[id])
+		n.yieldItems(id, excess[id])
 	}
 }
 
-// touch has a round sent as soon as the pace allows.
-func (n *node) touch() {
-	if n.pending {
+// requestRound has a round sent as soon as the pace allows.
+func (n *node) requestRound() {
+	if n.roundPending {
 		return
 	}
-	n.pending = true
-	life := n.life
-	n.f.clock.after(n.next-n.f.clock.now, func() {
-		if n.life == life && !n.down {
-			n.round()
+	n.roundPending = true
+	incarnation := n.incarnation
+	n.fleet.clock.after(n.nextRound-n.fleet.clock.now, func() {
+		if n.incarnation == incarnation && !n.down {
+			n.sendRound()
 		}
 	})
 }
 
-// remind has a round sent when there was none for long.
-func (n *node) remind() {
-	if !n.down && n.f.clock.now-n.told >= nearInterval {
-		n.touch()
+// requestRoundIfDue has a round sent when there was none for long.
+func (n *node) requestRoundIfDue() {
+	if !n.down && n.fleet.clock.now-n.lastRound >= nearInterval {
+		n.requestRound()
 	}
 }
 
-// round tells the own data centre.
-func (n *node) round() {
-	members := n.named(n.view.Members())
-	listeners := n.named(n.view.GroupReportReceivers(n.membersUp(), n.f.draw.Float64))
-	n.pending, n.told = false, n.f.clock.now
-	n.next = n.told + beacon.MinRoundInterval(len(members)+len(listeners))
-	n.send(members, n.ofNode())
-	n.send(listeners, n.ofGroup())
+// sendRound tells the own data centre.
+func (n *node) sendRound() {
+	members := n.nodesOf(n.view.Members())
+	receivers := n.nodesOf(n.view.GroupReportReceivers(n.runningMembers(), n.fleet.rng.Float64))
+	n.roundPending, n.lastRound = false, n.fleet.clock.now
+	n.nextRound = n.lastRound + beacon.MinRoundInterval(len(members)+len(receivers))
+	n.send(members, n.nodeReport())
+	n.send(receivers, n.groupReport())
 }
 
-// membersUp returns the other nodes of the own group that run. That a node which
+// runningMembers returns the other nodes of the own group that run. That a node which
 // does not is heard for a second more is not modelled.
-func (n *node) membersUp() []string {
+func (n *node) runningMembers() []string {
 	var out []string
-	for _, o := range n.named(n.view.Members()) {
+	for _, o := range n.nodesOf(n.view.Members()) {
 		if !o.down {
 			out = append(out, o.name)
 		}
@@ -93,47 +93,47 @@
 	return out
 }
 
-func (n *node) named(peers []beacon.Peer) []*node {
+func (n *node) nodesOf(peers []beacon.Peer) []*node {
 	out := make([]*node, 0, len(peers))
 	for _, p := range peers {
-		out = append(out, n.f.byName[p.Node])
+		out = append(out, n.fleet.nodesByName[p.Node])
 	}
 	return out
 }
 
-func (n *node) tellFar() {
+func (n *node) reportToOtherDataCentres() {
 	if n.down {
 		return
 	}
-	var far []*node
-	for _, o := range n.f.nodes {
-		if o.centre != n.centre {
-			far = append(far, o)
+	var others []*node
+	for _, o := range n.fleet.nodes {
+		if o.dataCentre != n.dataCentre {
+			others = append(others, o)
 		}
 	}
-	n.f.draw.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	n.send(far[:min(farFanout, len(far))], n.ofCentre())
+	n.fleet.rng.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
+	n.send(others[:min(farFanout, len(others))], n.dataCentreReport())
 }
 
-// tellHolders lets those with items at a target hear at once: nodes of the own
+// notifyHolders lets those with items at a target hear at once: nodes of the own
 // group, and through one node each the other groups and data centres.
-func (n *node) tellHolders(h choose.Holders) {
-	if n.f.variant.NoHolderNotices {
+func (n *node) notifyHolders(h choose.Holders) {
+	if n.fleet.variant.NoHolderNotices {
 		return
 	}
-	n.send(n.f.all(h.Nodes), n.ofNode())
+	n.send(n.fleet.nodesByNames(h.Nodes), n.nodeReport())
 	for _, group := range h.Groups {
-		n.send(n.one(func(o *node) bool { return o.centre == n.centre && o.view.Group() == group }), n.ofGroup())
+		n.send(n.randomRunningNode(func(o *node) bool { return o.dataCentre == n.dataCentre && o.view.Group() == group }), n.groupReport())
 	}
-	for _, centre := range h.DataCentres {
-		n.send(n.one(func(o *node) bool { return o.centre == centre }), n.ofCentre())
+	for _, dataCentre := range h.DataCentres {
+		n.send(n.randomRunningNode(func(o *node) bool { return o.dataCentre == dataCentre }), n.dataCentreReport())
 	}
 }
 
-// one returns one of the nodes that run and are wanted.
-func (n *node) one(wanted func(*node) bool) []*node {
+// randomRunningNode returns randomRunningNode of the nodes that run and are wanted.
+func (n *node) randomRunningNode(wanted func(*node) bool) []*node {
 	var out []*node
-	for _, o := range n.f.nodes {
+	for _, o := range n.fleet.nodes {
 		if !o.down && wanted(o) {
 			out = append(out, o)
 		}
@@ -141,69 +141,69 @@
 	if len(out) == 0 {
 		return nil
 	}
-	i := n.f.draw.IntN(len(out))
+	i := n.fleet.rng.IntN(len(out))
 	return out[i : i+1]
 }
 
-// word is one datagram.
-type word func(o *node)
+// report is one datagram.
+type report func(o *node)
 
 // send brings a word to nodes.
-func (n *node) send(to []*node, w word) {
-	n.f.result.Datagrams += len(to)
+func (n *node) send(to []*node, r report) {
+	n.fleet.result.Datagrams += len(to)
 	for _, o := range to {
-		n.f.clock.after(n.f.delay(n.centre, o.centre), func() {
-			if !o.down && !n.down && n.f.reaches(n.centre, o.centre) {
-				w(o)
+		n.fleet.clock.after(n.fleet.delay(n.dataCentre, o.dataCentre), func() {
+			if !o.down && !n.down && n.fleet.reachable(n.dataCentre, o.dataCentre) {
+				r(o)
 			}
 		})
 	}
 }
 
-func (n *node) ofNode() word {
-	own, demand := n.table.OwnInFlight(), n.demand()
+func (n *node) nodeReport() report {
+	own, demand := n.table.OwnInFlight(), n.openItems()
 	return func(o *node) {
-		o.claims[n.name] = demand
+		o.nodeDemand[n.name] = demand
 		if o.table.SetNode(n.name, own) {
 			o.othersLoadChanged()
 			if o.view.Groups() > 1 {
-				o.touch()
+				o.requestRound()
 			}
 		}
 	}
 }
 
-func (n *node) ofGroup() word {
-	counts, group, members, demand := n.table.GroupInFlight(), n.view.Group(), 1+len(n.view.Members()), sum(n.nodeClaims())
+func (n *node) groupReport() report {
+	counts, group, members, demand := n.table.GroupInFlight(), n.view.Group(), 1+len(n.view.Members()), sum(n.demandOfNodes())
 	return func(o *node) {
-		o.groups[group] = demand
+		o.groupDemand[group] = demand
 		if o.table.SetGroup(group, members, counts) {
 			o.othersLoadChanged()
 		}
 	}
 }
 
-func (n *node) ofCentre() word {
-	counts, claim := n.table.DataCentreInFlight(), n.claim()
+func (n *node) dataCentreReport() report {
+	counts, claim := n.table.DataCentreInFlight(), n.dataCentreClaim()
 	return func(o *node) {
-		o.centres[n.centre] = claim
-		if o.table.SetDataCentre(n.centre, counts) {
+		o.dataCentreClaims[n.dataCentre] = claim
+		if o.table.SetDataCentre(n.dataCentre, counts) {
 			o.othersLoadChanged()
 		}
 	}
 }
 
-// nodeClaims returns the demand of each node of the own group, groupClaims that of
+// demandOfNodes returns the demand of each node of the own group, groupClaims that of
 // each group of the own data centre.
-func (n *node) nodeClaims() map[string]int {
-	out := maps.Clone(n.claims)
-	out[n.name] = n.demand()
+func (n *node) demandOfNodes() map[string]int {
+	out := maps.Clone(n.nodeDemand)
+	out[n.name] = n.openItems()
 	return out
 }
 
-func (n *node) groupClaims() map[string]int {
-	out := maps.Clone(n.groups)
-	out[n.view.Group()] = sum(n.nodeClaims())
+func (n *node) demandOfGroups() map[string]int {
+	out := maps.Clone(n.groupDemand)
+	out[n.view.Group()] = sum(n.demandOfNodes())
 	return out
 }
 
@@ -215,15 +215,15 @@
 	return total
 }
 
-func (n *node) claim() choose.Claim {
-	demand := sum(n.groupClaims())
-	return choose.Claim{Demand: demand, Overflow: max(0, demand-n.table.BatchCapacity(n.f.clock.wall(), n.centre))}
+func (n *node) dataCentreClaim() choose.Claim {
+	demand := sum(n.demandOfGroups())
+	return choose.Claim{Demand: demand, Overflow: max(0, demand-n.table.BatchCapacity(n.fleet.clock.wallTime(), n.dataCentre))}
 }
 
-// shares returns how many items this node may have at a target.
-func (n *node) shares() func(choose.Target) int {
-	claims := choose.Claims{Node: n.name, Group: n.view.Group(), DataCentre: n.centre, Nodes: n.nodeClaims(), Groups: n.groupClaims(), Centres: maps.Clone(n.centres)}
-	claims.Centres[n.centre] = n.claim()
+// allotments returns how many items this node may have at a target.
+func (n *node) allotments() func(choose.Target) int {
+	claims := choose.Claims{Node: n.name, Group: n.view.Group(), DataCentre: n.dataCentre, Nodes: n.demandOfNodes(), Groups: n.demandOfGroups(), Centres: maps.Clone(n.dataCentreClaims)}
+	claims.Centres[n.dataCentre] = n.dataCentreClaim()
 	reserve := n.table.Reserve()
 	return func(t choose.Target) int { return claims.Share(t, t.Slots-reserve(t)) }
 }
--- a/lab/model/result.go
+++ b/lab/model/result.go
@@ -22,7 +22,7 @@
 // InTimeShare returns the share that was in time.
 func (c Counts) InTimeShare() float64 { return float64(c.InTime) / float64(max(1, c.Total)) }
 
-func (c *Counts) end(now, due time.Time) {
+func (c *Counts) recordEnd(now, due time.Time) {
 	if now.After(due) {
 		c.Late++
 		return
@@ -44,7 +44,7 @@
 	PromptTokens                 int     // read in all
 	RereadPrefixTokens           int     // of prefixes that the same engine had read before
 	Samples                      []Sample
-	first                        []time.Duration
+	firstEventTimes              []time.Duration
 }
 
 // Sample is what the slots of the fleet were doing at a time.
@@ -55,8 +55,8 @@
 	Waiting       int // at engines
 }
 
-// sampleEvery is the time between samples.
-const sampleEvery = 50 * time.Millisecond
+// sampleInterval is the time between samples.
+const sampleInterval = 50 * time.Millisecond
 
 func (f *fleet) sample() {
 	if f.clock.now > f.load.Length {
@@ -69,8 +69,8 @@
 		}
 		s.Slots += f.Engine.Slots
 		s.Waiting += len(e.waiting)
-		for _, r := range e.running {
-			if r.prefix == "" {
+		for _, c := range e.running {
+			if c.prefix == "" {
 				s.Items++
 			} else {
 				s.Online++
@@ -80,12 +80,12 @@
 	f.result.Samples = append(f.result.Samples, s)
 }
 
-func (f *fleet) finish() Result {
+func (f *fleet) summarize() Result {
 	r := f.result
 	r.Load, r.Variant = f.load.Name, f.variant.Name
-	slices.Sort(r.first)
-	if n := len(r.first); n > 0 {
-		r.FirstEventP50, r.FirstEventP99 = r.first[n/2], r.first[n*99/100]
+	slices.Sort(r.firstEventTimes)
+	if n := len(r.firstEventTimes); n > 0 {
+		r.FirstEventP50, r.FirstEventP99 = r.firstEventTimes[n/2], r.firstEventTimes[n*99/100]
 	}
 	slots, online, items := 0, 0, 0
 	for _, s := range r.Samples {
@@ -96,8 +96,8 @@
 	r.OnlineSlotShare, r.ItemSlotShare = float64(online)/float64(max(1, slots)), float64(items)/float64(max(1, slots))
 	r.DatagramRate = float64(r.Datagrams) / f.clock.now.Seconds() / float64(len(f.nodes))
 	for _, e := range f.engines {
-		r.PromptTokens += e.promptTokens
-		r.RereadPrefixTokens += e.sharedAgain
+		r.PromptTokens += e.readTokens
+		r.RereadPrefixTokens += e.rereadPrefixTokens
 	}
 	return r
 }
@@ -120,14 +120,14 @@
 	p.Title.Text = r.Load + ", " + r.Variant
 	p.X.Label.Text, p.Y.Label.Text = "s", "slots"
 	lines := []struct {
-		name string
-		of   func(Sample) int
+		name  string
+		value func(Sample) int
 	}{{"slots", func(s Sample) int { return s.Slots }}, {"online", func(s Sample) int { return s.Online }},
 		{"items", func(s Sample) int { return s.Items }}, {"waiting", func(s Sample) int { return s.Waiting }}}
 	for i, l := range lines {
 		points := make(plotter.XYs, len(r.Samples))
 		for k, s := range r.Samples {
-			points[k] = plotter.XY{X: s.At.Seconds(), Y: float64(l.of(s))}
+			points[k] = plotter.XY{X: s.At.Seconds(), Y: float64(l.value(s))}
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
--- a/lab/model/work.go
+++ b/lab/model/work.go
@@ -15,28 +15,28 @@
 }
 
 type item struct {
-	run     *run // nil: waits or is done
-	target  string
-	sent    time.Duration
-	notAt   time.Duration
-	heard   time.Duration
-	events  int // of the whole output
-	held    int
-	stopped bool
-	done    bool
+	call           *engineCall // nil: waits or is done
+	target         string
+	sent           time.Duration
+	notBefore      time.Duration
+	lastEvent      time.Duration
+	totalEvents    int // of the whole output
+	receivedEvents int
+	yielding       bool
+	done           bool
 }
 
-// job gives a new job to a node.
-func (f *fleet) job() {
-	n := f.node()
+// startJob gives a new startJob to a node.
+func (f *fleet) startJob() {
+	n := f.randomNode()
 	counted := f.clock.now < f.load.Length
 	if n == nil || !counted {
 		return // callers send it again; not modelled
 	}
-	f.jobs++
-	j := &job{id: fmt.Sprintf("j%05d", f.jobs), due: f.clock.wall().Add(f.CompleteWithin), items: make([]item, jobItems)}
+	f.jobCount++
+	j := &job{id: fmt.Sprintf("j%05d", f.jobCount), due: f.clock.wallTime().Add(f.CompleteWithin), items: make([]item, jobItems)}
 	for i := range j.items {
-		j.items[i].events = f.length(f.ItemEvents)
+		j.items[i].totalEvents = f.drawLength(f.ItemEvents)
 	}
 	f.result.Items.Total += jobItems
 	n.jobs = append(n.jobs, j)
@@ -45,100 +45,100 @@
 // sendItem makes one attempt at an item.
 func (n *node) sendItem(j *job, i int, target string) {
 	it := &j.items[i]
-	f, life := n.f, n.life
-	it.target, it.sent, it.heard = target, f.clock.now, f.clock.now
-	resumed := it.held * f.Engine.TokensPerEvent
-	r := &run{prompt: itemTokens + resumed, events: it.events - it.held}
+	f, incarnation := n.fleet, n.incarnation
+	it.target, it.sent, it.lastEvent = target, f.clock.now, f.clock.now
+	resumed := it.receivedEvents * f.Engine.TokensPerEvent
+	call := &engineCall{promptTokens: itemTokens + resumed, eventsLeft: it.totalEvents - it.receivedEvents}
 	f.result.ResumedTokens += resumed
-	it.run = r
-	current := func() bool { return it.run == r && n.life == life && !it.stopped }
-	r.event = func(time.Duration) {
+	it.call = call
+	current := func() bool { return it.call == call && n.incarnation == incarnation && !it.yielding }
+	call.onEvent = func(time.Duration) {
 		f.deliver(n, target, func() {
 			if current() {
-				it.held++
-				it.heard = f.clock.now
+				it.receivedEvents++
+				it.lastEvent = f.clock.now
 			}
 		})
 	}
-	r.end = func(time.Duration) {
+	call.onEnd = func(time.Duration) {
 		f.deliver(n, target, func() {
 			if !current() {
 				return
 			}
 			it.done = true
-			f.result.Items.end(f.clock.wall(), j.due)
-			n.itemEnded(it, r, choose.Success, false)
+			f.result.Items.recordEnd(f.clock.wallTime(), j.due)
+			n.endItemAttempt(it, call, choose.Success, false)
 		})
 	}
-	f.submit(n, target, r, func() { n.itemEnded(it, r, choose.Failure, false) })
-	n.watchItem(it, r)
+	f.submit(n, target, call, func() { n.endItemAttempt(it, call, choose.Failure, false) })
+	n.watchItem(it, call)
 }
 
 // watchItem ends an attempt whose target is silent for long.
-func (n *node) watchItem(it *item, r *run) {
-	n.f.clock.after(itemSilence, func() {
-		if it.run != r || it.stopped {
+func (n *node) watchItem(it *item, call *engineCall) {
+	n.fleet.clock.after(stallTimeout, func() {
+		if it.call != call || it.yielding {
 			return
 		}
-		if n.f.clock.now-it.heard >= itemSilence {
-			n.f.engines[it.target].drop(r)
-			n.itemEnded(it, r, choose.Failure, false)
+		if n.fleet.clock.now-it.lastEvent >= stallTimeout {
+			n.fleet.engines[it.target].remove(call)
+			n.endItemAttempt(it, call, choose.Failure, false)
 			return
 		}
-		n.watchItem(it, r)
+		n.watchItem(it, call)
 	})
 }
 
 // submit sends a run to a target; failed is told when no connection is made.
-func (f *fleet) submit(n *node, target string, r *run, failed func()) {
-	if !f.reaches(n.centre, f.centres[target]) {
-		f.clock.after(connectLimit, failed)
+func (f *fleet) submit(n *node, target string, call *engineCall, onFailure func()) {
+	if !f.reachable(n.dataCentre, f.targetDataCentres[target]) {
+		f.clock.after(connectTimeout, onFailure)
 		return
 	}
-	f.clock.after(f.delay(n.centre, f.centres[target]), func() {
-		if !r.gone {
-			f.engines[target].add(r)
+	f.clock.after(f.delay(n.dataCentre, f.targetDataCentres[target]), func() {
+		if !call.ended {
+			f.engines[target].enqueue(call)
 		}
 	})
 }
 
 // deliver brings an event from a target to a node, unless they are cut apart.
-func (f *fleet) deliver(n *node, target string, arrived func()) {
-	f.clock.after(f.delay(n.centre, f.centres[target]), func() {
-		if f.reaches(n.centre, f.centres[target]) {
-			arrived()
+func (f *fleet) deliver(n *node, target string, onArrival func()) {
+	f.clock.after(f.delay(n.dataCentre, f.targetDataCentres[target]), func() {
+		if f.reachable(n.dataCentre, f.targetDataCentres[target]) {
+			onArrival()
 		}
 	})
 }
 
 // Times and shares of the product's forwarder.
 const (
-	overflow   = 4
-	roomPause  = 10 * time.Millisecond
-	roomShare  = 0.2
-	firstShare = 0.5
-	lookPause  = 25 * time.Millisecond
-	attempts   = 2
+	overflow             = 4
+	capacityPollInterval = 10 * time.Millisecond
+	capacityWaitShare    = 0.2
+	firstEventShare      = 0.5
+	recheckInterval      = 25 * time.Millisecond
+	maxAttempts          = 2
 )
 
 // request is one online request at its node.
 type request struct {
-	n       *node
-	life    int
-	arrived time.Duration
-	counted bool
-	prefix  string
-	left    int // events to come
-	tried   int
-	exclude map[string]bool
-	first   time.Duration // 0: no event yet
-	newest  time.Duration
-	pause   time.Duration
+	node           *node
+	incarnation    int
+	arrived        time.Duration
+	counted        bool
+	prefix         string
+	eventsLeft     int // events to come
+	retries        int
+	excluded       map[string]bool
+	firstEventTime time.Duration // 0: no event yet
+	lastEvent      time.Duration
+	longestGap     time.Duration
 }
 
-// request gives a new online request to a node.
-func (f *fleet) request() {
-	n := f.node()
+// startRequest gives a new online startRequest to a node.
+func (f *fleet) startRequest() {
+	n := f.randomNode()
 	counted := f.clock.now < f.load.Length
 	if counted {
 		f.result.Online.Total++
@@ -149,41 +149,41 @@
 		}
 		return
 	}
-	q := &request{n: n, life: n.life, arrived: f.clock.now, counted: counted, prefix: fmt.Sprint("p", f.draw.IntN(prefixes)),
-		left: f.length(f.OnlineEvents), exclude: map[string]bool{}}
+	q := &request{node: n, incarnation: n.incarnation, arrived: f.clock.now, counted: counted, prefix: fmt.Sprint("p", f.rng.IntN(prefixCount)),
+		eventsLeft: f.drawLength(f.OnlineEvents), excluded: map[string]bool{}}
 	q.place()
 }
 
-func (q *request) over() bool { return q.n.down || q.n.life != q.life }
+func (q *request) nodeStopped() bool { return q.node.down || q.node.incarnation != q.incarnation }
 
 // place sends the request to a target, or waits a little for one.
 func (q *request) place() {
-	f, n := q.n.f, q.n
-	if q.over() {
-		q.end(&f.result.Online.Failed)
+	f, n := q.node.fleet, q.node
+	if q.nodeStopped() {
+		q.countEnd(&f.result.Online.Failed)
 		return
 	}
-	t, ok := n.table.Choose(f.clock.wall(), q.need())
+	t, ok := n.table.Choose(f.clock.wallTime(), q.need())
 	switch {
 	case ok:
 		q.send(t.ID)
-	case q.first == 0 && f.clock.now-q.arrived > time.Duration(roomShare*float64(f.FirstEventObjective)) && q.tried > 0:
-		q.end(&f.result.Online.Failed)
-	case q.first == 0 && f.clock.now-q.arrived > time.Duration(roomShare*float64(f.FirstEventObjective)):
-		q.end(&f.result.Online.Refused)
+	case q.firstEventTime == 0 && f.clock.now-q.arrived > time.Duration(capacityWaitShare*float64(f.FirstEventObjective)) && q.retries > 0:
+		q.countEnd(&f.result.Online.Failed)
+	case q.firstEventTime == 0 && f.clock.now-q.arrived > time.Duration(capacityWaitShare*float64(f.FirstEventObjective)):
+		q.countEnd(&f.result.Online.Refused)
 	default:
-		if q.tried == 0 {
-			clear(q.exclude)
+		if q.retries == 0 {
+			clear(q.excluded)
 		}
-		f.clock.after(roomPause, q.place)
+		f.clock.after(capacityPollInterval, q.place)
 	}
 }
 
 func (q *request) need() choose.Need {
-	return choose.Need{Service: service, Exclude: q.exclude, Overflow: overflow}
+	return choose.Need{Service: serviceName, Exclude: q.excluded, Overflow: overflow}
 }
 
-func (q *request) end(count *int) {
+func (q *request) countEnd(count *int) {
 	if q.counted {
 		*count++
 	}
@@ -193,105 +193,105 @@
 type attempt struct {
 	*request
 	target string
-	run    *run
+	call   *engineCall
 	sent   time.Duration
 	ended  bool
 }
 
 func (q *request) send(target string) {
-	f, n := q.n.f, q.n
+	f, n := q.node.fleet, q.node
 	n.table.Begin(target)
-	if own, others := n.table.Preemption(f.clock.wall(), target); own {
-		n.yield(target, 1)
+	if own, others := n.table.Preemption(f.clock.wallTime(), target); own {
+		n.yieldItems(target, 1)
 	} else if !others.Empty() {
-		n.tellHolders(others)
+		n.notifyHolders(others)
 	}
 	n.ownLoadChanged()
 	a := &attempt{request: q, target: target, sent: f.clock.now,
-		run: &run{prefix: q.prefix, shared: sharedTokens, prompt: sharedTokens + ownTokens, events: q.left}}
-	a.run.event = func(time.Duration) {
+		call: &engineCall{prefix: q.prefix, prefixTokens: prefixTokens, promptTokens: prefixTokens + questionTokens, eventsLeft: q.eventsLeft}}
+	a.call.onEvent = func(time.Duration) {
 		f.deliver(n, target, func() {
 			if a.current() {
-				q.event(target, a.sent)
+				q.recordEvent(target, a.sent)
 			}
 		})
 	}
-	a.run.end = func(time.Duration) {
+	a.call.onEnd = func(time.Duration) {
 		f.deliver(n, target, func() {
 			if a.current() {
 				a.finish(choose.Success)
-				n.table.RecordSlotTime(service, f.clock.now-a.sent)
-				q.whole()
+				n.table.RecordSlotTime(serviceName, f.clock.now-a.sent)
+				q.complete()
 			}
 		})
 	}
-	f.submit(n, target, a.run, func() { a.elsewhere(choose.Failure) })
-	a.watch(time.Duration(firstShare * float64(f.FirstEventObjective)))
+	f.submit(n, target, a.call, func() { a.retryElsewhere(choose.Failure) })
+	a.watch(time.Duration(firstEventShare * float64(f.FirstEventObjective)))
 }
 
 // current reports whether the attempt still counts at its node.
-func (a *attempt) current() bool { return !a.ended && !a.over() }
+func (a *attempt) current() bool { return !a.ended && !a.nodeStopped() }
 
 func (a *attempt) finish(outcome choose.Outcome) {
 	a.ended = true
-	a.n.f.engines[a.target].drop(a.run)
-	if !a.over() {
-		a.n.table.End(a.n.f.clock.wall(), a.target, outcome)
-		a.n.ownLoadChanged()
+	a.node.fleet.engines[a.target].remove(a.call)
+	if !a.nodeStopped() {
+		a.node.table.End(a.node.fleet.clock.wallTime(), a.target, outcome)
+		a.node.ownLoadChanged()
 	}
 }
 
-// elsewhere ends the attempt and goes on at another target.
-func (a *attempt) elsewhere(outcome choose.Outcome) {
+// retryElsewhere ends the attempt and goes on at another target.
+func (a *attempt) retryElsewhere(outcome choose.Outcome) {
 	a.finish(outcome)
-	a.exclude[a.target] = true
+	a.excluded[a.target] = true
 	a.place()
 }
 
 // watch ends an attempt whose caller is gone, and gives a silent target up when
 // another is better.
 func (a *attempt) watch(after time.Duration) {
-	f := a.n.f
-	seen := a.left
+	f := a.node.fleet
+	seen := a.eventsLeft
 	f.clock.after(after, func() {
-		gap := time.Duration(heardForShare * float64(f.GapObjective))
+		gap := time.Duration(gapShare * float64(f.GapObjective))
 		switch {
 		case a.ended:
-		case a.over() || f.clock.now-a.arrived > f.Deadline:
+		case a.nodeStopped() || f.clock.now-a.arrived > f.Deadline:
 			a.finish(choose.Neutral)
-			a.end(&f.result.Online.Failed)
-		case a.left != seen:
+			a.countEnd(&f.result.Online.Failed)
+		case a.eventsLeft != seen:
 			a.watch(gap)
-		case a.tried+1 < attempts && a.n.table.BetterElsewhere(f.clock.wall(), a.target, a.need(), gap):
-			a.tried++
-			a.elsewhere(choose.Failure)
+		case a.retries+1 < maxAttempts && a.node.table.BetterElsewhere(f.clock.wallTime(), a.target, a.need(), gap):
+			a.retries++
+			a.retryElsewhere(choose.Failure)
 		default:
-			a.watch(lookPause)
+			a.watch(recheckInterval)
 		}
 	})
 }
 
-func (q *request) event(target string, sent time.Duration) {
-	f := q.n.f
+func (q *request) recordEvent(target string, sent time.Duration) {
+	f := q.node.fleet
 	now := f.clock.now
-	q.n.table.RecordEvent(f.clock.wall(), target)
-	if q.first == 0 {
-		q.first = now - q.arrived
-		q.n.table.RecordFirstEvent(f.clock.wall(), target, now-sent)
+	q.node.table.RecordEvent(f.clock.wallTime(), target)
+	if q.firstEventTime == 0 {
+		q.firstEventTime = now - q.arrived
+		q.node.table.RecordFirstEvent(f.clock.wallTime(), target, now-sent)
 	} else {
-		q.pause = max(q.pause, now-q.newest)
+		q.longestGap = max(q.longestGap, now-q.lastEvent)
 	}
-	q.newest = now
-	q.left--
+	q.lastEvent = now
+	q.eventsLeft--
 }
 
-func (q *request) whole() {
+func (q *request) complete() {
 	if !q.counted {
 		return
 	}
-	f := q.n.f
-	f.result.first = append(f.result.first, q.first)
-	if q.first <= f.FirstEventObjective && q.pause <= f.GapObjective {
+	f := q.node.fleet
+	f.result.firstEventTimes = append(f.result.firstEventTimes, q.firstEventTime)
+	if q.firstEventTime <= f.FirstEventObjective && q.longestGap <= f.GapObjective {
 		f.result.Online.InTime++
 	} else {
 		f.result.Online.Late++
