--- a/lab/model/clock.go
+++ b/lab/model/clock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// clock runs functions in the order of their virtual time.
+// clock is a virtual clock that runs scheduled functions in order of their time.
 type clock struct {
 	now       time.Duration
 	queue     eventQueue
@@ -14,7 +14,7 @@
 
 type event struct {
 	at       time.Duration
-	sequence int // of two at one time the first that was set runs first
+	sequence int // events of the same time run in the order in which they were scheduled
 	run      func()
 }
 
@@ -32,13 +32,13 @@
 	return last
 }
 
-// after runs f once the time has passed.
+// after runs f when d has passed.
 func (c *clock) after(d time.Duration, f func()) {
 	c.scheduled++
 	heap.Push(&c.queue, event{c.now + max(0, d), c.scheduled, f})
 }
 
-// every runs f at each interval.
+// every runs f each time d has passed.
 func (c *clock) every(d time.Duration, f func()) {
 	c.after(d, func() {
 		f()
@@ -46,7 +46,7 @@
 	})
 }
 
-// run runs what is due until the end.
+// run runs all events up to the end.
 func (c *clock) run(end time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		next := heap.Pop(&c.queue).(event)
@@ -56,7 +56,7 @@
 	c.now = end
 }
 
-// startTime is the wall clock at virtual time 0.
+// startTime is the wall-clock time at virtual time 0.
 var startTime = time.Unix(1_700_000_000, 0)
 
 func (c *clock) wallTime() time.Time { return startTime.Add(c.now) }
--- a/lab/model/engine.go
+++ b/lab/model/engine.go
@@ -5,68 +5,71 @@
 	"time"
 )
 
-// EngineParams describe one kind of engine.
+// EngineParams describes the capacity and speed of a kind of engine.
 type EngineParams struct {
-	Slots int
-	// StepTime is the time of one step with one request, and StepTimePerRequest what each
-	// further one adds.
+	Slots int // requests that run at once
+	// StepTime is the time of one decoding step, which produces one token, with one
+	// request, and StepTimePerRequest the time that each further request adds.
 	StepTime, StepTimePerRequest time.Duration
 	TokensPerEvent               int
-	PromptTokensPerMS            float64 // prompt tokens read in a millisecond
-	PromptTokensPerStep          int     // most prompt tokens read in one step
-	MemoryTokens                 int     // tokens of running requests and kept prefixes
+	PromptTokensPerMS            float64 // prompt tokens read per millisecond
+	PromptTokensPerStep          int     // limit of prompt tokens read in one decoding step
+	MemoryTokens                 int     // for running requests and the prefix cache together
 }
 
-// PublishedEngine holds the figures that the users publish of a large model on
-// two accelerators: 8 requests at once, 4.1 ms a step, 51.6 prompt tokens a
-// millisecond, memory for 103,133 tokens. What a request adds to a step (9 us), the
-// 6 tokens of an event and the 1,024 prompt tokens of a step stand in the
-// description of the same deployment.
+// PublishedEngine has the parameters that the users publish for a large model on two
+// accelerators: 8 requests at once, 4.1 ms per step, 51.6 prompt tokens per millisecond,
+// and memory for 103,133 tokens. The time that a further request adds to a step (9 us),
+// the 6 tokens of an event and the 1,024 prompt tokens of a step are from the description
+// of the same deployment.
 var PublishedEngine = EngineParams{Slots: 8, StepTime: 4100 * time.Microsecond, StepTimePerRequest: 9 * time.Microsecond,
 	TokensPerEvent: 6, PromptTokensPerMS: 51.6, PromptTokensPerStep: 1024, MemoryTokens: 103133}
 
-// engineCall is one attempt of a request or an item at an engine.
+// engineCall is one attempt of an online request or an item at an engine.
 type engineCall struct {
-	prefix       string                  // shared part of the prompt
-	prefixTokens int                     // tokens of it
-	promptTokens int                     // tokens of the whole prompt and of the output that is held
-	eventsLeft   int                     // still to make
-	unreadTokens int                     // prompt tokens still to read
-	onEvent      func(now time.Duration) // told each event
-	onEnd        func(now time.Duration) // told when it is whole
-	ended        bool                    // the sender ended it
+	prefix       string                  // name of the shared prefix of the prompt; empty for an item
+	prefixTokens int                     // length of the prefix
+	promptTokens int                     // length of the prompt with its prefix and of the output so far
+	eventsLeft   int                     // events not produced yet
+	unreadTokens int                     // tokens of the prompt not read yet
+	onEvent      func(now time.Duration) // called at each event
+	onEnd        func(now time.Duration) // called when the output is complete
+	ended        bool                    // it completed, the sender cancelled it, or the engine failed
 }
 
+// tokens returns the memory that the call needs until it is complete.
 func (c *engineCall) tokens(p *EngineParams) int {
 	return c.promptTokens + c.eventsLeft*p.TokensPerEvent
 }
 
-// engine is one target.
+// engine simulates the engine of one target.
 type engine struct {
 	params         *EngineParams
 	clock          *clock
-	slowdown       float64 // factor on the time of a step
+	slowdown       float64 // factor on the time of a step; 1 is normal speed
 	running        []*engineCall
 	waiting        []*engineCall
-	cachedPrefixes []string       // prefixes, least recently used first
-	prefixSizes    map[string]int // tokens of the kept prefixes
-	stepping       bool           // a step is under way
+	cachedPrefixes []string       // least recently used first
+	prefixSizes    map[string]int // in tokens, of the cached prefixes
+	stepping       bool           // a step is running or scheduled
 	down           bool
 
-	readTokens, rereadPrefixTokens int // read in all, and of shared parts more than once
-	seenPrefixes                   map[string]bool
+	readTokens         int             // prompt tokens read in total
+	rereadPrefixTokens int             // those of prefixes that had been cached before and were evicted
+	seenPrefixes       map[string]bool // prefixes cached at some time
 }
 
 func newEngine(p *EngineParams, c *clock) *engine {
 	return &engine{params: p, clock: c, slowdown: 1, prefixSizes: map[string]int{}, seenPrefixes: map[string]bool{}}
 }
 
-// enqueue takes a run; end drops one.
+// enqueue adds a call to the queue.
 func (e *engine) enqueue(c *engineCall) {
 	e.waiting = append(e.waiting, c)
 	e.scheduleStep()
 }
 
+// remove ends a call, queued or running.
 func (e *engine) remove(c *engineCall) {
 	c.ended = true
 	e.waiting = slices.DeleteFunc(e.waiting, func(o *engineCall) bool { return o == c })
@@ -81,8 +84,9 @@
 	}
 }
 
-// step admits what there is room for, reads prompts, and gives the running
-// requests whose prompt is read an event.
+// step starts queued calls for which there are free slots and memory, reads prompts, and
+// produces an event of each running call whose prompt has been read, after the time of
+// TokensPerEvent decoding steps.
 func (e *engine) step() {
 	e.stepping = false
 	if e.down {
@@ -106,6 +110,7 @@
 	})
 }
 
+// emit produces the next event of a running call.
 func (e *engine) emit(c *engineCall) {
 	if c.ended || e.down || c.unreadTokens > 0 {
 		return
@@ -119,8 +124,8 @@
 	}
 }
 
-// admit starts waiting requests in order of arrival. One that has started keeps
-// its slot unless memory runs out.
+// admit starts queued calls in order of arrival. When the running calls exceed the memory,
+// those that started last go back to the head of the queue.
 func (e *engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.params.Slots && e.fits(e.waiting[0]) {
 		next := e.waiting[0]
@@ -147,7 +152,8 @@
 	return total
 }
 
-// usePrefix returns how many tokens of a prompt are kept, and keeps its shared part.
+// usePrefix returns how many tokens of a prompt's prefix are cached, and caches the prefix.
+// Least recently used prefixes are evicted while the memory is exceeded.
 func (e *engine) usePrefix(c *engineCall) int {
 	if c.prefix == "" {
 		return 0
@@ -174,7 +180,8 @@
 	return total
 }
 
-// readPrompts reads prompt tokens of the running requests, up to a step's worth.
+// readPrompts reads prompt tokens of the running calls, up to the limit of TokensPerEvent
+// decoding steps, and returns how many it read.
 func (e *engine) readPrompts() int {
 	left := e.params.PromptTokensPerStep * e.params.TokensPerEvent
 	for _, c := range e.running {
@@ -187,7 +194,7 @@
 	return read
 }
 
-// fail takes the engine down; what it had is lost without a word.
+// fail stops the engine. Its calls are lost, and their senders are not notified.
 func (e *engine) fail() {
 	e.down = true
 	for _, c := range append(e.running, e.waiting...) {
--- a/lab/model/fleet.go
+++ b/lab/model/fleet.go
@@ -8,52 +8,53 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// Deployment is what the load is played on.
+// Deployment describes the simulated deployment and its objectives.
 type Deployment struct {
 	DataCentres, NodesPerDataCentre, TargetsPerDataCentre int
 	Engine                                                EngineParams
-	// FirstEventObjective is the time to the first event of an online request, GapObjective
-	// the longest pause after it, Deadline when its caller gives up, and
-	// CompleteWithin when items are due.
+	// FirstEventObjective is the largest allowed time to the first event of an online
+	// request, and GapObjective that between two later events. Its caller gives up after
+	// Deadline. Items are due CompleteWithin after their job arrives.
 	FirstEventObjective, GapObjective, Deadline, CompleteWithin time.Duration
-	// LocalDelay and RemoteDelay are the times one way within a data centre and between
-	// two.
+	// LocalDelay and RemoteDelay are the one-way network delays within a data centre and
+	// between two.
 	LocalDelay, RemoteDelay time.Duration
-	OnlineEvents            int // mean of an answer
-	ItemEvents              int
+	OnlineEvents            int // mean number of events of an answer
+	ItemEvents              int // mean number of events of an item
 }
 
-// Small is the deployment of a customer of today: four data centres with six nodes
-// and nine targets, rounded up to two and three in each.
+// Small is a present customer's deployment: four data centres with six nodes and nine
+// targets together, rounded up to two nodes and three targets in each.
 var Small = Deployment{DataCentres: 4, NodesPerDataCentre: 2, TargetsPerDataCentre: 3, Engine: PublishedEngine, FirstEventObjective: 300 * time.Millisecond,
 	GapObjective: 250 * time.Millisecond, Deadline: 5 * time.Second, CompleteWithin: 18 * time.Second, LocalDelay: 300 * time.Microsecond, RemoteDelay: 900 * time.Microsecond,
 	OnlineEvents: 28, ItemEvents: 193}
 
-// Variant switches a mechanism for comparison.
+// Variant is the product's policy with a mechanism changed for comparison.
 type Variant struct {
 	Name string
-	// MinReserve is how many slots items always leave free.
+	// MinReserve is how many slots of a target items always leave free.
 	MinReserve int
-	// NoHolderNotices keeps a node from telling holders at once that it needs room.
+	// NoHolderNotices: nodes do not notify holders of items at once when an online request
+	// needs a slot.
 	NoHolderNotices bool
-	// OneGroup makes each node tell each other one of its data centre, however many.
+	// OneGroup: all nodes of a data centre form one group, whatever their number.
 	OneGroup bool
 }
 
-// Variants are the product's policy and the ones that it is measured against.
+// Variants are the product's policy and those that it is compared with.
 var Variants = []Variant{{Name: "product"}, {Name: "two slots kept free", MinReserve: 2}, {Name: "no word to holders", NoHolderNotices: true}, {Name: "one group", OneGroup: true}}
 
 const (
-	prefixTokens   = 200 // of an online prompt, with other requests
-	questionTokens = 250
+	prefixTokens   = 200 // part of an online prompt that other requests have too
+	questionTokens = 250 // rest of an online prompt
 	itemTokens     = 350
-	prefixCount    = 40 // different shared parts
+	prefixCount    = 40 // number of different prefixes
 	jobItems       = 10
-	// lengthSpread is the deviation of a length from its mean, as a share.
+	// lengthSpread is the standard deviation of an output's length, as a share of its mean.
 	lengthSpread = 0.25
 )
 
-// fleet is one play.
+// fleet is the state of one run.
 type fleet struct {
 	Deployment
 	load              Load
@@ -61,16 +62,16 @@
 	clock             clock
 	rng               *rand.Rand
 	engines           map[string]*engine
-	targetDataCentres map[string]string // of targets
+	targetDataCentres map[string]string // by target
 	targets           []choose.Target
 	nodes             []*node
 	nodesByName       map[string]*node
-	isolated          string // data centre that is cut off
+	isolated          string // data centre that a network partition isolates; empty: none
 	jobCount          int
 	result            Result
 }
 
-// Run plays a load and returns what came of it.
+// Run simulates a load on a deployment and returns its result.
 func Run(d Deployment, load Load, v Variant, seed uint64) Result {
 	f := &fleet{Deployment: d, load: load, variant: v, rng: rand.New(rand.NewPCG(seed, seed)), engines: map[string]*engine{}, targetDataCentres: map[string]string{}, nodesByName: map[string]*node{}}
 	f.build(seed)
@@ -107,7 +108,6 @@
 
 func nodeName(c, n int) string { return fmt.Sprintf("n%d-%d", c, n) }
 
-// nodesByNames returns the nodes named.
 func (f *fleet) nodesByNames(names []string) []*node {
 	var out []*node
 	for _, name := range names {
@@ -116,13 +116,13 @@
 	return out
 }
 
-// slotTime is how long a request of some events holds a slot on an idle engine.
+// slotTime returns how long a request takes a slot of an otherwise idle engine.
 func (f *fleet) slotTime(events, prompt int) time.Duration {
 	e := f.Engine
 	return time.Duration(events*e.TokensPerEvent)*e.StepTime + time.Duration(float64(prompt)/e.PromptTokensPerMS*float64(time.Millisecond))
 }
 
-// scheduleArrivals draws online requests and jobs as Poisson processes.
+// scheduleArrivals lets online requests and jobs arrive as Poisson processes.
 func (f *fleet) scheduleArrivals() {
 	slots := float64(f.DataCentres * f.TargetsPerDataCentre * f.Engine.Slots)
 	online := slots / f.slotTime(f.OnlineEvents, prefixTokens+questionTokens).Seconds()
@@ -138,7 +138,7 @@
 	}
 }
 
-// arrivalTick is the time between draws of arrivals.
+// arrivalTick is the interval at which arrivals are drawn.
 const arrivalTick = time.Millisecond
 
 func (f *fleet) schedulePoisson(perSecond func() float64, arrive func()) {
@@ -149,11 +149,12 @@
 	})
 }
 
+// drawLength draws a number of events.
 func (f *fleet) drawLength(mean int) int {
 	return max(1, int(float64(mean)*(1+lengthSpread*f.rng.NormFloat64())))
 }
 
-// randomNode draws one that takes callers.
+// randomNode draws a node, and returns nil if it is down.
 func (f *fleet) randomNode() *node {
 	n := f.nodes[f.rng.IntN(len(f.nodes))]
 	if n.down {
@@ -162,7 +163,7 @@
 	return n
 }
 
-// reachable reports whether two data centres reach each other.
+// reachable reports whether two data centres can reach each other.
 func (f *fleet) reachable(a, b string) bool { return a == b || (a != f.isolated && b != f.isolated) }
 
 func (f *fleet) delay(a, b string) time.Duration {
@@ -172,10 +173,11 @@
 	return f.RemoteDelay
 }
 
-// delistDelay is when nodes hear that a target is gone: three heartbeats of a
-// third of a second.
+// delistDelay is the time after which nodes learn that a target was lost: three missed
+// heartbeats of a third of a second each.
 const delistDelay = time.Second
 
+// inject starts a fault and schedules its end.
 func (f *fleet) inject(fault Fault) {
 	affected := f.targets[:int(fault.Share*float64(len(f.targets)))]
 	switch fault.Kind {
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// deployments returns deployments that differ from Small in one thing each.
+// deployments returns Small and deployments that differ from it in one respect each.
 func deployments() map[string]Deployment {
 	out := map[string]Deployment{"small": Small}
 	vary := func(name string, change func(*Deployment)) {
@@ -23,26 +23,26 @@
 	return out
 }
 
-// onlineLoss is how much smaller the share of online requests in aim may be than
-// with two slots kept free: what two plays of one policy differ by.
+// onlineLoss is how much smaller the share of online requests in time may be than with two
+// slots kept free. It is the difference between two runs of one policy.
 const onlineLoss = 0.006
 
-// runsPerPolicy is how many plays of each policy are compared. The items in time of two
-// plays ranged from 436 to 487 in sum with nothing but the order of datagrams
-// changed, which is more than the two policies differ by.
+// runsPerPolicy is how many runs of each policy are compared. With nothing but the order of
+// datagrams changed, the sum of items in time over two runs ranged from 436 to 487, which is
+// more than the difference between the policies.
 const runsPerPolicy = 6
 
-// TestRoomByArrivals: online traffic in steps beside batch work that fills what it
-// leaves, the pattern of the users' heaviest days. Slots reserved by arrivals and
-// room made as a request is sent bring more items in time than two slots kept
-// free, on other engines, sizes and due times too, and online requests lose
-// nothing by it.
+// TestRoomByArrivals: with online traffic in steps beside batch work that exceeds the rest
+// of the capacity, as on the users' heaviest days, a reserve that follows the rate of online
+// requests, with preemption of items as a request is sent, completes more items in time than
+// two slots kept free. It does so on other engines, sizes and due times too, and no fewer
+// online requests are in time.
 func TestRoomByArrivals(t *testing.T) {
 	load, err := LoadByName("steps")
 	if err != nil {
 		t.Fatal(err)
 	}
-	load.Length, load.BatchShare = 30*time.Second, 0.5 // more than there is room for
+	load.Length, load.BatchShare = 30*time.Second, 0.5 // more than the remaining capacity
 	for name, d := range deployments() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -52,18 +52,19 @@
 				items, itemsBefore = items+after.Items.InTime, itemsBefore+before.Items.InTime
 				online, onlineBefore = online+after.Online.InTimeShare()/runsPerPolicy, onlineBefore+before.Online.InTimeShare()/runsPerPolicy
 			}
-			t.Logf("items in time %d, with two slots kept free %d; online in aim %.4f and %.4f", items, itemsBefore, online, onlineBefore)
+			t.Logf("items in time %d, with two slots kept free %d; online in time %.4f and %.4f", items, itemsBefore, online, onlineBefore)
 			if items <= itemsBefore {
 				t.Errorf("%d items in time, %d with two slots kept free", items, itemsBefore)
 			}
 			if online < onlineBefore-onlineLoss {
-				t.Errorf("%.4f of online requests in aim, %.4f with two slots kept free", online, onlineBefore)
+				t.Errorf("%.4f of online requests in time, %.4f with two slots kept free", online, onlineBefore)
 			}
 		})
 	}
 }
 
-// TestBurstOfJobs: ten jobs at once beside online traffic at half of the fleet.
+// TestBurstOfJobs: the same for bursts of ten jobs beside online traffic at half of the
+// capacity.
 func TestBurstOfJobs(t *testing.T) {
 	is := is.New(t)
 	load, err := LoadByName("burst")
@@ -73,8 +74,9 @@
 	is.True(after.Online.InTimeShare() >= before.Online.InTimeShare()-onlineLoss)
 }
 
-// TestEngine: an engine serves as many as it has slots, the others in order of
-// arrival; it reads a kept prefix once; memory that runs out sends the newest back.
+// TestEngine: an engine runs as many calls as it has slots and the others in order of
+// arrival, reads a cached prefix once, and returns the last started call to the queue when
+// its memory is exceeded.
 func TestEngine(t *testing.T) {
 	is := is.New(t)
 	var c clock
@@ -91,7 +93,7 @@
 	add(3, 100, 1, "")
 	c.run(35 * time.Millisecond) // two steps of 10 ms and a prompt of 100 tokens
 	is.Equal(order, []int(nil))
-	is.Equal(e.readTokens, 100) // the second one found it kept
+	is.Equal(e.readTokens, 100) // the second call found the prefix cached
 	c.run(time.Second)
 	is.Equal(order, []int{1, 3, 2})
 	add(4, 100, 50, "")
@@ -103,13 +105,13 @@
 	add(6, 480, 60, "")
 	newest := add(7, 480, 60, "")
 	c.run(c.now + 500*time.Millisecond)
-	is.Equal(len(e.running), 1) // both have grown beyond the memory
+	is.Equal(len(e.running), 1) // together they exceed the memory
 	is.Equal(e.waiting[0], newest)
 	c.run(c.now + 3*time.Second)
 	is.Equal(order[4:], []int{6, 7})
 }
 
-// TestOneSeedOneCourse: a play repeats.
+// TestOneSeedOneCourse: two runs with the same seed have the same result.
 func TestOneSeedOneCourse(t *testing.T) {
 	is := is.New(t)
 	load, err := LoadByName("lost")
--- a/lab/model/news.go
+++ b/lab/model/news.go
@@ -9,15 +9,16 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// peerState is what a node tells others and hears of them, as package beacon does.
+// peerState is what a node knows from the reports of other nodes, and when it sends its
+// own, as in package beacon.
 type peerState struct {
 	view             *beacon.View
-	nodeDemand       map[string]int          // demand of the other nodes of the own group
-	groupDemand      map[string]int          // of the other groups of the own data centre
-	dataCentreClaims map[string]choose.Claim // of other data centres
-	roundPending     bool                    // a round is on its way
-	lastRound        time.Duration           // when the newest round was, and next when the pace allows another
-	nextRound        time.Duration
+	nodeDemand       map[string]int          // open items, by other node of its group
+	groupDemand      map[string]int          // the same by other group of its data centre
+	dataCentreClaims map[string]choose.Claim // by other data centre
+	roundPending     bool                    // a round of reports is scheduled
+	lastRound        time.Duration           // time of the last round
+	nextRound        time.Duration           // earliest time of the next one, by the rate limit
 }
 
 func newPeerState(n *node) peerState {
@@ -36,13 +37,13 @@
 	return peerState{view: view, nodeDemand: map[string]int{}, groupDemand: map[string]int{}, dataCentreClaims: map[string]choose.Claim{}}
 }
 
-// ownLoadChanged makes room and has the change told.
+// ownLoadChanged schedules a report and stops items that exceed the capacity.
 func (n *node) ownLoadChanged() {
 	n.requestRound()
 	n.othersLoadChanged()
 }
 
-// othersLoadChanged makes room.
+// othersLoadChanged stops items that exceed the capacity.
 func (n *node) othersLoadChanged() {
 	excess := n.table.Excess(n.fleet.clock.wallTime())
 	for _, id := range slices.Sorted(maps.Keys(excess)) {
@@ -50,7 +51,7 @@
 	}
 }
 
-// requestRound has a round sent as soon as the pace allows.
+// requestRound schedules a round of reports as soon as the rate limit allows.
 func (n *node) requestRound() {
 	if n.roundPending {
 		return
@@ -64,14 +65,14 @@
 	})
 }
 
-// requestRoundIfDue has a round sent when there was none for long.
+// requestRoundIfDue schedules a round if none was sent for nearInterval.
 func (n *node) requestRoundIfDue() {
 	if !n.down && n.fleet.clock.now-n.lastRound >= nearInterval {
 		n.requestRound()
 	}
 }
 
-// sendRound tells the own data centre.
+// sendRound sends reports to nodes of the own data centre.
 func (n *node) sendRound() {
 	members := n.nodesOf(n.view.Members())
 	receivers := n.nodesOf(n.view.GroupReportReceivers(n.runningMembers(), n.fleet.rng.Float64))
@@ -81,8 +82,8 @@
 	n.send(receivers, n.groupReport())
 }
 
-// runningMembers returns the other nodes of the own group that run. That a node which
-// does not is heard for a second more is not modelled.
+// runningMembers returns the other nodes of the own group that run. In the product a node
+// that has stopped counts as reachable for a second more; this is not modelled.
 func (n *node) runningMembers() []string {
 	var out []string
 	for _, o := range n.nodesOf(n.view.Members()) {
@@ -101,6 +102,7 @@
 	return out
 }
 
+// reportToOtherDataCentres sends the report on the data centre to farFanout random nodes.
 func (n *node) reportToOtherDataCentres() {
 	if n.down {
 		return
@@ -115,8 +117,8 @@
 	n.send(others[:min(farFanout, len(others))], n.dataCentreReport())
 }
 
-// notifyHolders lets those with items at a target hear at once: nodes of the own
-// group, and through one node each the other groups and data centres.
+// notifyHolders sends reports at once to the holders of items at a target: to the nodes of
+// the own group, and to one node each of the other groups and data centres.
 func (n *node) notifyHolders(h choose.Holders) {
 	if n.fleet.variant.NoHolderNotices {
 		return
@@ -130,7 +132,7 @@
 	}
 }
 
-// randomRunningNode returns randomRunningNode of the nodes that run and are wanted.
+// randomRunningNode returns a random one of the running nodes that are wanted, or none.
 func (n *node) randomRunningNode(wanted func(*node) bool) []*node {
 	var out []*node
 	for _, o := range n.fleet.nodes {
@@ -145,10 +147,10 @@
 	return out[i : i+1]
 }
 
-// report is one datagram.
+// report is a datagram; it is called with the node that receives it.
 type report func(o *node)
 
-// send brings a word to nodes.
+// send sends a report to nodes.
 func (n *node) send(to []*node, r report) {
 	n.fleet.result.Datagrams += len(to)
 	for _, o := range to {
@@ -193,14 +195,14 @@
 	}
 }
 
-// demandOfNodes returns the demand of each node of the own group, groupClaims that of
-// each group of the own data centre.
+// demandOfNodes returns the demand of each node of the own group.
 func (n *node) demandOfNodes() map[string]int {
 	out := maps.Clone(n.nodeDemand)
 	out[n.name] = n.openItems()
 	return out
 }
 
+// demandOfGroups returns the demand of each group of the own data centre.
 func (n *node) demandOfGroups() map[string]int {
 	out := maps.Clone(n.groupDemand)
 	out[n.view.Group()] = sum(n.demandOfNodes())
@@ -220,7 +222,7 @@
 	return choose.Claim{Demand: demand, Overflow: max(0, demand-n.table.BatchCapacity(n.fleet.clock.wallTime(), n.dataCentre))}
 }
 
-// allotments returns how many items this node may have at a target.
+// allotments returns a function that returns how many items this node may have at a target.
 func (n *node) allotments() func(choose.Target) int {
 	claims := choose.Claims{Node: n.name, Group: n.view.Group(), DataCentre: n.dataCentre, Nodes: n.demandOfNodes(), Groups: n.demandOfGroups(), Centres: maps.Clone(n.dataCentreClaims)}
 	claims.Centres[n.dataCentre] = n.dataCentreClaim()
--- a/lab/model/node.go
+++ b/lab/model/node.go
@@ -7,11 +7,11 @@
 	"github.com/marblepond/marblepond/internal/request/schedule"
 )
 
-// serviceName is the one that all targets belong to.
+// serviceName is the service of all targets.
 const serviceName = "s"
 
-// Times of the product that are not part of its pure decisions. Each is the
-// constant of the same purpose there.
+// Copies of the product's constants for what is simulated here: reports between nodes
+// (package beacon), and items and attempts (packages job and forward).
 const (
 	nearInterval      = 100 * time.Millisecond
 	farInterval       = 100 * time.Millisecond
@@ -25,14 +25,14 @@
 	gapShare          = 0.5
 )
 
-// node plays one node around the product's decisions.
+// node simulates one node around the product's decisions.
 type node struct {
 	fleet       *fleet
 	name        string
 	dataCentre  string
 	seed        uint64
 	down        bool
-	incarnation int // counts starts, so that what an earlier life began changes nothing
+	incarnation int // number of starts; events scheduled by an earlier incarnation are ignored
 	table       *choose.Table
 	jobs        []*job
 	peerState
@@ -55,7 +55,7 @@
 	n.table.SetTargets(n.fleet.targets)
 }
 
-// stop ends the process: its connections break and engines end its runs.
+// stop ends the process. Its connections break, so that the engines end its items.
 func (n *node) stop() {
 	n.down = true
 	for _, j := range n.jobs {
@@ -68,7 +68,7 @@
 	}
 }
 
-// dispatchItems sends the items that there is room for.
+// dispatchItems sends waiting items while there are free slots for them.
 func (n *node) dispatchItems() {
 	if n.down {
 		return
@@ -97,6 +97,7 @@
 	return nil
 }
 
+// waitingItems returns the items that may be sent now.
 func (n *node) waitingItems() []schedule.Item {
 	var out []schedule.Item
 	for _, j := range n.jobs {
@@ -109,6 +110,7 @@
 	return out
 }
 
+// openItems returns the number of items that are not done.
 func (n *node) openItems() int {
 	open := 0
 	for _, j := range n.jobs {
@@ -121,7 +123,7 @@
 	return open
 }
 
-// yieldItems stops items at a target.
+// yieldItems stops up to count items at a target, to free their slots for online requests.
 func (n *node) yieldItems(target string, count int) {
 	var running []schedule.Item
 	for _, j := range n.jobs {
@@ -143,7 +145,7 @@
 	}
 }
 
-// endItemAttempt takes the end of an attempt.
+// endItemAttempt records the end of an attempt, unless the item has another one by now.
 func (n *node) endItemAttempt(it *item, call *engineCall, outcome choose.Outcome, yielded bool) {
 	if it.call != call {
 		return
--- a/lab/model/result.go
+++ b/lab/model/result.go
@@ -14,12 +14,12 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Counts says how requests or items ended.
+// Counts counts requests or items by how they ended.
 type Counts struct {
 	Total, InTime, Late, Refused, Failed int
 }
 
-// InTimeShare returns the share that was in time.
+// InTimeShare returns the share that completed in time.
 func (c Counts) InTimeShare() float64 { return float64(c.InTime) / float64(max(1, c.Total)) }
 
 func (c *Counts) recordEnd(now, due time.Time) {
@@ -30,29 +30,29 @@
 	c.InTime++
 }
 
-// Result is what came of a play.
+// Result is the outcome of a run.
 type Result struct {
 	Load, Variant                string
 	Online, Items                Counts
-	FirstEventP50, FirstEventP99 time.Duration // from arrival to the first event
-	OnlineSlotShare              float64       // share of the slots' time that online requests held
+	FirstEventP50, FirstEventP99 time.Duration // from the arrival of an online request to its first event
+	OnlineSlotShare              float64       // share of the slots' total time that online requests took
 	ItemSlotShare                float64
 	Yields                       int
-	Datagrams                    int     // between nodes
-	DatagramRate                 float64 // a second, sent by a node
-	ResumedTokens                int     // of outputs, read again because an item went on
-	PromptTokens                 int     // read in all
-	RereadPrefixTokens           int     // of prefixes that the same engine had read before
+	Datagrams                    int     // sent between nodes
+	DatagramRate                 float64 // per second, sent by one node
+	ResumedTokens                int     // output tokens read again because an item was resumed
+	PromptTokens                 int     // prompt tokens read in total
+	RereadPrefixTokens           int     // prefix tokens read again by an engine that had read them before
 	Samples                      []Sample
 	firstEventTimes              []time.Duration
 }
 
-// Sample is what the slots of the fleet were doing at a time.
+// Sample is the use of the fleet's slots at one time.
 type Sample struct {
 	At            time.Duration
-	Slots         int // of engines that live
-	Online, Items int // running
-	Waiting       int // at engines
+	Slots         int // of engines that are up
+	Online, Items int // running requests and items
+	Waiting       int // requests and items queued at engines
 }
 
 // sampleInterval is the time between samples.
@@ -102,7 +102,7 @@
 	return r
 }
 
-// Print writes one line for each result.
+// Print writes the results as a table, one line each.
 func Print(w io.Writer, results []Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "load\tvariant\tonline in aim\trefused\tfailed\tfirst p50\tp99\titems in time\tslots online\titems\tfree\tyields\ttokens read\tagain for yields\tof prefixes\tdatagrams a node and s")
@@ -114,7 +114,7 @@
 	return t.Flush()
 }
 
-// Plot draws what the slots were doing over time into a PNG or SVG file.
+// Plot draws the use of the slots over time into a PNG or SVG file.
 func Plot(r Result, path string) error {
 	p := plot.New()
 	p.Title.Text = r.Load + ", " + r.Variant
--- a/lab/model/work.go
+++ b/lab/model/work.go
@@ -7,7 +7,7 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// job is one batch job at its holder.
+// job is a batch job at its holder, the node that runs it.
 type job struct {
 	id    string
 	due   time.Time
@@ -15,23 +15,23 @@
 }
 
 type item struct {
-	call           *engineCall // nil: waits or is done
+	call           *engineCall // current attempt; nil: the item waits or is done
 	target         string
 	sent           time.Duration
-	notBefore      time.Duration
+	notBefore      time.Duration // no new attempt before this time
 	lastEvent      time.Duration
-	totalEvents    int // of the whole output
-	receivedEvents int
-	yielding       bool
+	totalEvents    int  // of the complete output
+	receivedEvents int  // kept when the item is resumed elsewhere
+	yielding       bool // its attempt is being stopped
 	done           bool
 }
 
-// startJob gives a new startJob to a node.
+// startJob submits a new job to a random node.
 func (f *fleet) startJob() {
 	n := f.randomNode()
 	counted := f.clock.now < f.load.Length
 	if n == nil || !counted {
-		return // callers send it again; not modelled
+		return // a caller would retry it; not modelled
 	}
 	f.jobCount++
 	j := &job{id: fmt.Sprintf("j%05d", f.jobCount), due: f.clock.wallTime().Add(f.CompleteWithin), items: make([]item, jobItems)}
@@ -42,7 +42,7 @@
 	n.jobs = append(n.jobs, j)
 }
 
-// sendItem makes one attempt at an item.
+// sendItem starts an attempt of an item, which resumes after the events received so far.
 func (n *node) sendItem(j *job, i int, target string) {
 	it := &j.items[i]
 	f, incarnation := n.fleet, n.incarnation
@@ -74,7 +74,7 @@
 	n.watchItem(it, call)
 }
 
-// watchItem ends an attempt whose target is silent for long.
+// watchItem ends an attempt that receives no event for stallTimeout.
 func (n *node) watchItem(it *item, call *engineCall) {
 	n.fleet.clock.after(stallTimeout, func() {
 		if it.call != call || it.yielding {
@@ -89,7 +89,7 @@
 	})
 }
 
-// submit sends a run to a target; failed is told when no connection is made.
+// submit sends a call to a target, and calls onFailure if the target can't be reached.
 func (f *fleet) submit(n *node, target string, call *engineCall, onFailure func()) {
 	if !f.reachable(n.dataCentre, f.targetDataCentres[target]) {
 		f.clock.after(connectTimeout, onFailure)
@@ -102,7 +102,8 @@
 	})
 }
 
-// deliver brings an event from a target to a node, unless they are cut apart.
+// deliver delivers an event from a target to a node, unless a network partition is between
+// them.
 func (f *fleet) deliver(n *node, target string, onArrival func()) {
 	f.clock.after(f.delay(n.dataCentre, f.targetDataCentres[target]), func() {
 		if f.reachable(n.dataCentre, f.targetDataCentres[target]) {
@@ -111,7 +112,7 @@
 	})
 }
 
-// Times and shares of the product's forwarder.
+// Copies of the constants of package forward; maxAttempts is a route's number of attempts.
 const (
 	overflow             = 4
 	capacityPollInterval = 10 * time.Millisecond
@@ -121,22 +122,22 @@
 	maxAttempts          = 2
 )
 
-// request is one online request at its node.
+// request is an online request at its node.
 type request struct {
 	node           *node
 	incarnation    int
 	arrived        time.Duration
-	counted        bool
+	counted        bool // it arrived within the load's length
 	prefix         string
-	eventsLeft     int // events to come
-	retries        int
-	excluded       map[string]bool
-	firstEventTime time.Duration // 0: no event yet
+	eventsLeft     int             // events not received yet
+	retries        int             // attempts given up for a better target
+	excluded       map[string]bool // targets of failed attempts
+	firstEventTime time.Duration   // since its arrival; 0: no event yet
 	lastEvent      time.Duration
 	longestGap     time.Duration
 }
 
-// startRequest gives a new online startRequest to a node.
+// startRequest sends a new online request to a random node.
 func (f *fleet) startRequest() {
 	n := f.randomNode()
 	counted := f.clock.now < f.load.Length
@@ -154,9 +155,11 @@
 	q.place()
 }
 
+// nodeStopped reports whether the process that accepted the request has ended.
 func (q *request) nodeStopped() bool { return q.node.down || q.node.incarnation != q.incarnation }
 
-// place sends the request to a target, or waits a little for one.
+// place sends the request to a target. Without a free one it retries, and refuses or fails
+// the request after capacityWaitShare of its objective if it has received no event.
 func (q *request) place() {
 	f, n := q.node.fleet, q.node
 	if q.nodeStopped() {
@@ -189,7 +192,7 @@
 	}
 }
 
-// attempt is one try of a request at a target.
+// attempt is one attempt of a request at a target.
 type attempt struct {
 	*request
 	target string
@@ -229,7 +232,7 @@
 	a.watch(time.Duration(firstEventShare * float64(f.FirstEventObjective)))
 }
 
-// current reports whether the attempt still counts at its node.
+// current reports whether neither the attempt nor its node's process has ended.
 func (a *attempt) current() bool { return !a.ended && !a.nodeStopped() }
 
 func (a *attempt) finish(outcome choose.Outcome) {
@@ -241,15 +244,15 @@
 	}
 }
 
-// retryElsewhere ends the attempt and goes on at another target.
+// retryElsewhere ends the attempt and continues the request at another target.
 func (a *attempt) retryElsewhere(outcome choose.Outcome) {
 	a.finish(outcome)
 	a.excluded[a.target] = true
 	a.place()
 }
 
-// watch ends an attempt whose caller is gone, and gives a silent target up when
-// another is better.
+// watch ends an attempt whose caller has given up or whose node has stopped. It gives up an
+// attempt that receives no event when another target would respond sooner.
 func (a *attempt) watch(after time.Duration) {
 	f := a.node.fleet
 	seen := a.eventsLeft
@@ -285,6 +288,7 @@
 	q.eventsLeft--
 }
 
+// complete records the end of a request whose answer is complete.
 func (q *request) complete() {
 	if !q.counted {
 		return
