--- a/lab/model/quota/quota_test.go
+++ b/lab/model/quota/quota_test.go
@@ -11,37 +11,37 @@
 )
 
 // scenarios returns the loads in which the ways are compared, for one size of the fleet.
-func scenarios(nodes, centres, workspaces int, perSecond float64) []Scenario {
-	base := Scenario{Nodes: nodes, Centres: centres, Workspaces: workspaces, PerSecond: perSecond, Length: 20 * time.Second, HotFactor: 1, Seed: 7}
-	hot := base
+func scenarios(nodes, dataCentres, workspaces int, requestRate float64) []Scenario {
+	usual := Scenario{Nodes: nodes, Centres: dataCentres, Workspaces: workspaces, RequestRate: requestRate, Length: 20 * time.Second, HotFactor: 1, Seed: 7}
+	hot := usual
 	hot.Hot, hot.HotFactor = Span{4 * time.Second, 12 * time.Second}, 7.5
 	with := func(s Scenario, name string, change func(*Scenario)) Scenario {
 		s.Name = name
 		change(&s)
 		return s
 	}
-	nothing := func(*Scenario) {}
-	cut := func(s *Scenario) { s.Partition = Span{8 * time.Second, 6 * time.Second} }
-	cutAndKilled := func(s *Scenario) {
+	unchanged := func(*Scenario) {}
+	partition := func(s *Scenario) { s.Partition = Span{8 * time.Second, 6 * time.Second} }
+	partitionAndHalfKilled := func(s *Scenario) {
 		s.Partition, s.HalfKilled = Span{8 * time.Second, 6 * time.Second}, Span{9 * time.Second, 2 * time.Second}
 	}
-	killed := func(s *Scenario) { s.HalfKilled = Span{8 * time.Second, 2 * time.Second} }
+	halfKilled := func(s *Scenario) { s.HalfKilled = Span{8 * time.Second, 2 * time.Second} }
 	allKilled := func(s *Scenario) { s.AllKilled = Span{8 * time.Second, time.Second} }
 	ownerKilled := func(s *Scenario) { s.OwnerKilled = Span{8 * time.Second, 2 * time.Second} }
 	return []Scenario{
-		with(base, "usual", nothing), with(base, "usual, one node", func(s *Scenario) { s.OneNode = true }),
-		with(hot, "hot", nothing), with(hot, "hot, one node", func(s *Scenario) { s.OneNode = true }),
-		with(base, "usual, cut", cut), with(hot, "hot, cut", cut),
-		with(base, "usual, cut, half killed", cutAndKilled),
-		with(base, "usual, half killed", killed), with(hot, "hot, half killed", killed),
-		with(base, "usual, all killed", allKilled),
-		with(base, "usual, owner killed", ownerKilled), with(hot, "hot, owner killed", ownerKilled),
+		with(usual, "usual", unchanged), with(usual, "usual, one node", func(s *Scenario) { s.OneNode = true }),
+		with(hot, "hot", unchanged), with(hot, "hot, one node", func(s *Scenario) { s.OneNode = true }),
+		with(usual, "usual, cut", partition), with(hot, "hot, cut", partition),
+		with(usual, "usual, cut, half killed", partitionAndHalfKilled),
+		with(usual, "usual, half killed", halfKilled), with(hot, "hot, half killed", halfKilled),
+		with(usual, "usual, all killed", allKilled),
+		with(usual, "usual, owner killed", ownerKilled), with(hot, "hot, owner killed", ownerKilled),
 		with(hot, "hot, limit lowered", func(s *Scenario) { s.LimitsHalvedAt = 8 * time.Second }),
-		with(base, "usual, 30 % lost", func(s *Scenario) { s.LossShare = 0.3 }), with(hot, "hot, 30 % lost", func(s *Scenario) { s.LossShare = 0.3 }),
+		with(usual, "usual, 30 % lost", func(s *Scenario) { s.LossShare = 0.3 }), with(hot, "hot, 30 % lost", func(s *Scenario) { s.LossShare = 0.3 }),
 	}
 }
 
-var ways = []func(*world) Limiter{NewEqualShares, NewDemandShares, NewLending}
+var limiters = []func(*simulation) Limiter{NewEqualShares, NewDemandShares, NewLending}
 
 // TestWaysCompared prints the table of docs/design when QUOTA_TABLE is set, to all or to a
 // number of nodes: all ways in all loads at three sizes of the fleet and with two numbers of
@@ -52,17 +52,17 @@
 		t.Skip("prints a table; takes minutes")
 	}
 	for _, size := range []struct {
-		nodes, centres, workspaces int
-		perSecond                  float64
+		nodes, dataCentres, workspaces int
+		requestRate                    float64
 	}{{6, 3, 73, 60}, {51, 3, 73, 262}, {51, 3, 5700, 262}, {360, 23, 73, 2000}, {360, 23, 5700, 2000}} {
 		if wanted != "all" && wanted != strconv.Itoa(size.nodes) {
 			continue
 		}
-		for _, s := range scenarios(size.nodes, size.centres, size.workspaces, size.perSecond) {
-			for _, way := range ways {
-				f := Run(s, way)
-				fmt.Printf("| %d | %d | %s | %s | %.2f | %.2f %% | %.1f / %.1f ms | %.1f | %.0f |\n", s.Nodes, s.Workspaces, s.Name, f.Limiter, f.WorstWindow, 100*f.MissingShare,
-					f.P50.Seconds()*1000, f.P99.Seconds()*1000, f.MessageRate, f.ByteRate)
+		for _, s := range scenarios(size.nodes, size.dataCentres, size.workspaces, size.requestRate) {
+			for _, newLimiter := range limiters {
+				r := Run(s, newLimiter)
+				fmt.Printf("| %d | %d | %s | %s | %.2f | %.2f %% | %.1f / %.1f ms | %.1f | %.0f |\n", s.Nodes, s.Workspaces, s.Name, r.Limiter, r.WorstWindow, 100*r.MissingShare,
+					r.P50.Seconds()*1000, r.P99.Seconds()*1000, r.MessageRate, r.ByteRate)
 			}
 		}
 	}
@@ -74,33 +74,33 @@
 // tolerance, and one request of a thousand inside the allowance be refused while every
 // node is up and heard.
 func TestAllowanceHoldsOverAllNodes(t *testing.T) {
-	const mostWrong = 0.001
+	const maxMissingShare = 0.001
 	for _, s := range scenarios(51, 3, 73, 262) {
 		t.Run(s.Name, func(t *testing.T) {
 			is := is.New(t)
-			f := Run(s, NewLending)
-			t.Logf("worst window %.2f of what is tolerated, %.3f %% of %d refused wrongly, %v and %v added, %.1f messages a node and second", f.WorstWindow, 100*f.MissingShare, f.Requests, f.P50, f.P99, f.MessageRate)
-			is.True(f.WorstWindow <= 1)
-			is.True(f.MissingShare <= mostWrong)
+			r := Run(s, NewLending)
+			t.Logf("worst window %.2f of what is tolerated, %.3f %% of %d refused wrongly, %v and %v added, %.1f messages a node and second", r.WorstWindow, 100*r.MissingShare, r.Requests, r.P50, r.P99, r.MessageRate)
+			is.True(r.WorstWindow <= 1)
+			is.True(r.MissingShare <= maxMissingShare)
 		})
 	}
 }
 
-// TestManyRequestsShareAnAsk: thousands of requests a second of one workspace come to one
+// TestManyRequestsShareOneBorrowRequest: thousands of requests a second of one workspace come to one
 // node, which asks the workspace's owner for tokens. Seen: admitted requests waited 8.6 s in a
 // fleet of 360 nodes. Cause: first an ask was for one token only, then those that got nothing
 // of a lot asked again for as long as any came. Now one ask is for all that wait, and what it
 // does not bring is refused at once. Proof: with the second fault the 99th percentile is 1.7 s
 // in the larger of the two fleets, where the owner is another node, and 3.6 ms without. In the
 // smaller one it is the node itself, and nobody waits.
-func TestManyRequestsShareAnAsk(t *testing.T) {
+func TestManyRequestsShareOneBorrowRequest(t *testing.T) {
 	for _, nodes := range []int{6, 360} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			is := is.New(t)
-			s := Scenario{Nodes: nodes, Centres: 3, Workspaces: 2, PerSecond: 800, Length: 5 * time.Second, OneNode: true, Hot: Span{time.Second, 3 * time.Second}, HotFactor: 7.5, Seed: 7}
-			f := Run(s, NewLending)
-			t.Logf("%d requests, %v and %v added, worst window %.2f, %.2f %% missing", f.Requests, f.P50, f.P99, f.WorstWindow, 100*f.MissingShare)
-			is.True(f.P99 <= 20*time.Millisecond)
+			s := Scenario{Nodes: nodes, Centres: 3, Workspaces: 2, RequestRate: 800, Length: 5 * time.Second, OneNode: true, Hot: Span{time.Second, 3 * time.Second}, HotFactor: 7.5, Seed: 7}
+			r := Run(s, NewLending)
+			t.Logf("%d requests, %v and %v added, worst window %.2f, %.2f %% missing", r.Requests, r.P50, r.P99, r.WorstWindow, 100*r.MissingShare)
+			is.True(r.P99 <= 20*time.Millisecond)
 		})
 	}
 }
@@ -121,11 +121,11 @@
 		for _, killed := range []time.Duration{8500 * time.Millisecond, 9 * time.Second} {
 			t.Run(fmt.Sprint("seed ", seed, ", killed at ", killed), func(t *testing.T) {
 				is := is.New(t)
-				s := Scenario{Nodes: 51, Centres: 3, Workspaces: 73, PerSecond: 262, Length: 20 * time.Second, HotFactor: 7.5, Hot: Span{4 * time.Second, 12 * time.Second},
+				s := Scenario{Nodes: 51, Centres: 3, Workspaces: 73, RequestRate: 262, Length: 20 * time.Second, HotFactor: 7.5, Hot: Span{4 * time.Second, 12 * time.Second},
 					Partition: Span{8 * time.Second, 6 * time.Second}, HalfKilled: Span{killed, 2 * time.Second}, Seed: seed}
-				f := Run(s, NewLending)
-				t.Logf("worst window %.3f of what is tolerated, %.3f %% missing", f.WorstWindow, 100*f.MissingShare)
-				is.True(f.WorstWindow <= 1)
+				r := Run(s, NewLending)
+				t.Logf("worst window %.3f of what is tolerated, %.3f %% missing", r.WorstWindow, 100*r.MissingShare)
+				is.True(r.WorstWindow <= 1)
 			})
 		}
 	}
--- a/lab/model/quota/ways.go
+++ b/lab/model/quota/ways.go
@@ -19,126 +19,126 @@
 	Restarted(node int)
 }
 
-// equal gives each node the same share.
-type equal struct {
-	w       *world
-	buckets [][]bucket // by node and workspace
+// equalShares gives each node the same share.
+type equalShares struct {
+	sim     *simulation
+	buckets [][]tokenBucket // by node and workspace
 }
 
 // NewEqualShares gives each node the same share of each allowance.
-func NewEqualShares(w *world) Limiter {
-	e := &equal{w: w, buckets: make([][]bucket, w.Nodes)}
+func NewEqualShares(sim *simulation) Limiter {
+	e := &equalShares{sim: sim, buckets: make([][]tokenBucket, sim.Nodes)}
 	for node := range e.buckets {
 		e.Restarted(node)
 		for ws := range e.buckets[node] {
-			e.buckets[node][ws].level = w.limit(ws).Burst
+			e.buckets[node][ws].tokens = sim.limit(ws).Burst
 		}
 	}
 	return e
 }
 
-func (e *equal) Name() string { return "equal shares" }
+func (e *equalShares) Name() string { return "equal shares" }
 
-func (e *equal) Restarted(node int) {
-	e.buckets[node] = make([]bucket, e.w.Workspaces)
+func (e *equalShares) Restarted(node int) {
+	e.buckets[node] = make([]tokenBucket, e.sim.Workspaces)
 	for ws := range e.buckets[node] {
-		e.buckets[node][ws].at = e.w.now
+		e.buckets[node][ws].at = e.sim.now
 	}
 }
 
-func (e *equal) Admit(node, ws int, decided func(bool)) {
-	limit, n := e.w.limit(ws), float64(e.w.Nodes)
-	decided(e.buckets[node][ws].take(e.w.now, limit.PerSecond/n, max(1, limit.Burst/n)))
+func (e *equalShares) Admit(node, ws int, decided func(bool)) {
+	limit, n := e.sim.limit(ws), float64(e.sim.Nodes)
+	decided(e.buckets[node][ws].take(e.sim.now, limit.PerSecond/n, max(1, limit.Burst/n)))
 }
 
-// byDemand gives each node a share by its part of the demand that nodes tell each other.
-type byDemand struct {
-	w       *world
+// demandShares gives each node a share by its part of the demand that nodes tell each other.
+type demandShares struct {
+	sim     *simulation
 	nodes   []demandNode
 	history [][][]float64 // by round and node: demand of each workspace as told
 }
 
 type demandNode struct {
-	buckets []bucket
-	demand  []float64 // requests a second, mean of a second
-	at      []time.Duration
+	buckets  []tokenBucket
+	demand   []float64 // requests a second, mean of a second
+	demandAt []time.Duration
 }
 
 const (
-	tellEach = 100 * time.Millisecond
-	// newsAge is how old, in rounds, news is that went through a group and its speaker.
-	newsAge = 3
+	reportInterval = 100 * time.Millisecond
+	// reportAge is how old, in rounds, news is that went through a group and its speaker.
+	reportAge = 3
 	// entryBytes is what the demand of one workspace takes in a datagram.
 	entryBytes = 12
-	// slightDemand is not told.
-	slightDemand = 0.01
+	// minReportedDemand is not told.
+	minReportedDemand = 0.01
 )
 
 // NewDemandShares gives each node a share of each allowance by the demand told.
-func NewDemandShares(w *world) Limiter {
-	d := &byDemand{w: w, nodes: make([]demandNode, w.Nodes)}
+func NewDemandShares(sim *simulation) Limiter {
+	d := &demandShares{sim: sim, nodes: make([]demandNode, sim.Nodes)}
 	for node := range d.nodes {
 		d.Restarted(node)
-		for ws := range w.Workspaces {
-			d.nodes[node].buckets[ws].level = 1
+		for ws := range sim.Workspaces {
+			d.nodes[node].buckets[ws].tokens = 1
 		}
 	}
-	w.after(tellEach, d.tell)
+	sim.after(reportInterval, d.sendReports)
 	return d
 }
 
-func (d *byDemand) Name() string { return "shares by demand" }
+func (d *demandShares) Name() string { return "shares by demand" }
 
-func (d *byDemand) Restarted(node int) {
+func (d *demandShares) Restarted(node int) {
 	n := &d.nodes[node]
-	n.buckets, n.demand, n.at = make([]bucket, d.w.Workspaces), make([]float64, d.w.Workspaces), make([]time.Duration, d.w.Workspaces)
+	n.buckets, n.demand, n.demandAt = make([]tokenBucket, d.sim.Workspaces), make([]float64, d.sim.Workspaces), make([]time.Duration, d.sim.Workspaces)
 	for ws := range n.buckets {
-		n.buckets[ws].at, n.at[ws] = d.w.now, d.w.now
+		n.buckets[ws].at, n.demandAt[ws] = d.sim.now, d.sim.now
 	}
 }
 
-// tell has each node tell its demand: to twice the root of the nodes of its data centre,
+// sendReports has each node sendReports its demand: to twice the root of the nodes of its data centre,
 // and to three elsewhere.
-func (d *byDemand) tell() {
-	round := make([][]float64, d.w.Nodes)
-	here := float64(d.w.Nodes) / float64(d.w.Centres)
+func (d *demandShares) sendReports() {
+	round := make([][]float64, d.sim.Nodes)
+	nodesPerDataCentre := float64(d.sim.Nodes) / float64(d.sim.Centres)
 	for node := range d.nodes {
-		if !d.w.up(node) {
+		if !d.sim.up(node) {
 			continue
 		}
-		round[node] = make([]float64, d.w.Workspaces)
+		round[node] = make([]float64, d.sim.Workspaces)
 		entries := 0
-		for ws := range d.w.Workspaces {
-			if demand := d.demandNow(node, ws); demand > slightDemand {
+		for ws := range d.sim.Workspaces {
+			if demand := d.currentDemand(node, ws); demand > minReportedDemand {
 				round[node][ws] = demand
 				entries++
 			}
 		}
-		sent := int(2*math.Sqrt(here)) + 3
-		d.w.messages += sent
-		d.w.bytes += sent * entries * entryBytes
+		sent := int(2*math.Sqrt(nodesPerDataCentre)) + 3
+		d.sim.messages += sent
+		d.sim.bytes += sent * entries * entryBytes
 	}
 	d.history = append(d.history, round)
-	if len(d.history) > newsAge+2 {
+	if len(d.history) > reportAge+2 {
 		d.history = d.history[1:]
 	}
-	d.w.after(tellEach, d.tell)
+	d.sim.after(reportInterval, d.sendReports)
 }
 
-func (d *byDemand) demandNow(node, ws int) float64 {
+func (d *demandShares) currentDemand(node, ws int) float64 {
 	n := &d.nodes[node]
-	return n.demand[ws] * math.Exp(-(d.w.now - n.at[ws]).Seconds())
+	return n.demand[ws] * math.Exp(-(d.sim.now - n.demandAt[ws]).Seconds())
 }
 
-// heard returns the demand of all nodes that a node has heard of.
-func (d *byDemand) heard(node, ws int) float64 {
+// reportedDemand returns the demand of all nodes that a node has reportedDemand of.
+func (d *demandShares) reportedDemand(node, ws int) float64 {
 	sum := 0.0
 	for other := range d.nodes {
-		if other == node || !d.w.linked(node, other) {
+		if other == node || !d.sim.connected(node, other) {
 			continue
 		}
-		age := newsAge
-		if d.w.draw.Float64() < d.w.LossShare {
+		age := reportAge
+		if d.sim.rng.Float64() < d.sim.LossShare {
 			age++
 		}
 		if i := len(d.history) - age; i >= 0 && d.history[i][other] != nil {
@@ -148,228 +148,228 @@
 	return sum
 }
 
-func (d *byDemand) Admit(node, ws int, decided func(bool)) {
+func (d *demandShares) Admit(node, ws int, decided func(bool)) {
 	n := &d.nodes[node]
-	n.demand[ws] = d.demandNow(node, ws) + 1
-	n.at[ws] = d.w.now
-	limit := d.w.limit(ws)
-	share := n.demand[ws] / (n.demand[ws] + d.heard(node, ws))
-	decided(n.buckets[ws].take(d.w.now, share*limit.PerSecond, max(1, share*limit.Burst)))
+	n.demand[ws] = d.currentDemand(node, ws) + 1
+	n.demandAt[ws] = d.sim.now
+	limit := d.sim.limit(ws)
+	share := n.demand[ws] / (n.demand[ws] + d.reportedDemand(node, ws))
+	decided(n.buckets[ws].take(d.sim.now, share*limit.PerSecond, max(1, share*limit.Burst)))
 }
 
-// lent has an owner of each workspace lend tokens, as the product does.
-type lent struct {
-	w     *world
+// lending has an owner of each workspace lend tokens, as the product does.
+type lending struct {
+	sim   *simulation
 	names []string // of nodes
-	nodes []lentNode
+	nodes []lendingNode
 }
 
-type lentNode struct {
-	ledger   *allowance.Buckets
-	purse    *allowance.Balances
-	started  int64
-	sequence uint64
-	pending  map[int]*asking
-	waiting  map[int]int           // requests that wait for a token
-	suspects map[int]time.Duration // until when an owner is passed over
-	lived    map[int]time.Duration // when an owner was last heard
-	doubted  map[int]time.Duration // when it was last asked whether one lives
+type lendingNode struct {
+	buckets         *allowance.Buckets
+	balances        *allowance.Balances
+	incarnation     int64
+	sequence        uint64
+	pending         map[int]*pendingBorrow
+	waitingRequests map[int]int           // requests that wait for a token
+	suspectUntil    map[int]time.Duration // until when an owner is passed over
+	lastReceived    map[int]time.Duration // when an owner was last heard
+	lastProbed      map[int]time.Duration // when it was last asked whether one lives
 }
 
-// asking is an ask under way, and the requests that wait for it.
-type asking struct {
+// pendingBorrow is an ask under way, and the requests that wait for it.
+type pendingBorrow struct {
 	sequence uint64
-	waiting  []func()
+	retries  []func()
 	answered bool
 }
 
 const (
-	// askBytes and grantBytes are the datagrams, with the headers of UDP and IP.
-	askBytes   = 96
-	grantBytes = 64
-	// silentAfter is when a node of the own data centre, or a data centre, counts as gone,
+	// requestBytes and grantBytes are the datagrams, with the headers of UDP and IP.
+	requestBytes = 96
+	grantBytes   = 64
+	// unreachableAfter is when a node of the own data centre, or a data centre, counts as gone,
 	// suspectFor how long an owner that did not answer is passed over, and deadAfter how long
 	// it has to be silent while its data centre is heard.
-	silentAfter = time.Second
-	suspectFor  = time.Second
-	deadAfter   = 250 * time.Millisecond
+	unreachableAfter  = time.Second
+	suspectFor        = time.Second
+	unresponsiveAfter = 250 * time.Millisecond
 )
 
 // NewLending has an owner of each workspace lend tokens.
-func NewLending(w *world) Limiter {
-	l := &lent{w: w, nodes: make([]lentNode, w.Nodes)}
-	for node := range w.Nodes {
+func NewLending(sim *simulation) Limiter {
+	l := &lending{sim: sim, nodes: make([]lendingNode, sim.Nodes)}
+	for node := range sim.Nodes {
 		l.names = append(l.names, fmt.Sprint("node-", node))
 		l.Restarted(node)
-		l.nodes[node].ledger = allowance.NewBuckets(w.clock().Add(-time.Minute), tolerated)
+		l.nodes[node].buckets = allowance.NewBuckets(sim.wallTime().Add(-time.Minute), tolerance)
 	}
 	return l
 }
 
-func (l *lent) Name() string { return "lent by an owner" }
+func (l *lending) Name() string { return "lent by an owner" }
 
-func (l *lent) Restarted(node int) {
+func (l *lending) Restarted(node int) {
 	n := &l.nodes[node]
-	*n = lentNode{ledger: allowance.NewBuckets(l.w.clock(), tolerated), purse: allowance.NewBalances(), started: n.started + 1,
-		pending: map[int]*asking{}, waiting: map[int]int{}, suspects: map[int]time.Duration{}, lived: map[int]time.Duration{}, doubted: map[int]time.Duration{}}
+	*n = lendingNode{buckets: allowance.NewBuckets(l.sim.wallTime(), tolerance), balances: allowance.NewBalances(), incarnation: n.incarnation + 1,
+		pending: map[int]*pendingBorrow{}, waitingRequests: map[int]int{}, suspectUntil: map[int]time.Duration{}, lastReceived: map[int]time.Duration{}, lastProbed: map[int]time.Duration{}}
 }
 
 func workspaceName(ws int) string { return fmt.Sprint("w", ws) }
 
 // ownerOfLargest returns the natural owner of the first workspace.
-func (w *world) ownerOfLargest() int {
+func (s *simulation) ownerOfLargest() int {
 	var names []string
-	for node := range w.Nodes {
+	for node := range s.Nodes {
 		names = append(names, fmt.Sprint("node-", node))
 	}
 	return slices.Index(names, allowance.PreferredOwner(workspaceName(0), names))
 }
 
-func (l *lent) Admit(node, ws int, decided func(bool)) {
+func (l *lending) Admit(node, ws int, decided func(bool)) {
 	n := &l.nodes[node]
-	n.purse.Arrived(l.w.clock(), workspaceName(ws))
-	n.waiting[ws]++
-	l.tryTake(node, ws, func(admitted bool) {
-		l.nodes[node].waiting[ws]--
+	n.balances.Arrived(l.sim.wallTime(), workspaceName(ws))
+	n.waitingRequests[ws]++
+	l.tryAdmit(node, ws, func(admitted bool) {
+		l.nodes[node].waitingRequests[ws]--
 		decided(admitted)
 	})
 }
 
-func (l *lent) tryTake(node, ws int, decided func(bool)) {
+func (l *lending) tryAdmit(node, ws int, decided func(bool)) {
 	n := &l.nodes[node]
-	switch answer, _ := n.purse.Take(l.w.clock(), workspaceName(ws)); answer {
+	switch decision, _ := n.balances.Take(l.sim.wallTime(), workspaceName(ws)); decision {
 	case allowance.Taken:
 		decided(true)
 	case allowance.Refused, allowance.Unanswered:
 		decided(false)
 	default:
-		again := func() { l.tryTake(node, ws, decided) }
-		if a := n.pending[ws]; a != nil {
-			a.waiting = append(a.waiting, again)
+		retry := func() { l.tryAdmit(node, ws, decided) }
+		if p := n.pending[ws]; p != nil {
+			p.retries = append(p.retries, retry)
 			return
 		}
 		n.sequence++
-		a := &asking{sequence: n.sequence, waiting: []func(){again}}
-		n.pending[ws] = a
-		l.ask(node, ws, a)
+		p := &pendingBorrow{sequence: n.sequence, retries: []func(){retry}}
+		n.pending[ws] = p
+		l.borrow(node, ws, p)
 	}
 }
 
-// ask sends an ask along its course.
-func (l *lent) ask(node, ws int, a *asking) {
+// borrow sends an borrow along its course.
+func (l *lending) borrow(node, ws int, p *pendingBorrow) {
 	n := &l.nodes[node]
-	ask := n.purse.Request(l.w.clock(), workspaceName(ws), n.waiting[ws])
-	ask.Borrower, ask.Boot, ask.Sequence, ask.DataCentre = l.names[node], n.started, a.sequence, centreName(l.w.centre(node))
-	l.next(node, ws, a, ask, allowance.NewAttempts(l.names[node], allowance.Owners(workspaceName(ws), l.heard(node))))
+	request := n.balances.Request(l.sim.wallTime(), workspaceName(ws), n.waitingRequests[ws])
+	request.Borrower, request.Boot, request.Sequence, request.DataCentre = l.names[node], n.incarnation, p.sequence, dataCentreName(l.sim.dataCentre(node))
+	l.sendNext(node, ws, p, request, allowance.NewAttempts(l.names[node], allowance.Owners(workspaceName(ws), l.reachableNodes(node))))
 }
 
-func (l *lent) next(node, ws int, a *asking, ask allowance.BorrowRequest, course *allowance.Attempts) {
-	name, wait, ok := course.Next()
+func (l *lending) sendNext(node, ws int, p *pendingBorrow, request allowance.BorrowRequest, attempts *allowance.Attempts) {
+	name, wait, ok := attempts.Next()
 	switch {
 	case !ok:
-		l.granted(node, ws, a, l.lend(node, ws, ask, true), true)
+		l.granted(node, ws, p, l.lend(node, ws, request, true), true)
 		return
 	case name == l.names[node]:
-		l.granted(node, ws, a, l.lend(node, ws, ask, false), false)
+		l.granted(node, ws, p, l.lend(node, ws, request, false), false)
 		return
 	}
 	owner := slices.Index(l.names, name)
-	started := l.nodes[node].started
-	l.w.send(node, owner, askBytes, func() {
-		grant := l.lend(owner, ws, ask, false)
-		l.w.send(owner, node, grantBytes, func() {
-			l.nodes[node].lived[owner] = l.w.now
-			if l.nodes[node].started == started {
-				l.granted(node, ws, a, grant, false)
+	incarnation := l.nodes[node].incarnation
+	l.sim.send(node, owner, requestBytes, func() {
+		grant := l.lend(owner, ws, request, false)
+		l.sim.send(owner, node, grantBytes, func() {
+			l.nodes[node].lastReceived[owner] = l.sim.now
+			if l.nodes[node].incarnation == incarnation {
+				l.granted(node, ws, p, grant, false)
 			}
 		})
 	})
-	l.w.after(wait, func() {
-		if a.answered || l.nodes[node].started != started {
+	l.sim.after(wait, func() {
+		if p.answered || l.nodes[node].incarnation != incarnation {
 			return
 		}
-		if course.Last() {
-			l.nodes[node].suspects[owner] = l.w.now + suspectFor
+		if attempts.Last() {
+			l.nodes[node].suspectUntil[owner] = l.sim.now + suspectFor
 		}
-		l.next(node, ws, a, ask, course)
+		l.sendNext(node, ws, p, request, attempts)
 	})
 }
 
-func (l *lent) granted(node, ws int, a *asking, grant allowance.Grant, alone bool) {
-	if a.answered {
+func (l *lending) granted(node, ws int, p *pendingBorrow, grant allowance.Grant, isolated bool) {
+	if p.answered {
 		return
 	}
-	a.answered = true
+	p.answered = true
 	n := &l.nodes[node]
-	n.purse.Granted(l.w.clock(), workspaceName(ws), grant, alone)
+	n.balances.Granted(l.sim.wallTime(), workspaceName(ws), grant, isolated)
 	delete(n.pending, ws)
-	for _, again := range a.waiting {
-		again()
+	for _, retry := range p.retries {
+		retry()
 	}
 }
 
-func (l *lent) lend(node, ws int, ask allowance.BorrowRequest, alone bool) allowance.Grant {
-	around := allowance.FleetView{Isolated: alone, Nodes: map[string]int{}, Reachable: map[string]bool{}}
-	for dc := range l.w.Centres {
-		around.Nodes[centreName(dc)] = l.w.Nodes / l.w.Centres
-		around.Reachable[centreName(dc)] = l.hearsCentre(node, dc)
+func (l *lending) lend(node, ws int, request allowance.BorrowRequest, isolated bool) allowance.Grant {
+	view := allowance.FleetView{Isolated: isolated, Nodes: map[string]int{}, Reachable: map[string]bool{}}
+	for dc := range l.sim.Centres {
+		view.Nodes[dataCentreName(dc)] = l.sim.Nodes / l.sim.Centres
+		view.Reachable[dataCentreName(dc)] = l.dataCentreReachable(node, dc)
 	}
-	first := slices.Index(l.names, allowance.PreferredOwner(workspaceName(ws), l.names))
-	around.Preferred = first == node
-	if !around.Preferred && !alone {
-		around.PreferredReachable = l.lives(node, first)
+	preferred := slices.Index(l.names, allowance.PreferredOwner(workspaceName(ws), l.names))
+	view.Preferred = preferred == node
+	if !view.Preferred && !isolated {
+		view.PreferredReachable = l.isResponsive(node, preferred)
 	}
-	return l.nodes[node].ledger.Lend(l.w.clock(), l.w.limit(ws), around, ask)
+	return l.nodes[node].buckets.Lend(l.sim.wallTime(), l.sim.limit(ws), view, request)
 }
 
-// lives reports whether an owner was heard of late, and asks it.
-func (l *lent) lives(node, owner int) bool {
-	l.w.send(node, owner, askBytes, func() {
-		l.w.send(owner, node, grantBytes, func() { l.nodes[node].lived[owner] = l.w.now })
+// isResponsive reports whether an owner was heard of late, and asks it.
+func (l *lending) isResponsive(node, owner int) bool {
+	l.sim.send(node, owner, requestBytes, func() {
+		l.sim.send(owner, node, grantBytes, func() { l.nodes[node].lastReceived[owner] = l.sim.now })
 	})
 	n := &l.nodes[node]
-	if asked, before := n.doubted[owner]; !before || l.w.now-asked > deadAfter {
-		n.lived[owner] = l.w.now // until it had the time to answer
+	if probed, ok := n.lastProbed[owner]; !ok || l.sim.now-probed > unresponsiveAfter {
+		n.lastReceived[owner] = l.sim.now // until it had the time to answer
 	}
-	n.doubted[owner] = l.w.now
-	dc := l.w.centre(owner)
-	return l.hearsCentre(node, dc) && l.centreHeardAt(node, dc)-n.lived[owner] < deadAfter
+	n.lastProbed[owner] = l.sim.now
+	dc := l.sim.dataCentre(owner)
+	return l.dataCentreReachable(node, dc) && l.dataCentreLastReceived(node, dc)-n.lastReceived[owner] < unresponsiveAfter
 }
 
-// centreHeardAt returns when a node last heard a data centre.
-func (l *lent) centreHeardAt(node, dc int) time.Duration {
-	if l.w.Partition.holds(l.w.now) && (l.w.centre(node) == 0) != (dc == 0) {
-		return l.w.Partition.From
+// dataCentreLastReceived returns when a node last heard a data centre.
+func (l *lending) dataCentreLastReceived(node, dc int) time.Duration {
+	if l.sim.Partition.contains(l.sim.now) && (l.sim.dataCentre(node) == 0) != (dc == 0) {
+		return l.sim.Partition.From
 	}
-	return l.w.now
+	return l.sim.now
 }
 
-// heard returns the nodes that a node would ask.
-func (l *lent) heard(node int) []string {
+// reachableNodes returns the nodes that a node would ask.
+func (l *lending) reachableNodes(node int) []string {
 	var out []string
 	for owner := range l.nodes {
-		heard := owner == node || (l.w.centre(owner) != l.w.centre(node) && l.hearsCentre(node, l.w.centre(owner))) ||
-			(l.w.centre(owner) == l.w.centre(node) && !l.silent(owner))
-		if heard && l.w.now >= l.nodes[node].suspects[owner] {
+		reachable := owner == node || (l.sim.dataCentre(owner) != l.sim.dataCentre(node) && l.dataCentreReachable(node, l.sim.dataCentre(owner))) ||
+			(l.sim.dataCentre(owner) == l.sim.dataCentre(node) && !l.detectedDown(owner))
+		if reachable && l.sim.now >= l.nodes[node].suspectUntil[owner] {
 			out = append(out, l.names[owner])
 		}
 	}
 	return out
 }
 
-// silent reports whether a node has been down for as long as it takes to be noticed.
-func (l *lent) silent(node int) bool {
-	earlier := *l.w
-	earlier.now = max(0, l.w.now-silentAfter)
-	return !l.w.up(node) && !earlier.up(node)
+// detectedDown reports whether a node has been down for as long as it takes to be noticed.
+func (l *lending) detectedDown(node int) bool {
+	earlier := *l.sim
+	earlier.now = max(0, l.sim.now-unreachableAfter)
+	return !l.sim.up(node) && !earlier.up(node)
 }
 
-// hearsCentre reports whether a node hears a data centre, as of late.
-func (l *lent) hearsCentre(node, dc int) bool {
-	if (l.w.centre(node) == 0) == (dc == 0) {
+// dataCentreReachable reports whether a node hears a data centre, as of late.
+func (l *lending) dataCentreReachable(node, dc int) bool {
+	if (l.sim.dataCentre(node) == 0) == (dc == 0) {
 		return true
 	}
-	return !(l.w.Partition.holds(l.w.now) && l.w.Partition.holds(l.w.now-silentAfter))
+	return !(l.sim.Partition.contains(l.sim.now) && l.sim.Partition.contains(l.sim.now-unreachableAfter))
 }
 
-func centreName(dc int) string { return fmt.Sprint("dc", dc) }
+func dataCentreName(dc int) string { return fmt.Sprint("dc", dc) }
--- a/lab/model/quota/world.go
+++ b/lab/model/quota/world.go
@@ -17,16 +17,16 @@
 // Span is a part of the time of a scenario.
 type Span struct{ From, For time.Duration }
 
-func (s Span) holds(at time.Duration) bool { return at >= s.From && at < s.From+s.For }
+func (s Span) contains(at time.Duration) bool { return at >= s.From && at < s.From+s.For }
 
 // Scenario is a fleet, its load and what happens to it.
 type Scenario struct {
-	Name       string
-	Nodes      int
-	Centres    int
-	Workspaces int
-	PerSecond  float64 // requests of all workspaces, in the mean
-	Length     time.Duration
+	Name        string
+	Nodes       int
+	Centres     int
+	Workspaces  int
+	RequestRate float64 // requests of all workspaces, in the mean
+	Length      time.Duration
 	// OneNode has all callers of a workspace at one node; else each request comes to any.
 	OneNode bool
 	// Hot has the largest workspace send HotFactor times its usual.
@@ -50,144 +50,144 @@
 	headroom = 1.6
 	// skew makes some workspaces large: the usual of the nth is in proportion to n^-skew.
 	skew = 0.8
-	// leastRate is the smallest allowance that operators give, requests a second.
-	leastRate = 5
-	// inCentre and across are what a message takes one way.
-	inCentre = 200 * time.Microsecond
-	across   = 900 * time.Microsecond
-	// comeBack is the time over which callers come again after all nodes were down.
-	comeBack = time.Second
-	// highs has the load go up and down around the mean, in periods of highTime.
-	highs    = 0.85
-	highTime = 2600 * time.Millisecond
+	// minRate is the smallest allowance that operators give, requests a second.
+	minRate = 5
+	// localDelay and across are what a message takes one way.
+	localDelay  = 200 * time.Microsecond
+	remoteDelay = 900 * time.Microsecond
+	// retrySpread is the time over which callers come again after all nodes were down.
+	retrySpread = time.Second
+	// waveAmplitude has the load go up and down around the mean, in periods of highTime.
+	waveAmplitude = 0.85
+	wavePeriod    = 2600 * time.Millisecond
 )
 
-// tolerated is how far an allowance may be exceeded.
-var tolerated = allowance.Tolerance{Window: 5 * time.Second, Share: 0.1, Slack: 20}
+// tolerance is how far an allowance may be exceeded.
+var tolerance = allowance.Tolerance{Window: 5 * time.Second, Share: 0.1, Slack: 20}
 
-// world is the fleet of a run.
-type world struct {
+// simulation is the fleet of a run.
+type simulation struct {
 	Scenario
-	now      time.Duration
-	events   queue
-	order    uint64
-	draw     *rand.Rand
-	usual    []float64 // requests a second of each workspace
-	messages int
-	bytes    int
+	now        time.Duration
+	events     eventQueue
+	scheduled  uint64
+	rng        *rand.Rand
+	usualRates []float64 // requests a second of each workspace
+	messages   int
+	bytes      int
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].order < q[j].order)
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].sequence < q[j].sequence)
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(e any)   { *q = append(*q, e.(event)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(e any)   { *q = append(*q, e.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return e
 }
 
-func newWorld(s Scenario) *world {
-	w := &world{Scenario: s, draw: rand.New(rand.NewPCG(s.Seed, s.Seed+1)), usual: make([]float64, s.Workspaces)}
+func newSimulation(s Scenario) *simulation {
+	sim := &simulation{Scenario: s, rng: rand.New(rand.NewPCG(s.Seed, s.Seed+1)), usualRates: make([]float64, s.Workspaces)}
 	sum := 0.0
-	for i := range w.usual {
-		w.usual[i] = math.Pow(float64(i+1), -skew)
-		sum += w.usual[i]
+	for i := range sim.usualRates {
+		sim.usualRates[i] = math.Pow(float64(i+1), -skew)
+		sum += sim.usualRates[i]
 	}
-	for i := range w.usual {
-		w.usual[i] *= s.PerSecond / sum
+	for i := range sim.usualRates {
+		sim.usualRates[i] *= s.RequestRate / sum
 	}
-	return w
+	return sim
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.events, event{w.now + d, w.order, do})
+func (s *simulation) after(d time.Duration, run func()) {
+	s.scheduled++
+	heap.Push(&s.events, event{s.now + d, s.scheduled, run})
 }
 
-func (w *world) run(until time.Duration) {
-	for len(w.events) > 0 && w.events[0].at <= until {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		e.do()
+func (s *simulation) run(until time.Duration) {
+	for len(s.events) > 0 && s.events[0].at <= until {
+		e := heap.Pop(&s.events).(event)
+		s.now = e.at
+		e.run()
 	}
 }
 
-// clock returns the virtual time as nodes read it.
-func (w *world) clock() time.Time { return time.Unix(0, 0).Add(w.now) }
+// wallTime returns the virtual time as nodes read it.
+func (s *simulation) wallTime() time.Time { return time.Unix(0, 0).Add(s.now) }
 
-func (w *world) centre(node int) int { return node % w.Centres }
+func (s *simulation) dataCentre(node int) int { return node % s.Centres }
 
 // limit returns the allowance of a workspace in force.
-func (w *world) limit(ws int) workspace.Allowance {
-	rate := math.Max(leastRate, math.Ceil(headroom*(1+highs)*w.usual[ws]))
-	if w.LimitsHalvedAt > 0 && w.now >= w.LimitsHalvedAt {
+func (s *simulation) limit(ws int) workspace.Allowance {
+	rate := math.Max(minRate, math.Ceil(headroom*(1+waveAmplitude)*s.usualRates[ws]))
+	if s.LimitsHalvedAt > 0 && s.now >= s.LimitsHalvedAt {
 		rate = math.Ceil(rate / 2)
 	}
 	return workspace.Allowance{PerSecond: rate, Burst: rate}
 }
 
 // up reports whether a node runs.
-func (w *world) up(node int) bool {
-	if w.AllKilled.holds(w.now) || (w.HalfKilled.holds(w.now) && node%2 == 1) {
+func (s *simulation) up(node int) bool {
+	if s.AllKilled.contains(s.now) || (s.HalfKilled.contains(s.now) && node%2 == 1) {
 		return false
 	}
-	return !(w.OwnerKilled.holds(w.now) && node == w.ownerOfLargest())
+	return !(s.OwnerKilled.contains(s.now) && node == s.ownerOfLargest())
 }
 
-// linked reports whether two nodes reach each other.
-func (w *world) linked(a, b int) bool {
-	cut := w.Partition.holds(w.now) && (w.centre(a) == 0) != (w.centre(b) == 0)
-	return !cut && w.up(a) && w.up(b)
+// connected reports whether two nodes reach each other.
+func (s *simulation) connected(a, b int) bool {
+	partitioned := s.Partition.contains(s.now) && (s.dataCentre(a) == 0) != (s.dataCentre(b) == 0)
+	return !partitioned && s.up(a) && s.up(b)
 }
 
 // send carries a message, or loses it.
-func (w *world) send(from, to, size int, arrive func()) {
-	w.messages++
-	w.bytes += size
-	if !w.linked(from, to) || w.draw.Float64() < w.LossShare {
+func (s *simulation) send(from, to, size int, arrive func()) {
+	s.messages++
+	s.bytes += size
+	if !s.connected(from, to) || s.rng.Float64() < s.LossShare {
 		return
 	}
-	delay := inCentre
-	if w.centre(from) != w.centre(to) {
-		delay = across
+	delay := localDelay
+	if s.dataCentre(from) != s.dataCentre(to) {
+		delay = remoteDelay
 	}
-	w.after(delay, func() {
-		if w.linked(from, to) {
+	s.after(delay, func() {
+		if s.connected(from, to) {
 			arrive()
 		}
 	})
 }
 
 // demand returns how many requests a second a workspace sends now.
-func (w *world) demand(ws int) float64 {
-	phase := math.Sin(2 * math.Pi * w.now.Seconds() / highTime.Seconds())
-	rate := w.usual[ws] * (1 + highs*math.Copysign(1, phase))
-	if ws == 0 && w.Hot.holds(w.now) {
-		rate *= w.HotFactor
+func (s *simulation) demand(ws int) float64 {
+	phase := math.Sin(2 * math.Pi * s.now.Seconds() / wavePeriod.Seconds())
+	rate := s.usualRates[ws] * (1 + waveAmplitude*math.Copysign(1, phase))
+	if ws == 0 && s.Hot.contains(s.now) {
+		rate *= s.HotFactor
 	}
 	return rate
 }
 
-// nodeFor returns the node that a request comes to: one that runs.
-func (w *world) nodeFor(ws int) int {
-	node := w.draw.IntN(w.Nodes)
-	if w.OneNode {
-		node = ws * 7919 % w.Nodes
+// receivingNode returns the node that a request comes to: one that runs.
+func (s *simulation) receivingNode(ws int) int {
+	node := s.rng.IntN(s.Nodes)
+	if s.OneNode {
+		node = ws * 7919 % s.Nodes
 	}
-	for !w.up(node) {
-		node = (node + 1) % w.Nodes
+	for !s.up(node) {
+		node = (node + 1) % s.Nodes
 	}
 	return node
 }
@@ -208,142 +208,142 @@
 	ByteRate    float64 // the same
 }
 
-// tally takes what happens to requests.
-type tally struct {
-	w          *world
-	admitted   [][]time.Duration // by workspace
-	reference  []bucket          // what a limiter that knows everything at once would admit
-	inside     []int             // by workspace: what it admits
-	requests   int
-	delays     []time.Duration
-	limitsThen []workspace.Allowance
+// recorder takes what happens to requests.
+type recorder struct {
+	sim            *simulation
+	admitted       [][]time.Duration // by workspace
+	reference      []tokenBucket     // what a limiter that knows everything at once would admit
+	referenceCount []int             // by workspace: what it admits
+	requests       int
+	delays         []time.Duration
+	finalLimits    []workspace.Allowance
 }
 
-// bucket is a token bucket.
-type bucket struct {
-	level float64
-	at    time.Duration
+// tokenBucket is a token tokenBucket.
+type tokenBucket struct {
+	tokens float64
+	at     time.Duration
 }
 
-func (b *bucket) take(now time.Duration, rate, most float64) bool {
-	b.level = min(most, b.level+(now-b.at).Seconds()*rate)
+func (b *tokenBucket) take(now time.Duration, rate, burst float64) bool {
+	b.tokens = min(burst, b.tokens+(now-b.at).Seconds()*rate)
 	b.at = now
-	if b.level < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.level--
+	b.tokens--
 	return true
 }
 
-func (t *tally) arrive(way Limiter, ws int) {
-	if all := t.w.AllKilled; all.holds(t.w.now) {
-		back := all.From + all.For - t.w.now + time.Duration(t.w.draw.Float64()*float64(comeBack))
-		t.w.after(back, func() { t.arrive(way, ws) })
+func (r *recorder) arrive(limiter Limiter, ws int) {
+	if all := r.sim.AllKilled; all.contains(r.sim.now) {
+		delay := all.From + all.For - r.sim.now + time.Duration(r.sim.rng.Float64()*float64(retrySpread))
+		r.sim.after(delay, func() { r.arrive(limiter, ws) })
 		return
 	}
-	t.requests++
-	limit := t.w.limit(ws)
-	inside := t.reference[ws].take(t.w.now, limit.PerSecond, limit.Burst)
-	if inside {
-		t.inside[ws]++
+	r.requests++
+	limit := r.sim.limit(ws)
+	withinLimit := r.reference[ws].take(r.sim.now, limit.PerSecond, limit.Burst)
+	if withinLimit {
+		r.referenceCount[ws]++
 	}
-	began := t.w.now
-	way.Admit(t.w.nodeFor(ws), ws, func(admitted bool) {
+	arrivedAt := r.sim.now
+	limiter.Admit(r.sim.receivingNode(ws), ws, func(admitted bool) {
 		if !admitted {
 			return
 		}
-		t.admitted[ws] = append(t.admitted[ws], t.w.now)
-		t.delays = append(t.delays, t.w.now-began)
+		r.admitted[ws] = append(r.admitted[ws], r.sim.now)
+		r.delays = append(r.delays, r.sim.now-arrivedAt)
 	})
 }
 
-// worst returns the largest ratio over all windows. After a limit was lowered it counts
+// worstWindow returns the largest ratio over all windows. After a limit was lowered it counts
 // from one window later on.
-func (t *tally) worst() float64 {
+func (r *recorder) worstWindow() float64 {
 	worst := 0.0
-	for ws, times := range t.admitted {
-		limit := t.limitsThen[ws]
-		most := (limit.PerSecond*tolerated.Window.Seconds()+limit.Burst)*(1+tolerated.Share) + tolerated.Slack
+	for ws, times := range r.admitted {
+		limit := r.finalLimits[ws]
+		allowed := (limit.PerSecond*tolerance.Window.Seconds()+limit.Burst)*(1+tolerance.Share) + tolerance.Slack
 		slices.Sort(times)
 		first := 0
 		for i, at := range times {
-			for at-times[first] > tolerated.Window {
+			for at-times[first] > tolerance.Window {
 				first++
 			}
-			if t.w.LimitsHalvedAt == 0 || times[first] >= t.w.LimitsHalvedAt+tolerated.Window {
-				worst = max(worst, float64(i-first+1)/most)
+			if r.sim.LimitsHalvedAt == 0 || times[first] >= r.sim.LimitsHalvedAt+tolerance.Window {
+				worst = max(worst, float64(i-first+1)/allowed)
 			}
 		}
 	}
 	return worst
 }
 
-// missing returns the share of what lies inside the allowances that was not admitted.
-func (t *tally) missing() float64 {
-	inside, missing := 0, 0
-	for ws, n := range t.inside {
-		inside += n
-		missing += max(0, n-len(t.admitted[ws]))
+// missingShare returns the share of what lies inside the allowances that was not admitted.
+func (r *recorder) missingShare() float64 {
+	admissible, missing := 0, 0
+	for ws, n := range r.referenceCount {
+		admissible += n
+		missing += max(0, n-len(r.admitted[ws]))
 	}
-	return float64(missing) / float64(max(1, inside))
+	return float64(missing) / float64(max(1, admissible))
 }
 
 // Run plays a scenario in one way.
-func Run(s Scenario, newWay func(w *world) Limiter) Result {
-	w := newWorld(s)
-	way := newWay(w)
-	t := &tally{w: w, admitted: make([][]time.Duration, s.Workspaces), reference: make([]bucket, s.Workspaces), inside: make([]int, s.Workspaces)}
+func Run(s Scenario, newLimiter func(sim *simulation) Limiter) Result {
+	sim := newSimulation(s)
+	limiter := newLimiter(sim)
+	rec := &recorder{sim: sim, admitted: make([][]time.Duration, s.Workspaces), reference: make([]tokenBucket, s.Workspaces), referenceCount: make([]int, s.Workspaces)}
 	for ws := range s.Workspaces {
-		t.reference[ws].level = w.limit(ws).Burst
-		t.schedule(way, ws)
+		rec.reference[ws].tokens = sim.limit(ws).Burst
+		rec.scheduleArrival(limiter, ws)
 	}
-	w.restarts(way)
-	w.run(s.Length)
+	sim.scheduleRestarts(limiter)
+	sim.run(s.Length)
 	for ws := range s.Workspaces {
-		t.limitsThen = append(t.limitsThen, w.limit(ws))
+		rec.finalLimits = append(rec.finalLimits, sim.limit(ws))
 	}
-	slices.Sort(t.delays)
-	f := Result{Limiter: way.Name(), WorstWindow: t.worst(), Requests: t.requests, MissingShare: t.missing()}
-	if n := len(t.delays); n > 0 {
-		f.P50, f.P99 = t.delays[n/2], t.delays[n*99/100]
+	slices.Sort(rec.delays)
+	r := Result{Limiter: limiter.Name(), WorstWindow: rec.worstWindow(), Requests: rec.requests, MissingShare: rec.missingShare()}
+	if n := len(rec.delays); n > 0 {
+		r.P50, r.P99 = rec.delays[n/2], rec.delays[n*99/100]
 	}
 	perNode := float64(s.Nodes) * s.Length.Seconds()
-	f.MessageRate, f.ByteRate = float64(w.messages)/perNode, float64(w.bytes)/perNode
-	return f
+	r.MessageRate, r.ByteRate = float64(sim.messages)/perNode, float64(sim.bytes)/perNode
+	return r
 }
 
-// schedule has a workspace's next request arrive. Arrivals are drawn at the highest rate
+// scheduleArrival has a workspace's next request arrive. Arrivals are drawn at the highest rate
 // and thinned out.
-func (t *tally) schedule(way Limiter, ws int) {
-	most := t.w.usual[ws] * (1 + highs)
-	if ws == 0 && t.w.HotFactor > 1 {
-		most *= t.w.HotFactor
+func (r *recorder) scheduleArrival(limiter Limiter, ws int) {
+	maxRate := r.sim.usualRates[ws] * (1 + waveAmplitude)
+	if ws == 0 && r.sim.HotFactor > 1 {
+		maxRate *= r.sim.HotFactor
 	}
-	pause := time.Duration(t.w.draw.ExpFloat64() / most * float64(time.Second))
-	t.w.after(pause, func() {
-		if t.w.draw.Float64() < t.w.demand(ws)/most {
-			t.arrive(way, ws)
+	gap := time.Duration(r.sim.rng.ExpFloat64() / maxRate * float64(time.Second))
+	r.sim.after(gap, func() {
+		if r.sim.rng.Float64() < r.sim.demand(ws)/maxRate {
+			r.arrive(limiter, ws)
 		}
-		t.schedule(way, ws)
+		r.scheduleArrival(limiter, ws)
 	})
 }
 
-// restarts tells a way which nodes start anew.
-func (w *world) restarts(way Limiter) {
-	for _, span := range []Span{w.HalfKilled, w.AllKilled, w.OwnerKilled} {
+// scheduleRestarts tells a way which nodes start anew.
+func (s *simulation) scheduleRestarts(limiter Limiter) {
+	for _, span := range []Span{s.HalfKilled, s.AllKilled, s.OwnerKilled} {
 		if span.For == 0 {
 			continue
 		}
-		w.after(span.From, func() {
+		s.after(span.From, func() {
 			var down []int
-			for node := range w.Nodes {
-				if !w.up(node) {
+			for node := range s.Nodes {
+				if !s.up(node) {
 					down = append(down, node)
 				}
 			}
-			w.after(span.For, func() {
+			s.after(span.For, func() {
 				for _, node := range down {
-					way.Restarted(node)
+					limiter.Restarted(node)
 				}
 			})
 		})
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -60,7 +60,7 @@
 mutant 10 internal/request/allowance/portion.go 's/case !view\.partitioned\(\):/case !view.partitioned() || view.Preferred:/' internal/request/allowance TestBothSidesOfACutShareTheAllowance
 mutant 10 platform/front.go 's/f\.node\.Allowances\(\)\.Return\(by\)//' lab/hosted TestUnrunRequestsTakeNothing
 mutant 10 internal/connection/lending/lending.go 's/owner == x\.Node \{/owner != "" {/' lab/hosted TestAllowanceHoldsOverTheFleet
-mutant 10 internal/request/allowance/purse.go 's/if g\.Wait > 0 \{/if g.Lent == 0 {/' lab/model/quota TestManyRequestsShareAnAsk
+mutant 10 internal/request/allowance/purse.go 's/if g\.Wait > 0 \{/if g.Lent == 0 {/' lab/model/quota TestManyRequestsShareOneBorrowRequest
 mutant 10 internal/request/backlog/backlog.go 's/case waiting > limit:/case waiting > 2*limit:/' internal/request/backlog TestSecondJobOverTheLimitIsRefused
 mutant 10 internal/request/backlog/backlog.go 's/case now\.Sub\(b\.since\) >= learnTime:/case !now.Before(b.since):/' internal/request/backlog TestNewOwnerLearnsFirst
 mutant 10 internal/request/schedule/fair.go 's/return max\(f\.virtualTime, f\.finishTags\[name\]\)/return f.finishTags[name]/' internal/request/schedule TestFairWithinAWorkspaceIsByDue
