--- a/lab/model/quota/ways.go
+++ b/lab/model/quota/ways.go
@@ -9,23 +9,23 @@
 	"github.com/marblepond/marblepond/internal/request/allowance"
 )
 
-// Limiter keeps workspaces to their allowances.
+// Limiter enforces the allowances of workspaces.
 type Limiter interface {
 	Name() string
-	// Admit decides about a request that came to a node; decided is called once, at the
-	// time when it is known.
+	// Admit decides whether a request that arrived at a node is admitted. It calls decided
+	// once, when the decision is made.
 	Admit(node, ws int, decided func(admitted bool))
-	// Restarted has a node begin anew with nothing remembered.
+	// Restarted resets a node's state, as after a restart.
 	Restarted(node int)
 }
 
-// equalShares gives each node the same share.
+// equalShares gives each node the same share of each allowance.
 type equalShares struct {
 	sim     *simulation
 	buckets [][]tokenBucket // by node and workspace
 }
 
-// NewEqualShares gives each node the same share of each allowance.
+// NewEqualShares returns a limiter that gives each node the same share of each allowance.
 func NewEqualShares(sim *simulation) Limiter {
 	e := &equalShares{sim: sim, buckets: make([][]tokenBucket, sim.Nodes)}
 	for node := range e.buckets {
@@ -51,30 +51,33 @@
 	decided(e.buckets[node][ws].take(e.sim.now, limit.PerSecond/n, max(1, limit.Burst/n)))
 }
 
-// demandShares gives each node a share by its part of the demand that nodes tell each other.
+// demandShares gives each node a share of each allowance in proportion to its share of the
+// demand, which nodes report to each other.
 type demandShares struct {
 	sim     *simulation
 	nodes   []demandNode
-	history [][][]float64 // by round and node: demand of each workspace as told
+	history [][][]float64 // reported demand, by round, node and workspace
 }
 
 type demandNode struct {
 	buckets  []tokenBucket
-	demand   []float64 // requests a second, mean of a second
-	demandAt []time.Duration
+	demand   []float64       // requests per second, by workspace; a mean that decays within a second
+	demandAt []time.Duration // when demand was computed, by workspace
 }
 
 const (
 	reportInterval = 100 * time.Millisecond
-	// reportAge is how old, in rounds, news is that went through a group and its speaker.
+	// reportAge is the age, in rounds, of a report that was relayed by a group's
+	// representative.
 	reportAge = 3
-	// entryBytes is what the demand of one workspace takes in a datagram.
+	// entryBytes is the size of one workspace's demand in a datagram.
 	entryBytes = 12
-	// minReportedDemand is not told.
+	// minReportedDemand is the demand, in requests per second, up to which none is reported.
 	minReportedDemand = 0.01
 )
 
-// NewDemandShares gives each node a share of each allowance by the demand told.
+// NewDemandShares returns a limiter that gives each node a share of each allowance in
+// proportion to the reported demand.
 func NewDemandShares(sim *simulation) Limiter {
 	d := &demandShares{sim: sim, nodes: make([]demandNode, sim.Nodes)}
 	for node := range d.nodes {
@@ -97,11 +100,11 @@
 	}
 }
 
-// sendReports has each node sendReports its demand: to twice the root of the nodes of its data centre,
-// and to three elsewhere.
+// sendReports reports the demand at each node: to twice the square root of the number of
+// nodes in its data centre, and to three nodes elsewhere.
 func (d *demandShares) sendReports() {
 	round := make([][]float64, d.sim.Nodes)
-	nodesPerDataCentre := float64(d.sim.Nodes) / float64(d.sim.Centres)
+	nodesPerDataCentre := float64(d.sim.Nodes) / float64(d.sim.DataCentres)
 	for node := range d.nodes {
 		if !d.sim.up(node) {
 			continue
@@ -125,12 +128,13 @@
 	d.sim.after(reportInterval, d.sendReports)
 }
 
+// currentDemand returns the demand for a workspace at a node, decayed until now.
 func (d *demandShares) currentDemand(node, ws int) float64 {
 	n := &d.nodes[node]
 	return n.demand[ws] * math.Exp(-(d.sim.now - n.demandAt[ws]).Seconds())
 }
 
-// reportedDemand returns the demand of all nodes that a node has reportedDemand of.
+// reportedDemand returns the sum of the demand that other nodes have reported to a node.
 func (d *demandShares) reportedDemand(node, ws int) float64 {
 	sum := 0.0
 	for other := range d.nodes {
@@ -157,10 +161,11 @@
 	decided(n.buckets[ws].take(d.sim.now, share*limit.PerSecond, max(1, share*limit.Burst)))
 }
 
-// lending has an owner of each workspace lend tokens, as the product does.
+// lending runs the product's algorithm: an owner of each workspace lends tokens to the other
+// nodes (packages allowance and lending).
 type lending struct {
 	sim   *simulation
-	names []string // of nodes
+	names []string // names of the nodes
 	nodes []lendingNode
 }
 
@@ -168,15 +173,16 @@
 	buckets         *allowance.Buckets
 	balances        *allowance.Balances
 	incarnation     int64
-	sequence        uint64
+	sequence        uint64 // of its borrow requests
 	pending         map[int]*pendingBorrow
-	waitingRequests map[int]int           // requests that wait for a token
-	suspectUntil    map[int]time.Duration // until when an owner is passed over
-	lastReceived    map[int]time.Duration // when an owner was last heard
-	lastProbed      map[int]time.Duration // when it was last asked whether one lives
+	waitingRequests map[int]int           // requests that wait for a token, by workspace
+	suspectUntil    map[int]time.Duration // until when an owner that did not answer is skipped, by node
+	lastReceived    map[int]time.Duration // when a message of an owner was last received, by node
+	lastProbed      map[int]time.Duration // when an owner was last probed, by node
 }
 
-// pendingBorrow is an ask under way, and the requests that wait for it.
+// pendingBorrow is a borrow request that was not answered yet, for all requests of a workspace
+// that wait at a node; retries tries to admit each of them again.
 type pendingBorrow struct {
 	sequence uint64
 	retries  []func()
@@ -184,18 +190,19 @@
 }
 
 const (
-	// requestBytes and grantBytes are the datagrams, with the headers of UDP and IP.
+	// requestBytes and grantBytes are the sizes of the datagrams with UDP and IP headers.
 	requestBytes = 96
 	grantBytes   = 64
-	// unreachableAfter is when a node of the own data centre, or a data centre, counts as gone,
-	// suspectFor how long an owner that did not answer is passed over, and deadAfter how long
-	// it has to be silent while its data centre is heard.
+	// unreachableAfter is the time after which a node of the own data centre, or another data
+	// centre, counts as unreachable. An owner that did not answer is skipped for suspectFor.
+	// An owner from which no message is received for unresponsiveAfter, while its data centre
+	// is reachable, counts as unresponsive.
 	unreachableAfter  = time.Second
 	suspectFor        = time.Second
 	unresponsiveAfter = 250 * time.Millisecond
 )
 
-// NewLending has an owner of each workspace lend tokens.
+// NewLending returns a limiter in which an owner of each workspace lends tokens.
 func NewLending(sim *simulation) Limiter {
 	l := &lending{sim: sim, nodes: make([]lendingNode, sim.Nodes)}
 	for node := range sim.Nodes {
@@ -216,7 +223,7 @@
 
 func workspaceName(ws int) string { return fmt.Sprint("w", ws) }
 
-// ownerOfLargest returns the natural owner of the first workspace.
+// ownerOfLargest returns the preferred owner of the first workspace, the largest.
 func (s *simulation) ownerOfLargest() int {
 	var names []string
 	for node := range s.Nodes {
@@ -235,6 +242,8 @@
 	})
 }
 
+// tryAdmit admits or refuses a request by the node's balance, or lets it wait for a borrow
+// request.
 func (l *lending) tryAdmit(node, ws int, decided func(bool)) {
 	n := &l.nodes[node]
 	switch decision, _ := n.balances.Take(l.sim.wallTime(), workspaceName(ws)); decision {
@@ -255,7 +264,7 @@
 	}
 }
 
-// borrow sends an borrow along its course.
+// borrow borrows tokens for all requests of a workspace that wait at a node.
 func (l *lending) borrow(node, ws int, p *pendingBorrow) {
 	n := &l.nodes[node]
 	request := n.balances.Request(l.sim.wallTime(), workspaceName(ws), n.waitingRequests[ws])
@@ -263,6 +272,7 @@
 	l.sendNext(node, ws, p, request, allowance.NewAttempts(l.names[node], allowance.Owners(workspaceName(ws), l.reachableNodes(node))))
 }
 
+// sendNext sends a borrow request to the next owner to try, or lends at the node itself.
 func (l *lending) sendNext(node, ws int, p *pendingBorrow, request allowance.BorrowRequest, attempts *allowance.Attempts) {
 	name, wait, ok := attempts.Next()
 	switch {
@@ -295,6 +305,7 @@
 	})
 }
 
+// granted adds borrowed tokens to a node's balance and retries the requests that wait.
 func (l *lending) granted(node, ws int, p *pendingBorrow, grant allowance.Grant, isolated bool) {
 	if p.answered {
 		return
@@ -308,10 +319,11 @@
 	}
 }
 
+// lend lends tokens from a node's bucket.
 func (l *lending) lend(node, ws int, request allowance.BorrowRequest, isolated bool) allowance.Grant {
 	view := allowance.FleetView{Isolated: isolated, Nodes: map[string]int{}, Reachable: map[string]bool{}}
-	for dc := range l.sim.Centres {
-		view.Nodes[dataCentreName(dc)] = l.sim.Nodes / l.sim.Centres
+	for dc := range l.sim.DataCentres {
+		view.Nodes[dataCentreName(dc)] = l.sim.Nodes / l.sim.DataCentres
 		view.Reachable[dataCentreName(dc)] = l.dataCentreReachable(node, dc)
 	}
 	preferred := slices.Index(l.names, allowance.PreferredOwner(workspaceName(ws), l.names))
@@ -322,21 +334,21 @@
 	return l.nodes[node].buckets.Lend(l.sim.wallTime(), l.sim.limit(ws), view, request)
 }
 
-// isResponsive reports whether an owner was heard of late, and asks it.
+// isResponsive reports whether a message of an owner was received lately, and probes it.
 func (l *lending) isResponsive(node, owner int) bool {
 	l.sim.send(node, owner, requestBytes, func() {
 		l.sim.send(owner, node, grantBytes, func() { l.nodes[node].lastReceived[owner] = l.sim.now })
 	})
 	n := &l.nodes[node]
 	if probed, ok := n.lastProbed[owner]; !ok || l.sim.now-probed > unresponsiveAfter {
-		n.lastReceived[owner] = l.sim.now // until it had the time to answer
+		n.lastReceived[owner] = l.sim.now // counts as responsive until it had the time to answer
 	}
 	n.lastProbed[owner] = l.sim.now
 	dc := l.sim.dataCentre(owner)
 	return l.dataCentreReachable(node, dc) && l.dataCentreLastReceived(node, dc)-n.lastReceived[owner] < unresponsiveAfter
 }
 
-// dataCentreLastReceived returns when a node last heard a data centre.
+// dataCentreLastReceived returns when a node last received a message of a data centre.
 func (l *lending) dataCentreLastReceived(node, dc int) time.Duration {
 	if l.sim.Partition.contains(l.sim.now) && (l.sim.dataCentre(node) == 0) != (dc == 0) {
 		return l.sim.Partition.From
@@ -344,7 +356,7 @@
 	return l.sim.now
 }
 
-// reachableNodes returns the nodes that a node would ask.
+// reachableNodes returns the nodes from which a node would borrow.
 func (l *lending) reachableNodes(node int) []string {
 	var out []string
 	for owner := range l.nodes {
@@ -357,14 +369,15 @@
 	return out
 }
 
-// detectedDown reports whether a node has been down for as long as it takes to be noticed.
+// detectedDown reports whether a node has been down for unreachableAfter.
 func (l *lending) detectedDown(node int) bool {
 	earlier := *l.sim
 	earlier.now = max(0, l.sim.now-unreachableAfter)
 	return !l.sim.up(node) && !earlier.up(node)
 }
 
-// dataCentreReachable reports whether a node hears a data centre, as of late.
+// dataCentreReachable reports whether a node counts a data centre as reachable, which it does
+// for unreachableAfter into a partition.
 func (l *lending) dataCentreReachable(node, dc int) bool {
 	if (l.sim.dataCentre(node) == 0) == (dc == 0) {
 		return true
--- a/lab/model/quota/world.go
+++ b/lab/model/quota/world.go
@@ -1,6 +1,7 @@
-// Package quota models, in virtual time and without a network, ways to keep workspaces
-// to an allowance over all nodes together: how far it is exceeded, how much of what lies
-// inside it is refused, and what that costs.
+// Package quota is a discrete-event simulation, without a network, of distributed rate
+// limiters that enforce each workspace's allowance (its rate limit) over all nodes together.
+// It measures by how much an allowance is exceeded, how many requests within it are refused,
+// and what a limiter costs in messages and delay.
 package quota
 
 import (
@@ -14,65 +15,67 @@
 	"github.com/marblepond/marblepond/internal/version/workspace"
 )
 
-// Span is a part of the time of a scenario.
+// Span is an interval of the virtual time, of length For.
 type Span struct{ From, For time.Duration }
 
 func (s Span) contains(at time.Duration) bool { return at >= s.From && at < s.From+s.For }
 
-// Scenario is a fleet, its load and what happens to it.
+// Scenario is a fleet with its load and faults.
 type Scenario struct {
 	Name        string
 	Nodes       int
-	Centres     int
+	DataCentres int
 	Workspaces  int
-	RequestRate float64 // requests of all workspaces, in the mean
+	RequestRate float64 // requests per second of all workspaces together, on average
 	Length      time.Duration
-	// OneNode has all callers of a workspace at one node; else each request comes to any.
+	// OneNode: all requests of a workspace arrive at one node, and not at random nodes.
 	OneNode bool
-	// Hot has the largest workspace send HotFactor times its usual.
+	// Hot is when the largest workspace sends HotFactor times its usual rate.
 	Hot       Span
 	HotFactor float64
-	// Partition separates the first data centre from the others.
+	// Partition is when the first data centre can't reach the others, nor they it.
 	Partition Span
-	// HalfKilled has half of the nodes down, with nothing remembered afterwards, AllKilled all
-	// of them, and OwnerKilled the owner of the largest workspace. What comes while all are
-	// down comes again when they are back.
+	// HalfKilled is when half of the nodes are down, AllKilled all of them, and OwnerKilled
+	// the preferred owner of the largest workspace. They restart without state. Callers retry
+	// requests that arrive while all nodes are down once the nodes are back.
 	HalfKilled, AllKilled, OwnerKilled Span
-	// LimitsHalvedAt is when the limits fall to a half, zero: never.
+	// LimitsHalvedAt is when all allowances are halved; 0: never.
 	LimitsHalvedAt time.Duration
-	LossShare      float64 // share of messages between nodes that are lost
+	LossShare      float64 // share of the messages between nodes that are lost
 	Seed           uint64
 }
 
 const (
-	// headroom is what an allowance has above a workspace's usual: that of the users'
-	// deployment, where it is 1.6 times the usual of its highs.
+	// headroom is the ratio of an allowance to a workspace's usual peak rate, as in the
+	// users' deployment.
 	headroom = 1.6
-	// skew makes some workspaces large: the usual of the nth is in proportion to n^-skew.
+	// skew makes some workspaces large: the usual rate of the nth is proportional to n^-skew.
 	skew = 0.8
-	// minRate is the smallest allowance that operators give, requests a second.
+	// minRate is the smallest allowance that operators set, in requests per second.
 	minRate = 5
-	// localDelay and across are what a message takes one way.
+	// localDelay and remoteDelay are the one-way delays of a message within a data centre and
+	// between two.
 	localDelay  = 200 * time.Microsecond
 	remoteDelay = 900 * time.Microsecond
-	// retrySpread is the time over which callers come again after all nodes were down.
+	// retrySpread is the time over which callers retry after all nodes were down.
 	retrySpread = time.Second
-	// waveAmplitude has the load go up and down around the mean, in periods of highTime.
+	// The load is a square wave: each workspace's rate is waveAmplitude of its mean above and
+	// below it in turn, with the period wavePeriod.
 	waveAmplitude = 0.85
 	wavePeriod    = 2600 * time.Millisecond
 )
 
-// tolerance is how far an allowance may be exceeded.
+// tolerance is by how much an allowance may be exceeded.
 var tolerance = allowance.Tolerance{Window: 5 * time.Second, Share: 0.1, Slack: 20}
 
-// simulation is the fleet of a run.
+// simulation is the state of one run: the virtual clock and the fleet.
 type simulation struct {
 	Scenario
 	now        time.Duration
 	events     eventQueue
 	scheduled  uint64
 	rng        *rand.Rand
-	usualRates []float64 // requests a second of each workspace
+	usualRates []float64 // mean requests per second, by workspace
 	messages   int
 	bytes      int
 }
@@ -111,11 +114,13 @@
 	return sim
 }
 
+// after runs a function when d has passed.
 func (s *simulation) after(d time.Duration, run func()) {
 	s.scheduled++
 	heap.Push(&s.events, event{s.now + d, s.scheduled, run})
 }
 
+// run runs all events up to a time.
 func (s *simulation) run(until time.Duration) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		e := heap.Pop(&s.events).(event)
@@ -124,12 +129,12 @@
 	}
 }
 
-// wallTime returns the virtual time as nodes read it.
+// wallTime returns the virtual time as a wall-clock time.
 func (s *simulation) wallTime() time.Time { return time.Unix(0, 0).Add(s.now) }
 
-func (s *simulation) dataCentre(node int) int { return node % s.Centres }
+func (s *simulation) dataCentre(node int) int { return node % s.DataCentres }
 
-// limit returns the allowance of a workspace in force.
+// limit returns the current allowance of a workspace.
 func (s *simulation) limit(ws int) workspace.Allowance {
 	rate := math.Max(minRate, math.Ceil(headroom*(1+waveAmplitude)*s.usualRates[ws]))
 	if s.LimitsHalvedAt > 0 && s.now >= s.LimitsHalvedAt {
@@ -146,13 +151,14 @@
 	return !(s.OwnerKilled.contains(s.now) && node == s.ownerOfLargest())
 }
 
-// connected reports whether two nodes reach each other.
+// connected reports whether two nodes are up and can reach each other.
 func (s *simulation) connected(a, b int) bool {
 	partitioned := s.Partition.contains(s.now) && (s.dataCentre(a) == 0) != (s.dataCentre(b) == 0)
 	return !partitioned && s.up(a) && s.up(b)
 }
 
-// send carries a message, or loses it.
+// send delivers a message after its delay, unless it is lost or the nodes are not connected
+// when it is sent and when it arrives.
 func (s *simulation) send(from, to, size int, arrive func()) {
 	s.messages++
 	s.bytes += size
@@ -170,7 +176,7 @@
 	})
 }
 
-// demand returns how many requests a second a workspace sends now.
+// demand returns how many requests per second a workspace sends now.
 func (s *simulation) demand(ws int) float64 {
 	phase := math.Sin(2 * math.Pi * s.now.Seconds() / wavePeriod.Seconds())
 	rate := s.usualRates[ws] * (1 + waveAmplitude*math.Copysign(1, phase))
@@ -180,7 +186,7 @@
 	return rate
 }
 
-// receivingNode returns the node that a request comes to: one that runs.
+// receivingNode returns the node at which a request arrives, one that is up.
 func (s *simulation) receivingNode(ws int) int {
 	node := s.rng.IntN(s.Nodes)
 	if s.OneNode {
@@ -192,34 +198,33 @@
 	return node
 }
 
-// Result are what a run came to.
+// Result is the outcome of a run.
 type Result struct {
 	Limiter string
-	// WorstWindow is the largest ratio of what was admitted in any window to what may be, with
-	// the tolerance: over 1 the rule is broken.
+	// WorstWindow is the largest ratio, over all windows, of the requests admitted to those
+	// allowed including the tolerance. Above 1 the limit is violated.
 	WorstWindow float64
-	// MissingShare is the share of what a limiter that knows everything at once would admit by
-	// which less was admitted, over all workspaces.
+	// MissingShare is how many requests fewer were admitted, over all workspaces, than by a
+	// central limiter that sees each request at once, as a share of those it admits.
 	MissingShare float64
 	Requests     int
-	// P50 and P99 are how long an admitted request waited for it.
+	// P50 and P99 are percentiles of the time for which admitted requests waited.
 	P50, P99    time.Duration
-	MessageRate float64 // a node and second
-	ByteRate    float64 // the same
+	MessageRate float64 // messages sent per node and second
+	ByteRate    float64 // bytes sent per node and second
 }
 
-// recorder takes what happens to requests.
+// recorder submits the requests of a run and records what happens to them.
 type recorder struct {
 	sim            *simulation
-	admitted       [][]time.Duration // by workspace
-	reference      []tokenBucket     // what a limiter that knows everything at once would admit
-	referenceCount []int             // by workspace: what it admits
+	admitted       [][]time.Duration // times of admission, by workspace
+	reference      []tokenBucket     // central limiter, by workspace
+	referenceCount []int             // requests that the central limiter admits, by workspace
 	requests       int
-	delays         []time.Duration
-	finalLimits    []workspace.Allowance
+	waits          []time.Duration       // of admitted requests
+	finalLimits    []workspace.Allowance // by workspace, at the end of the run
 }
 
-// tokenBucket is a token tokenBucket.
 type tokenBucket struct {
 	tokens float64
 	at     time.Duration
@@ -235,6 +240,7 @@
 	return true
 }
 
+// arrive submits a request of a workspace to a node.
 func (r *recorder) arrive(limiter Limiter, ws int) {
 	if all := r.sim.AllKilled; all.contains(r.sim.now) {
 		delay := all.From + all.For - r.sim.now + time.Duration(r.sim.rng.Float64()*float64(retrySpread))
@@ -253,12 +259,12 @@
 			return
 		}
 		r.admitted[ws] = append(r.admitted[ws], r.sim.now)
-		r.delays = append(r.delays, r.sim.now-arrivedAt)
+		r.waits = append(r.waits, r.sim.now-arrivedAt)
 	})
 }
 
-// worstWindow returns the largest ratio over all windows. After a limit was lowered it counts
-// from one window later on.
+// worstWindow returns Result.WorstWindow. After the limits were halved, windows count only if
+// they start at least a window later.
 func (r *recorder) worstWindow() float64 {
 	worst := 0.0
 	for ws, times := range r.admitted {
@@ -278,7 +284,7 @@
 	return worst
 }
 
-// missingShare returns the share of what lies inside the allowances that was not admitted.
+// missingShare returns Result.MissingShare.
 func (r *recorder) missingShare() float64 {
 	admissible, missing := 0, 0
 	for ws, n := range r.referenceCount {
@@ -288,7 +294,7 @@
 	return float64(missing) / float64(max(1, admissible))
 }
 
-// Run plays a scenario in one way.
+// Run simulates a scenario with a limiter.
 func Run(s Scenario, newLimiter func(sim *simulation) Limiter) Result {
 	sim := newSimulation(s)
 	limiter := newLimiter(sim)
@@ -302,18 +308,18 @@
 	for ws := range s.Workspaces {
 		rec.finalLimits = append(rec.finalLimits, sim.limit(ws))
 	}
-	slices.Sort(rec.delays)
+	slices.Sort(rec.waits)
 	r := Result{Limiter: limiter.Name(), WorstWindow: rec.worstWindow(), Requests: rec.requests, MissingShare: rec.missingShare()}
-	if n := len(rec.delays); n > 0 {
-		r.P50, r.P99 = rec.delays[n/2], rec.delays[n*99/100]
+	if n := len(rec.waits); n > 0 {
+		r.P50, r.P99 = rec.waits[n/2], rec.waits[n*99/100]
 	}
 	perNode := float64(s.Nodes) * s.Length.Seconds()
 	r.MessageRate, r.ByteRate = float64(sim.messages)/perNode, float64(sim.bytes)/perNode
 	return r
 }
 
-// scheduleArrival has a workspace's next request arrive. Arrivals are drawn at the highest rate
-// and thinned out.
+// scheduleArrival schedules a workspace's next request: a Poisson process at the highest rate
+// that is thinned to the current one.
 func (r *recorder) scheduleArrival(limiter Limiter, ws int) {
 	maxRate := r.sim.usualRates[ws] * (1 + waveAmplitude)
 	if ws == 0 && r.sim.HotFactor > 1 {
@@ -328,7 +334,7 @@
 	})
 }
 
-// scheduleRestarts tells a way which nodes start anew.
+// scheduleRestarts schedules the restarts of the nodes that the scenario kills.
 func (s *simulation) scheduleRestarts(limiter Limiter) {
 	for _, span := range []Span{s.HalfKilled, s.AllKilled, s.OwnerKilled} {
 		if span.For == 0 {
