--- a/lab/model/warmup/warmup.go
+++ b/lab/model/warmup/warmup.go
@@ -41,72 +41,72 @@
 
 // Strategy decides whether a node may send a request to a target, so long after the target
 // became cold. A node that has not learned of it yet is not asked.
-type Strategy func(w *Fleet) func(node, target int, now time.Duration) bool
+type Strategy func(f *Fleet) func(node, target int, now time.Duration) bool
 
 // Fleet is what a way may know.
 type Fleet struct {
 	Scenario
-	names   []string
-	targets []string
-	learned []time.Duration
+	names     []string
+	targets   []string
+	learnedAt []time.Duration
 }
 
-// hears reports whether a node hears another one.
-func (w *Fleet) hears(node, other int, now time.Duration) bool {
-	if w.Partitioned && node%2 != other%2 {
+// reachable reports whether a node reachable another one.
+func (f *Fleet) reachable(node, other int, now time.Duration) bool {
+	if f.Partitioned && node%2 != other%2 {
 		return false
 	}
-	return !w.dead(other, now-time.Second)
+	return !f.down(other, now-time.Second)
 }
 
-func (w *Fleet) dead(node int, now time.Duration) bool {
-	return w.HalfKilled && node >= w.Nodes/2 && now > Rate.Time/2
+func (f *Fleet) down(node int, now time.Duration) bool {
+	return f.HalfKilled && node >= f.Nodes/2 && now > Rate.Time/2
 }
 
 // Rotation is what the product does.
-func Rotation(w *Fleet) func(node, target int, now time.Duration) bool {
-	used := map[[2]int]int{}
+func Rotation(f *Fleet) func(node, target int, now time.Duration) bool {
+	lastTurns := map[[2]int]int{}
 	return func(node, target int, now time.Duration) bool {
-		turn := (warmup.Position{Index: node, Nodes: w.Nodes}).Turn(w.targets[target], now-w.learned[node], Rate.PerSecond)
-		last, any := used[[2]int{node, target}]
-		if turn == warmup.NoTurn || (any && last == turn) {
+		turn := (warmup.Position{Index: node, Nodes: f.Nodes}).Turn(f.targets[target], now-f.learnedAt[node], Rate.PerSecond)
+		lastTurn, ok := lastTurns[[2]int{node, target}]
+		if turn == warmup.NoTurn || (ok && lastTurn == turn) {
 			return false
 		}
-		used[[2]int{node, target}] = turn
+		lastTurns[[2]int{node, target}] = turn
 		return true
 	}
 }
 
 // Lending has one node for each target lend its requests to the others: the first in the
 // target's order of those that are heard. A substitute does not know what was lent.
-func Lending(w *Fleet) func(node, target int, now time.Duration) bool {
-	type bucket struct {
+func Lending(f *Fleet) func(node, target int, now time.Duration) bool {
+	type tokenBucket struct {
 		tokens float64
 		at     time.Duration
 	}
-	buckets := map[[2]int]*bucket{}
-	orders := make([][]string, w.Targets)
+	buckets := map[[2]int]*tokenBucket{}
+	ranks := make([][]string, f.Targets)
 	index := map[string]int{}
-	for i, name := range w.names {
+	for i, name := range f.names {
 		index[name] = i
 	}
 	return func(node, target int, now time.Duration) bool {
-		if orders[target] == nil {
-			orders[target] = rendezvous.Rank(w.targets[target], w.names, w.Nodes)
+		if ranks[target] == nil {
+			ranks[target] = rendezvous.Rank(f.targets[target], f.names, f.Nodes)
 		}
 		owner := node
-		for _, name := range orders[target] {
-			if i := index[name]; i == node || w.hears(node, i, now) {
+		for _, name := range ranks[target] {
+			if i := index[name]; i == node || f.reachable(node, i, now) {
 				owner = i
 				break
 			}
 		}
-		if w.dead(owner, now) {
+		if f.down(owner, now) {
 			return false // it does not answer
 		}
 		b := buckets[[2]int{owner, target}]
 		if b == nil {
-			b = &bucket{tokens: 1, at: now}
+			b = &tokenBucket{tokens: 1, at: now}
 			buckets[[2]int{owner, target}] = b
 		}
 		b.tokens = min(1, b.tokens+(now-b.at).Seconds()*Rate.PerSecond)
@@ -121,51 +121,51 @@
 
 // FewSenders lets a few nodes for each target send, each a part of its rate: the first in the
 // target's order of those that are heard.
-func FewSenders(w *Fleet) func(node, target int, now time.Duration) bool {
-	const few = 3
-	next := map[[2]int]time.Duration{}
+func FewSenders(f *Fleet) func(node, target int, now time.Duration) bool {
+	const senders = 3
+	notBefore := map[[2]int]time.Duration{}
 	return func(node, target int, now time.Duration) bool {
-		var heard []string
-		for i, name := range w.names {
-			if i == node || w.hears(node, i, now) {
-				heard = append(heard, name)
+		var reachable []string
+		for i, name := range f.names {
+			if i == node || f.reachable(node, i, now) {
+				reachable = append(reachable, name)
 			}
 		}
-		if !slices.Contains(rendezvous.Rank(w.targets[target], heard, few), w.names[node]) || now < next[[2]int{node, target}] {
+		if !slices.Contains(rendezvous.Rank(f.targets[target], reachable, senders), f.names[node]) || now < notBefore[[2]int{node, target}] {
 			return false
 		}
-		next[[2]int{node, target}] = now + time.Duration(few/Rate.PerSecond*float64(time.Second))
+		notBefore[[2]int{node, target}] = now + time.Duration(senders/Rate.PerSecond*float64(time.Second))
 		return true
 	}
 }
 
 // Run plays a scenario. A request that a node has is offered to some targets drawn at
 // random and waits a short while for one of them.
-func Run(s Scenario, way Strategy) Result {
+func Run(s Scenario, strategy Strategy) Result {
 	const tick = 5 * time.Millisecond
-	draw := rand.New(rand.NewPCG(s.Seed, s.Seed))
-	w := &Fleet{Scenario: s}
+	rng := rand.New(rand.NewPCG(s.Seed, s.Seed))
+	f := &Fleet{Scenario: s}
 	for i := range s.Nodes {
-		w.names = append(w.names, fmt.Sprintf("node-%d", i))
-		w.learned = append(w.learned, time.Duration(draw.Float64()*float64(s.LearnTime)))
+		f.names = append(f.names, fmt.Sprintf("node-%d", i))
+		f.learnedAt = append(f.learnedAt, time.Duration(rng.Float64()*float64(s.LearnTime)))
 	}
 	for i := range s.Targets {
-		w.targets = append(w.targets, fmt.Sprintf("target-%d", i))
+		f.targets = append(f.targets, fmt.Sprintf("target-%d", i))
 	}
-	may := way(w)
+	maySend := strategy(f)
 	sent := make([][]time.Duration, s.Targets)
-	asked, served := 0, 0
+	offered, served := 0, 0
 	first := Rate.Time
 	for now := time.Duration(0); now < Rate.Time; now += tick {
-		due := s.Demand * float64(s.Targets) * tick.Seconds()
-		for n := int(due + draw.Float64()); n > 0; n-- {
-			node := draw.IntN(s.Nodes)
-			if w.dead(node, now) || now < w.learned[node] {
+		arrivals := s.Demand * float64(s.Targets) * tick.Seconds()
+		for n := int(arrivals + rng.Float64()); n > 0; n-- {
+			node := rng.IntN(s.Nodes)
+			if f.down(node, now) || now < f.learnedAt[node] {
 				continue
 			}
-			asked++
-			for _, target := range draw.Perm(s.Targets) {
-				if may(node, target, now) {
+			offered++
+			for _, target := range rng.Perm(s.Targets) {
+				if maySend(node, target, now) {
 					sent[target] = append(sent[target], now)
 					served++
 					first = min(first, now)
@@ -174,20 +174,20 @@
 			}
 		}
 	}
-	return Result{MaxPerSecond: most(sent), ServedShare: float64(served) / float64(max(1, asked)), FirstSent: first}
+	return Result{MaxPerSecond: maxInOneSecond(sent), ServedShare: float64(served) / float64(max(1, offered)), FirstSent: first}
 }
 
-// most returns the most requests that a target got in one second.
-func most(sent [][]time.Duration) int {
-	top := 0
+// maxInOneSecond returns the maxInOneSecond requests that a target got in one second.
+func maxInOneSecond(sent [][]time.Duration) int {
+	highest := 0
 	for _, times := range sent {
 		from := 0
 		for i, at := range times {
 			for times[from] <= at-time.Second {
 				from++
 			}
-			top = max(top, i-from+1)
+			highest = max(highest, i-from+1)
 		}
 	}
-	return top
+	return highest
 }
--- a/lab/model/warmup/warmup_test.go
+++ b/lab/model/warmup/warmup_test.go
@@ -9,13 +9,13 @@
 	"github.com/matryer/is"
 )
 
-// mostOfFew is up to how many nodes the way of a few nodes is modelled: it ranks all of
+// maxNodesOfFewSenders is up to how many nodes the way of a few nodes is modelled: it ranks all of
 // them for each request.
-const mostOfFew = 64
+const maxNodesOfFewSenders = 64
 
-// bears is how many requests a cold target of the model bears in one second: half more
+// maxPerSecond is how many requests a cold target of the model maxPerSecond in one second: half more
 // than its rate, and five.
-const bears = 16
+const maxPerSecond = 16
 
 var scenarios = []struct {
 	name   string
@@ -34,16 +34,16 @@
 	return s
 }
 
-// TestColdTargetsGetNoMoreThanTheyBear: a data centre comes back cold during a high, with
+// TestColdTargetsAreNotOverloaded: a data centre comes back cold during a high, with
 // few nodes and many, in a cut, and while half of the nodes are killed.
-func TestColdTargetsGetNoMoreThanTheyBear(t *testing.T) {
+func TestColdTargetsAreNotOverloaded(t *testing.T) {
 	for _, nodes := range []int{9, 64, 295, 985} {
 		for _, c := range scenarios {
 			t.Run(fmt.Sprint(nodes, " ", c.name), func(t *testing.T) {
 				is := is.New(t)
 				for seed := range uint64(3) {
 					r := Run(scenario(nodes, c.change, seed), Rotation)
-					is.True(r.MaxPerSecond <= bears)
+					is.True(r.MaxPerSecond <= maxPerSecond)
 					is.True(r.ServedShare > 0)
 				}
 			})
@@ -60,14 +60,14 @@
 	for _, nodes := range []int{9, 64, 295, 985} {
 		for _, c := range scenarios {
 			fmt.Printf("| %d | %s |", nodes, c.name)
-			for i, way := range []Strategy{Rotation, Lending, FewSenders} {
-				if i == 2 && nodes > mostOfFew {
+			for i, strategy := range []Strategy{Rotation, Lending, FewSenders} {
+				if i == 2 && nodes > maxNodesOfFewSenders {
 					fmt.Print(" - |")
 					continue
 				}
 				worst := Result{ServedShare: 1}
 				for seed := range uint64(3) {
-					r := Run(scenario(nodes, c.change, seed), way)
+					r := Run(scenario(nodes, c.change, seed), strategy)
 					worst = Result{max(worst.MaxPerSecond, r.MaxPerSecond), min(worst.ServedShare, r.ServedShare), max(worst.FirstSent, r.FirstSent)}
 				}
 				fmt.Printf(" %d, %.2f |", worst.MaxPerSecond, worst.ServedShare)
