--- a/lab/model/warmup/warmup.go
+++ b/lab/model/warmup/warmup.go
@@ -1,7 +1,8 @@
-// Package warmup compares ways in which nodes may share the rate that a cold target
-// bears: turns, a lender for each target, and a few nodes for each target. It models when
-// nodes learn that targets are cold, what callers ask for, cuts and lost nodes, and counts
-// what reaches each target in every second.
+// Package warmup compares, by simulation, strategies by which nodes can share the rate of
+// requests that a cold target (one in slow start) can take: turns in a rotation, an owner of
+// each target that lends tokens, and a few senders for each target. It simulates when nodes
+// learn that targets are cold, the requests of callers, network partitions and lost nodes, and
+// counts the requests that reach each target in any second.
 package warmup
 
 import (
@@ -14,36 +15,39 @@
 	"github.com/marblepond/marblepond/internal/request/warmup"
 )
 
-// Scenario is one load on targets that become cold together.
+// Scenario is a load on targets that become cold together.
 type Scenario struct {
 	Nodes   int
 	Targets int
-	// Demand is how many requests a second callers have for each cold target, in all.
+	// Demand is how many requests per second arrive at all nodes together, for each cold
+	// target.
 	Demand float64
-	// LearnTime is within which time the nodes learn that the targets are cold.
+	// LearnTime is the time within which all nodes learn that the targets are cold.
 	LearnTime time.Duration
-	// Partitioned: the nodes are in two halves that do not hear each other.
+	// Partitioned: the nodes are in two halves that can't reach each other.
 	Partitioned bool
-	// HalfKilled: half of the nodes end halfway, and the others are told a second later.
+	// HalfKilled: half of the nodes end halfway through the warm-up, and the others learn of
+	// it a second later.
 	HalfKilled bool
 	Seed       uint64
 }
 
-// Rate is how the targets of the model warm up.
+// Rate is the warm-up rate of the simulated targets.
 var Rate = warmup.Rate{Time: 3 * time.Second, PerSecond: 7.6}
 
-// Result sums up a scenario.
+// Result is the outcome of a scenario.
 type Result struct {
-	MaxPerSecond int     // requests in one second at any target
-	ServedShare  float64 // share of the demand
-	FirstSent    time.Duration
+	MaxPerSecond int           // most requests that a target received in any second
+	ServedShare  float64       // share of the requests that were sent to a target
+	FirstSent    time.Duration // when the first request was sent
 }
 
-// Strategy decides whether a node may send a request to a target, so long after the target
-// became cold. A node that has not learned of it yet is not asked.
+// Strategy returns a function that decides whether a node may send a request to a target now,
+// where now is the time since the target became cold. It is not called for a node that has not
+// learned of that yet.
 type Strategy func(f *Fleet) func(node, target int, now time.Duration) bool
 
-// Fleet is what a way may know.
+// Fleet is what a strategy knows of the nodes and targets.
 type Fleet struct {
 	Scenario
 	names     []string
@@ -51,7 +55,7 @@
 	learnedAt []time.Duration
 }
 
-// reachable reports whether a node reachable another one.
+// reachable reports whether a node counts another one as reachable.
 func (f *Fleet) reachable(node, other int, now time.Duration) bool {
 	if f.Partitioned && node%2 != other%2 {
 		return false
@@ -63,7 +67,7 @@
 	return f.HalfKilled && node >= f.Nodes/2 && now > Rate.Time/2
 }
 
-// Rotation is what the product does.
+// Rotation gives nodes turns in a rotation, as the product does.
 func Rotation(f *Fleet) func(node, target int, now time.Duration) bool {
 	lastTurns := map[[2]int]int{}
 	return func(node, target int, now time.Duration) bool {
@@ -77,8 +81,8 @@
 	}
 }
 
-// Lending has one node for each target lend its requests to the others: the first in the
-// target's order of those that are heard. A substitute does not know what was lent.
+// Lending has an owner of each target lend tokens to the other nodes: the first reachable node
+// in rendezvous order. A fallback owner does not know what was lent before.
 func Lending(f *Fleet) func(node, target int, now time.Duration) bool {
 	type tokenBucket struct {
 		tokens float64
@@ -102,7 +106,7 @@
 			}
 		}
 		if f.down(owner, now) {
-			return false // it does not answer
+			return false // the owner does not answer
 		}
 		b := buckets[[2]int{owner, target}]
 		if b == nil {
@@ -119,8 +123,8 @@
 	}
 }
 
-// FewSenders lets a few nodes for each target send, each a part of its rate: the first in the
-// target's order of those that are heard.
+// FewSenders lets only a few nodes send to each target, each a part of its rate: the first
+// reachable ones in rendezvous order.
 func FewSenders(f *Fleet) func(node, target int, now time.Duration) bool {
 	const senders = 3
 	notBefore := map[[2]int]time.Duration{}
@@ -139,8 +143,8 @@
 	}
 }
 
-// Run plays a scenario. A request that a node has is offered to some targets drawn at
-// random and waits a short while for one of them.
+// Run simulates a scenario. Each request is offered to the targets in random order, and is
+// dropped if the node may send to none of them.
 func Run(s Scenario, strategy Strategy) Result {
 	const tick = 5 * time.Millisecond
 	rng := rand.New(rand.NewPCG(s.Seed, s.Seed))
@@ -177,7 +181,7 @@
 	return Result{MaxPerSecond: maxInOneSecond(sent), ServedShare: float64(served) / float64(max(1, offered)), FirstSent: first}
 }
 
-// maxInOneSecond returns the maxInOneSecond requests that a target got in one second.
+// maxInOneSecond returns the most requests that any target received in one second.
 func maxInOneSecond(sent [][]time.Duration) int {
 	highest := 0
 	for _, times := range sent {
--- a/lab/model/warmup/warmup_test.go
+++ b/lab/model/warmup/warmup_test.go
@@ -9,12 +9,12 @@
 	"github.com/matryer/is"
 )
 
-// maxNodesOfFewSenders is up to how many nodes the way of a few nodes is modelled: it ranks all of
-// them for each request.
+// maxNodesOfFewSenders is the largest fleet for which FewSenders is simulated: it ranks all
+// nodes for each request.
 const maxNodesOfFewSenders = 64
 
-// maxPerSecond is how many requests a cold target of the model maxPerSecond in one second: half more
-// than its rate, and five.
+// maxPerSecond is how many requests a cold target can take in one second: 1.5 times its rate,
+// and five more.
 const maxPerSecond = 16
 
 var scenarios = []struct {
@@ -34,8 +34,9 @@
 	return s
 }
 
-// TestColdTargetsAreNotOverloaded: a data centre comes back cold during a high, with
-// few nodes and many, in a cut, and while half of the nodes are killed.
+// TestColdTargetsAreNotOverloaded: all targets of a data centre are cold during a peak of the
+// load, in small and large fleets, in a network partition, and while half of the nodes are
+// killed.
 func TestColdTargetsAreNotOverloaded(t *testing.T) {
 	for _, nodes := range []int{9, 64, 295, 985} {
 		for _, c := range scenarios {
@@ -51,7 +52,7 @@
 	}
 }
 
-// TestWaysCompared prints the table of docs/design when WARMUP_TABLE is set.
+// TestWaysCompared prints the table of docs/design if WARMUP_TABLE is set.
 func TestWaysCompared(t *testing.T) {
 	if os.Getenv("WARMUP_TABLE") == "" {
 		t.Skip("prints a table; takes a minute")
