--- a/lab/load/experiment.go
+++ b/lab/load/experiment.go
@@ -105,72 +105,72 @@
 	result := Result{Experiment: e}
 	for round := range e.Rounds {
 		for _, name := range e.Modes {
-			leg, err := runLeg(e, modes[name], round)
+			m, err := measure(e, modes[name], round)
 			if err != nil {
 				return result, fmt.Errorf("%s round %d: %w", name, round, err)
 			}
-			result.Measurements = append(result.Measurements, leg)
-			fmt.Fprintln(out, leg)
+			result.Measurements = append(result.Measurements, m)
+			fmt.Fprintln(out, m)
 		}
 	}
 	return result, nil
 }
 
 // String returns the leg as a row.
-func (l Measurement) String() string {
+func (m Measurement) String() string {
 	return fmt.Sprintf("%-18s round %d: sent %5d whole %5d refused %v broken %d | first p50 %6.1f p99 %6.1f ms | whole p50 %7.1f p99 %7.1f ms | token p95 %5.1f p99 %5.1f ms | online %6.0f batch %6.0f tokens/s, %4.1f %% of idle | violations %d",
-		l.Mode, l.Round, l.Sent, l.Completed, l.Refused, l.Broken, l.FirstP50MS, l.FirstP99MS, l.TotalP50MS, l.TotalP99MS, l.PerTokenP95, l.PerTokenP99,
-		l.OnlineTokens, l.BatchTokens, 100*l.BatchShare, l.Violations)
+		m.Mode, m.Round, m.Sent, m.Completed, m.Refused, m.Broken, m.FirstP50MS, m.FirstP99MS, m.TotalP50MS, m.TotalP99MS, m.PerTokenP95, m.PerTokenP99,
+		m.OnlineTokens, m.BatchTokens, 100*m.BatchShare, m.Violations)
 }
 
-// leg is a leg while it runs.
-type leg struct {
-	e        Experiment
-	w        Workload
-	fleet    *deployment.Embedded
-	caller   *client.Caller
-	mu       sync.Mutex
-	first    *hdrhistogram.Histogram // microseconds
-	total    *hdrhistogram.Histogram
-	perToken *hdrhistogram.Histogram
-	out      Measurement
+// measurementRun is a measurementRun while it runs.
+type measurementRun struct {
+	experiment Experiment
+	workload   Workload
+	fleet      *deployment.Embedded
+	caller     *client.Caller
+	mu         sync.Mutex
+	firstToken *hdrhistogram.Histogram // microseconds
+	total      *hdrhistogram.Histogram
+	tokenGaps  *hdrhistogram.Histogram
+	result     Measurement
 }
 
-func histogram() *hdrhistogram.Histogram {
+func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 }
 
-func runLeg(e Experiment, m Mode, round int) (Measurement, error) {
+func measure(e Experiment, m Mode, round int) (Measurement, error) {
 	w := workloads[e.Workload]
 	model := engine.DefaultModel()
 	f, err := deployment.Start(w.layout(e.Net, model, m.Variant, e.Settings))
 	if err != nil {
 		return Measurement{}, err
 	}
-	l := &leg{e: e, w: w, fleet: f, caller: client.New(callerKey), first: histogram(), total: histogram(), perToken: histogram(),
-		out: Measurement{Mode: m.Name, Round: round, Refused: map[string]int{}}}
+	r := &measurementRun{experiment: e, workload: w, fleet: f, caller: client.New(callerKey), firstToken: newHistogram(), total: newHistogram(), tokenGaps: newHistogram(),
+		result: Measurement{Mode: m.Name, Round: round, Refused: map[string]int{}}}
 	rng := rand.New(rand.NewPCG(e.Seed, uint64(round))) // the same arrivals in every mode of a round
 	if m.Batch {
-		if err := l.submit(rng, model); err != nil {
+		if err := r.submitBatch(rng, model); err != nil {
 			return Measurement{}, err
 		}
 	}
-	l.online(rng, model)
-	l.summarise(model)
-	return l.out, f.Stop()
+	r.sendOnline(rng, model)
+	r.summarise(model)
+	return r.result, f.Stop()
 }
 
-// submit gives the batch side more than it can do in the run.
-func (l *leg) submit(rng *rand.Rand, model engine.Model) error {
-	rate := float64(l.w.engines()) * model.FullRate() / mean(l.w.BatchTokens)
-	n := int(rate * (l.e.WarmUp + l.e.Length).Seconds() * 1.2)
-	_, err := l.caller.Submit(context.Background(), l.fleet.CallerAddr(0, 0), l.w.items(rand.New(rand.NewPCG(rng.Uint64(), 0)), n), "", "")
+// submitBatch gives the batch side more than it can do in the run.
+func (r *measurementRun) submitBatch(rng *rand.Rand, model engine.Model) error {
+	rate := float64(r.workload.engineCount()) * model.FullRate() / mean(r.workload.BatchTokens)
+	n := int(rate * (r.experiment.WarmUp + r.experiment.Length).Seconds() * 1.2)
+	_, err := r.caller.Submit(context.Background(), r.fleet.CallerAddr(0, 0), r.workload.items(rand.New(rand.NewPCG(rng.Uint64(), 0)), n), "", "")
 	return err
 }
 
-func (l *leg) tokens() engine.Tokens {
+func (r *measurementRun) producedTokens() engine.Tokens {
 	var sum engine.Tokens
-	for _, row := range l.fleet.Engines {
+	for _, row := range r.fleet.Engines {
 		for _, en := range row {
 			t := en.Tokens()
 			sum.Online += t.Online
@@ -180,73 +180,73 @@
 	return sum
 }
 
-// online sends the arrivals at their times, whatever the answers do.
-func (l *leg) online(rng *rand.Rand, model engine.Model) {
-	times := arrivals(rng, l.w.fullRate(model), l.e.Profile, l.e.WarmUp+l.e.Length)
+// sendOnline sends the arrivals at their times, whatever the answers do.
+func (r *measurementRun) sendOnline(rng *rand.Rand, model engine.Model) {
+	sendTimes := arrivals(rng, r.workload.fullRate(model), r.experiment.Profile, r.experiment.WarmUp+r.experiment.Length)
 	start := time.Now()
 	var before engine.Tokens
-	counting := time.AfterFunc(l.e.WarmUp, func() {
-		l.mu.Lock()
-		before = l.tokens()
-		l.mu.Unlock()
+	startCounting := time.AfterFunc(r.experiment.WarmUp, func() {
+		r.mu.Lock()
+		before = r.producedTokens()
+		r.mu.Unlock()
 	})
-	defer counting.Stop()
+	defer startCounting.Stop()
 	var wg sync.WaitGroup
-	for n, at := range times {
-		p := l.w.prompt(rng, n)
-		dc, node := rng.IntN(len(l.w.DataCentres)), rng.IntN(l.w.Nodes[0])
+	for n, at := range sendTimes {
+		p := r.workload.prompt(rng, n)
+		dc, node := rng.IntN(len(r.workload.DataCentres)), rng.IntN(r.workload.Nodes[0])
 		time.Sleep(time.Until(start.Add(at)))
-		wg.Go(func() { l.send(start.Add(at), l.fleet.CallerAddr(dc, node), p, at >= l.e.WarmUp) })
+		wg.Go(func() { r.sendRequest(start.Add(at), r.fleet.CallerAddr(dc, node), p, at >= r.experiment.WarmUp) })
 	}
-	time.Sleep(time.Until(start.Add(l.e.WarmUp + l.e.Length)))
-	after := l.tokens()
-	l.mu.Lock()
-	l.out.OnlineTokens = float64(after.Online-before.Online) / l.e.Length.Seconds()
-	l.out.BatchTokens = float64(after.Batch-before.Batch) / l.e.Length.Seconds()
-	l.mu.Unlock()
+	time.Sleep(time.Until(start.Add(r.experiment.WarmUp + r.experiment.Length)))
+	after := r.producedTokens()
+	r.mu.Lock()
+	r.result.OnlineTokens = float64(after.Online-before.Online) / r.experiment.Length.Seconds()
+	r.result.BatchTokens = float64(after.Batch-before.Batch) / r.experiment.Length.Seconds()
+	r.mu.Unlock()
 	wg.Wait()
 }
 
-// send makes one request; its latency counts from the intended send time.
-func (l *leg) send(intended time.Time, addr string, p client.Prompt, counted bool) {
+// sendRequest makes one request; its latency counts from the intended sendRequest time.
+func (r *measurementRun) sendRequest(intended time.Time, addr string, p client.Prompt, counted bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	late := time.Since(intended)
-	o := l.caller.Complete(ctx, addr, p)
+	lateness := time.Since(intended)
+	o := r.caller.Complete(ctx, addr, p)
 	if !counted {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.out.Sent++
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.result.Sent++
 	switch {
 	case o.Whole:
-		l.out.Completed++
-		l.first.RecordValue((o.First + late).Microseconds())
-		l.total.RecordValue((o.Total + late).Microseconds())
+		r.result.Completed++
+		r.firstToken.RecordValue((o.First + lateness).Microseconds())
+		r.total.RecordValue((o.Total + lateness).Microseconds())
 		for _, gap := range o.Gaps {
-			l.perToken.RecordValue(max(1, gap.Microseconds()))
+			r.tokenGaps.RecordValue(max(1, gap.Microseconds()))
 		}
 	case o.Accepted || o.Err != nil:
-		l.out.Broken++
+		r.result.Broken++
 	default:
-		l.out.Refused[o.Kind]++
+		r.result.Refused[o.Kind]++
 	}
 }
 
-func (l *leg) summarise(model engine.Model) {
+func (r *measurementRun) summarise(model engine.Model) {
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	o := &l.out
-	o.FirstP50MS, o.FirstP99MS = ms(l.first, 50), ms(l.first, 99)
-	o.TotalP50MS, o.TotalP99MS = ms(l.total, 50), ms(l.total, 99)
-	o.PerTokenP95, o.PerTokenP99 = ms(l.perToken, 95), ms(l.perToken, 99)
-	o.IdleTokens = float64(l.w.engines())*model.FullRate() - o.OnlineTokens
-	o.BatchShare = o.BatchTokens / o.IdleTokens
-	o.Violations = l.fleet.Violations()
+	m := &r.result
+	m.FirstP50MS, m.FirstP99MS = ms(r.firstToken, 50), ms(r.firstToken, 99)
+	m.TotalP50MS, m.TotalP99MS = ms(r.total, 50), ms(r.total, 99)
+	m.PerTokenP95, m.PerTokenP99 = ms(r.tokenGaps, 95), ms(r.tokenGaps, 99)
+	m.IdleTokens = float64(r.workload.engineCount())*model.FullRate() - m.OnlineTokens
+	m.BatchShare = m.BatchTokens / m.IdleTokens
+	m.Violations = r.fleet.Violations()
 	for q := 1.0; q < 100; q++ {
-		o.FirstMS = append(o.FirstMS, Point{q, ms(l.first, q)})
+		m.FirstMS = append(m.FirstMS, Point{q, ms(r.firstToken, q)})
 	}
-	o.FirstMS = append(o.FirstMS, Point{99.5, ms(l.first, 99.5)}, Point{99.9, ms(l.first, 99.9)})
+	m.FirstMS = append(m.FirstMS, Point{99.5, ms(r.firstToken, 99.5)}, Point{99.9, ms(r.firstToken, 99.9)})
 }
 
 // Save writes the result as JSON.
--- a/lab/load/overhead.go
+++ b/lab/load/overhead.go
@@ -19,8 +19,8 @@
 	"github.com/marblepond/marblepond/lab/procs"
 )
 
-// overheadRates are the requests a second of the overhead measurement.
-var overheadRates = []float64{100, 500, 2000}
+// overheadRatesPerSecond are the requests a second of the overhead measurement.
+var overheadRatesPerSecond = []float64{100, 500, 2000}
 
 const (
 	overheadModel  = "m"
@@ -37,7 +37,7 @@
 		return err
 	}
 	for i, owned := range []int{3, 6, 12} {
-		if err := idle(dir, net+1+i, owned, out); err != nil {
+		if err := measureIdle(dir, net+1+i, owned, out); err != nil {
 			return err
 		}
 	}
@@ -51,27 +51,27 @@
 	}
 	defer f.Stop()
 	nodes := []int{f.Proc(f.NodeID(0, 0)).PID(), f.Proc(f.NodeID(0, 1)).PID()}
-	before := cpu(nodes)
+	before := cpuSeconds(nodes)
 	time.Sleep(idleLength)
-	used := (cpu(nodes) - before) / idleLength.Seconds() / float64(len(nodes))
-	fmt.Fprintf(out, "idle node: %.2f %% of a core, %.1f MB resident\n", 100*used, resident(nodes)/float64(len(nodes)))
+	cores := (cpuSeconds(nodes) - before) / idleLength.Seconds() / float64(len(nodes))
+	fmt.Fprintf(out, "idle node: %.2f %% of a core, %.1f MB resident\n", 100*cores, residentMB(nodes)/float64(len(nodes)))
 	nodeAddrs := []string{f.Layout.CallerAddr(0, 0), f.Layout.CallerAddr(0, 1)}
 	engineAddrs := []string{f.EngineAddr(0, 0), f.EngineAddr(0, 1)}
-	for _, rate := range overheadRates {
-		direct := drive(engineAddrs, overheadModel+"@1", rate)
-		before := cpu(nodes)
-		via := drive(nodeAddrs, overheadModel, rate)
-		perRequest := (cpu(nodes) - before) / float64(via.sent) * 1e6
+	for _, rate := range overheadRatesPerSecond {
+		direct := measureLatency(engineAddrs, overheadModel+"@1", rate)
+		before := cpuSeconds(nodes)
+		via := measureLatency(nodeAddrs, overheadModel, rate)
+		perRequest := (cpuSeconds(nodes) - before) / float64(via.sent) * 1e6
 		fmt.Fprintf(out, "%5.0f requests/s: first token straight p50 %.2f p99 %.2f ms, through a node p50 %.2f p99 %.2f ms, added p50 %.2f p99 %.2f ms; whole added p50 %.2f p99 %.2f ms; node %.0f us of processor per request; %d of %d whole, straight %d of %d\n",
-			rate, at(direct.first, 50), at(direct.first, 99), at(via.first, 50), at(via.first, 99), at(via.first, 50)-at(direct.first, 50), at(via.first, 99)-at(direct.first, 99),
-			at(via.total, 50)-at(direct.total, 50), at(via.total, 99)-at(direct.total, 99), perRequest, via.whole, via.sent, direct.whole, direct.sent)
+			rate, percentile(direct.first, 50), percentile(direct.first, 99), percentile(via.first, 50), percentile(via.first, 99), percentile(via.first, 50)-percentile(direct.first, 50), percentile(via.first, 99)-percentile(direct.first, 99),
+			percentile(via.total, 50)-percentile(direct.total, 50), percentile(via.total, 99)-percentile(direct.total, 99), perRequest, via.completed, via.sent, direct.completed, direct.sent)
 	}
-	fmt.Fprintf(out, "node after the load: %.1f MB resident\n", resident(nodes)/float64(len(nodes)))
+	fmt.Fprintf(out, "node after the load: %.1f MB resident\n", residentMB(nodes)/float64(len(nodes)))
 	return nil
 }
 
-// idle measures a node without requests that owns so many targets.
-func idle(dir string, net, owned int, out io.Writer) error {
+// measureIdle measures a node without requests that owns so many targets.
+func measureIdle(dir string, net, owned int, out io.Writer) error {
 	f, err := procs.Start(deployment.Layout{Net: net, DataCentres: []string{"a"}, Nodes: []int{1}, Engines: owned, EngineName: overheadModel,
 		Model: engine.DefaultModel(), Loaded: []string{overheadModel + "@1"}, Extra: nodeSettings,
 		Fleet: fmt.Sprintf("[service %q]\n", overheadModel)}, dir, dir)
@@ -80,39 +80,39 @@
 	}
 	defer f.Stop()
 	node := []int{f.Proc(f.NodeID(0, 0)).PID()}
-	before := cpu(node)
+	before := cpuSeconds(node)
 	time.Sleep(idleLength)
-	fmt.Fprintf(out, "idle node that owns %2d targets: %.2f %% of a core, %.1f MB resident\n", owned, 100*(cpu(node)-before)/idleLength.Seconds(), resident(node))
+	fmt.Fprintf(out, "idle node that owns %2d targets: %.2f %% of a core, %.1f MB resident\n", owned, 100*(cpuSeconds(node)-before)/idleLength.Seconds(), residentMB(node))
 	return nil
 }
 
-// drove is what a drive came to; times in milliseconds.
-type drove struct {
-	sent, whole  int
-	first, total []float64
+// latencies is what a drive came to; times in milliseconds.
+type latencies struct {
+	sent, completed int
+	first, total    []float64
 }
 
-// drive sends Poisson arrivals at a rate to the addresses in turn.
-func drive(addrs []string, model string, rate float64) drove {
+// measureLatency sends Poisson arrivals at a rate to the addresses in turn.
+func measureLatency(addrs []string, model string, rate float64) latencies {
 	rng := rand.New(rand.NewPCG(1, uint64(rate)))
 	caller := client.New(callerKey)
 	defer caller.HTTP.CloseIdleConnections()
-	var d drove
+	var d latencies
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	start := time.Now()
 	for n, at := range arrivals(rng, rate, Profile{Share: 1}, overheadLength) {
 		time.Sleep(time.Until(start.Add(at)))
 		wg.Go(func() {
-			late := time.Since(start.Add(at))
+			lateness := time.Since(start.Add(at))
 			o := caller.Complete(context.Background(), addrs[n%len(addrs)], client.Prompt{Model: model, Text: fmt.Sprint("q", n), MaxTokens: overheadTokens, Stream: true})
 			mu.Lock()
 			defer mu.Unlock()
 			d.sent++
 			if o.Whole {
-				d.whole++
-				d.first = append(d.first, (o.First+late).Seconds()*1000)
-				d.total = append(d.total, (o.Total+late).Seconds()*1000)
+				d.completed++
+				d.first = append(d.first, (o.First+lateness).Seconds()*1000)
+				d.total = append(d.total, (o.Total+lateness).Seconds()*1000)
 			}
 		})
 	}
@@ -120,7 +120,7 @@
 	return d
 }
 
-func at(values []float64, percent int) float64 {
+func percentile(values []float64, percent int) float64 {
 	if len(values) == 0 {
 		return 0
 	}
@@ -128,11 +128,11 @@
 	return sorted[min(len(sorted)-1, len(sorted)*percent/100)]
 }
 
-// clockTicks is the kernel's unit of processor time in /proc, per second.
-const clockTicks = 100
+// clockTicksPerSecond is the kernel's unit of processor time in /proc, per second.
+const clockTicksPerSecond = 100
 
-// cpu returns the processor seconds the processes have used.
-func cpu(pids []int) float64 {
+// cpuSeconds returns the processor seconds the processes have used.
+func cpuSeconds(pids []int) float64 {
 	var total float64
 	for _, pid := range pids {
 		data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -142,13 +142,13 @@
 		fields := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+1:]))
 		user, _ := strconv.ParseFloat(fields[11], 64)
 		system, _ := strconv.ParseFloat(fields[12], 64)
-		total += (user + system) / clockTicks
+		total += (user + system) / clockTicksPerSecond
 	}
 	return total
 }
 
-// resident returns the resident memory of the processes in MB.
-func resident(pids []int) float64 {
+// residentMB returns the residentMB memory of the processes in MB.
+func residentMB(pids []int) float64 {
 	var total float64
 	for _, pid := range pids {
 		data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
--- a/lab/load/report.go
+++ b/lab/load/report.go
@@ -36,37 +36,37 @@
 // Summaries compares each mode with the experiment's first, round by round.
 func (r Result) Summaries() []Summary {
 	var out []Summary
-	base := map[int]Measurement{}
-	for _, l := range r.Measurements {
-		if l.Mode == r.Experiment.Modes[0] {
-			base[l.Round] = l
+	baseline := map[int]Measurement{}
+	for _, m := range r.Measurements {
+		if m.Mode == r.Experiment.Modes[0] {
+			baseline[m.Round] = m
 		}
 	}
 	for _, mode := range r.Experiment.Modes {
-		var first, total, harm, whole, share []float64
-		for _, l := range r.Measurements {
-			if l.Mode != mode {
+		var first, total, firstRatio, totalRatio, share []float64
+		for _, m := range r.Measurements {
+			if m.Mode != mode {
 				continue
 			}
-			first, total, share = append(first, l.FirstP99MS), append(total, l.TotalP99MS), append(share, l.BatchShare)
-			harm = append(harm, l.FirstP99MS/base[l.Round].FirstP99MS)
-			whole = append(whole, l.TotalP99MS/base[l.Round].TotalP99MS)
+			first, total, share = append(first, m.FirstP99MS), append(total, m.TotalP99MS), append(share, m.BatchShare)
+			firstRatio = append(firstRatio, m.FirstP99MS/baseline[m.Round].FirstP99MS)
+			totalRatio = append(totalRatio, m.TotalP99MS/baseline[m.Round].TotalP99MS)
 		}
-		s := Summary{Mode: mode, TotalP99: median(total), TotalP99Ratio: median(whole)}
-		s.FirstP99, s.FirstP99Lo, s.FirstP99Hi = spread(first)
-		s.FirstP99Ratio, s.FirstP99RatioLo, s.FirstP99RatioHi = spread(harm)
-		s.BatchShare, s.BatchShareLo, s.BatchShareHi = spread(share)
+		s := Summary{Mode: mode, TotalP99: median(total), TotalP99Ratio: median(totalRatio)}
+		s.FirstP99, s.FirstP99Lo, s.FirstP99Hi = medianAndRange(first)
+		s.FirstP99Ratio, s.FirstP99RatioLo, s.FirstP99RatioHi = medianAndRange(firstRatio)
+		s.BatchShare, s.BatchShareLo, s.BatchShareHi = medianAndRange(share)
 		out = append(out, s)
 	}
 	return out
 }
 
 func median(v []float64) float64 {
-	m, _, _ := spread(v)
+	m, _, _ := medianAndRange(v)
 	return m
 }
 
-func spread(v []float64) (mid, lo, hi float64) {
+func medianAndRange(v []float64) (mid, lo, hi float64) {
 	if len(v) == 0 {
 		return 0, 0, 0
 	}
@@ -102,7 +102,7 @@
 	p.Add(plotter.NewGrid())
 	for i, mode := range r.Experiment.Modes {
 		var points plotter.XYs
-		for _, q := range r.medianLeg(mode).FirstMS {
+		for _, q := range r.medianMeasurement(mode).FirstMS {
 			points = append(points, plotter.XY{X: q.Quantile, Y: q.Value})
 		}
 		line, err := plotter.NewLine(points)
@@ -119,14 +119,14 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-// medianLeg returns the round of a mode with the median first-token p99.
-func (r Result) medianLeg(mode string) Measurement {
-	var legs []Measurement
-	for _, l := range r.Measurements {
-		if l.Mode == mode {
-			legs = append(legs, l)
+// medianMeasurement returns the round of a mode with the median first-token p99.
+func (r Result) medianMeasurement(mode string) Measurement {
+	var measurements []Measurement
+	for _, m := range r.Measurements {
+		if m.Mode == mode {
+			measurements = append(measurements, m)
 		}
 	}
-	slices.SortFunc(legs, func(a, b Measurement) int { return int(1000 * (a.FirstP99MS - b.FirstP99MS)) })
-	return legs[len(legs)/2]
+	slices.SortFunc(measurements, func(a, b Measurement) int { return int(1000 * (a.FirstP99MS - b.FirstP99MS)) })
+	return measurements[len(measurements)/2]
 }
--- a/lab/load/workload.go
+++ b/lab/load/workload.go
@@ -58,14 +58,14 @@
 
 const callerKey = "load-key"
 
-// engines returns the number of engines.
-func (w Workload) engines() int { return w.EnginesPerDC * len(w.DataCentres) }
+// engineCount returns the number of engineCount.
+func (w Workload) engineCount() int { return w.EnginesPerDC * len(w.DataCentres) }
 
 func mean(r [2]int) float64 { return float64(r[0]+r[1]) / 2 }
 
 // fullRate is the online requests a second that keep every engine full.
 func (w Workload) fullRate(m engine.Model) float64 {
-	return float64(w.engines()) * m.FullRate() / mean(w.OnlineTokens)
+	return float64(w.engineCount()) * m.FullRate() / mean(w.OnlineTokens)
 }
 
 // settings of the nodes under measurement; extra comes from the experiment.
@@ -111,18 +111,18 @@
 	BurstRise  time.Duration // from Share to BurstShare
 }
 
-func (p Profile) at(t time.Duration) float64 {
+func (p Profile) shareAt(t time.Duration) float64 {
 	if p.BurstShare == 0 || t < p.BurstAt {
 		return p.Share
 	}
-	risen := min(1, (t-p.BurstAt).Seconds()/max(0.001, p.BurstRise.Seconds()))
-	return p.Share + (p.BurstShare-p.Share)*risen
+	progress := min(1, (t-p.BurstAt).Seconds()/max(0.001, p.BurstRise.Seconds()))
+	return p.Share + (p.BurstShare-p.Share)*progress
 }
 
 // arrivals returns the send times of a Poisson process that follows the
 // profile, by thinning.
-func arrivals(rng *rand.Rand, full float64, p Profile, length time.Duration) []time.Duration {
-	peak := full * max(p.Share, p.BurstShare)
+func arrivals(rng *rand.Rand, fullRate float64, p Profile, length time.Duration) []time.Duration {
+	peak := fullRate * max(p.Share, p.BurstShare)
 	var out []time.Duration
 	for t := 0.0; ; {
 		t += rng.ExpFloat64() / peak
@@ -130,7 +130,7 @@
 		if at > length {
 			return out
 		}
-		if rng.Float64()*peak < full*p.at(at) {
+		if rng.Float64()*peak < fullRate*p.shareAt(at) {
 			out = append(out, at)
 		}
 	}
