--- a/lab/load/experiment.go
+++ b/lab/load/experiment.go
@@ -20,46 +20,47 @@
 	"github.com/marblepond/marblepond/lab/engine"
 )
 
-// Experiment is a paired measurement, read from INI.
+// Experiment configures measurements of several modes with the same arrivals. It is read from
+// an INI file. Its fields are written out as JSON under these names or the tagged ones.
 type Experiment struct {
 	Name     string
 	Workload string
-	Modes    []string // run in turn within each round
+	Modes    []string // each is measured once in each round
 	Rounds   int
-	WarmUp   time.Duration `json:"Warm"` // not counted
+	WarmUp   time.Duration `json:"Warm"` // requests and tokens of this time are not counted
 	Length   time.Duration
 	Profile  Profile
 	Seed     uint64
-	Net      int
-	Settings string // added to the nodes' settings
+	Net      int    // second byte of the addresses, 127.Net.x.y
+	Settings string // INI text added to the nodes' settings
 }
 
-// Measurement is one mode of one round.
+// Measurement is the measurement of one mode in one round. Latencies are in milliseconds.
 type Measurement struct {
 	Mode         string
 	Round        int
 	Sent         int
-	Completed    int `json:"Whole"`
-	Refused      map[string]int
-	Broken       int
-	FirstP50MS   float64
+	Completed    int            `json:"Whole"`
+	Refused      map[string]int // by error kind
+	Broken       int            // requests with a connection error or an incomplete answer
+	FirstP50MS   float64        // time to the first token
 	FirstP99MS   float64
-	TotalP50MS   float64
+	TotalP50MS   float64 // time to the end of the answer
 	TotalP99MS   float64
-	PerTokenP95  float64 // ms between tokens
+	PerTokenP95  float64 // time between two tokens, in milliseconds
 	PerTokenP99  float64
-	OnlineTokens float64 // a second
-	BatchTokens  float64 // a second
-	IdleTokens   float64 // a second: the full rate less online
-	BatchShare   float64 // BatchTokens over IdleTokens
-	Violations   int64
+	OnlineTokens float64 // per second
+	BatchTokens  float64 // per second
+	IdleTokens   float64 // per second: the full rate less OnlineTokens
+	BatchShare   float64 // BatchTokens divided by IdleTokens
+	Violations   int64   // of invariants
 	FirstMS      []Point // distribution of the time to the first token
 }
 
 // Point is a point of a distribution.
 type Point struct{ Quantile, Value float64 }
 
-// Result is what an experiment came to.
+// Result is the outcome of an experiment.
 type Result struct {
 	Experiment   Experiment
 	Measurements []Measurement `json:"Legs"`
@@ -94,13 +95,13 @@
 	}
 	for _, m := range e.Modes {
 		if _, ok := modes[m]; !ok {
-			return e, fmt.Errorf("%s: no mode %q", path, m)
+			return e, fmt.Errorf("%s: unknown mode %q", path, m)
 		}
 	}
 	return e, nil
 }
 
-// Run runs the experiment and writes progress to out.
+// Run runs an experiment, and writes each measurement to out as it ends.
 func Run(e Experiment, out io.Writer) (Result, error) {
 	result := Result{Experiment: e}
 	for round := range e.Rounds {
@@ -116,14 +117,14 @@
 	return result, nil
 }
 
-// String returns the leg as a row.
+// String returns the measurement as a line of text.
 func (m Measurement) String() string {
 	return fmt.Sprintf("%-18s round %d: sent %5d whole %5d refused %v broken %d | first p50 %6.1f p99 %6.1f ms | whole p50 %7.1f p99 %7.1f ms | token p95 %5.1f p99 %5.1f ms | online %6.0f batch %6.0f tokens/s, %4.1f %% of idle | violations %d",
 		m.Mode, m.Round, m.Sent, m.Completed, m.Refused, m.Broken, m.FirstP50MS, m.FirstP99MS, m.TotalP50MS, m.TotalP99MS, m.PerTokenP95, m.PerTokenP99,
 		m.OnlineTokens, m.BatchTokens, 100*m.BatchShare, m.Violations)
 }
 
-// measurementRun is a measurementRun while it runs.
+// measurementRun is a measurement in progress.
 type measurementRun struct {
 	experiment Experiment
 	workload   Workload
@@ -131,8 +132,8 @@
 	caller     *client.Caller
 	mu         sync.Mutex
 	firstToken *hdrhistogram.Histogram // microseconds
-	total      *hdrhistogram.Histogram
-	tokenGaps  *hdrhistogram.Histogram
+	total      *hdrhistogram.Histogram // microseconds
+	tokenGaps  *hdrhistogram.Histogram // microseconds
 	result     Measurement
 }
 
@@ -160,7 +161,7 @@
 	return r.result, f.Stop()
 }
 
-// submitBatch gives the batch side more than it can do in the run.
+// submitBatch submits a batch that is larger than the engines can complete in the run.
 func (r *measurementRun) submitBatch(rng *rand.Rand, model engine.Model) error {
 	rate := float64(r.workload.engineCount()) * model.FullRate() / mean(r.workload.BatchTokens)
 	n := int(rate * (r.experiment.WarmUp + r.experiment.Length).Seconds() * 1.2)
@@ -168,6 +169,7 @@
 	return err
 }
 
+// producedTokens returns how many tokens all engines have produced so far.
 func (r *measurementRun) producedTokens() engine.Tokens {
 	var sum engine.Tokens
 	for _, row := range r.fleet.Engines {
@@ -180,7 +182,8 @@
 	return sum
 }
 
-// sendOnline sends the arrivals at their times, whatever the answers do.
+// sendOnline sends the online requests at their times, without regard to answers (open loop),
+// and counts the tokens produced after the warm-up.
 func (r *measurementRun) sendOnline(rng *rand.Rand, model engine.Model) {
 	sendTimes := arrivals(rng, r.workload.fullRate(model), r.experiment.Profile, r.experiment.WarmUp+r.experiment.Length)
 	start := time.Now()
@@ -207,7 +210,7 @@
 	wg.Wait()
 }
 
-// sendRequest makes one request; its latency counts from the intended sendRequest time.
+// sendRequest sends one request. Its latency counts from the intended time.
 func (r *measurementRun) sendRequest(intended time.Time, addr string, p client.Prompt, counted bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
--- a/lab/load/overhead.go
+++ b/lab/load/overhead.go
@@ -19,7 +19,6 @@
 	"github.com/marblepond/marblepond/lab/procs"
 )
 
-// overheadRatesPerSecond are the requests a second of the overhead measurement.
 var overheadRatesPerSecond = []float64{100, 500, 2000}
 
 const (
@@ -29,9 +28,9 @@
 	idleLength     = 5 * time.Second
 )
 
-// MeasureOverhead measures what a node adds to calling an engine straight: latency
-// and processor time, paired in one run over separate processes, and what an
-// idle node takes.
+// MeasureOverhead measures the latency and processor time that a node adds to calling an
+// engine directly, in one run with nodes and engines as separate processes. It also measures
+// the processor time and memory of an idle node.
 func MeasureOverhead(dir string, net int, out io.Writer) error {
 	if err := procs.Build(dir); err != nil {
 		return err
@@ -70,7 +69,7 @@
 	return nil
 }
 
-// measureIdle measures a node without requests that owns so many targets.
+// measureIdle measures a node that owns the given number of targets and gets no requests.
 func measureIdle(dir string, net, owned int, out io.Writer) error {
 	f, err := procs.Start(deployment.Layout{Net: net, DataCentres: []string{"a"}, Nodes: []int{1}, Engines: owned, EngineName: overheadModel,
 		Model: engine.DefaultModel(), Loaded: []string{overheadModel + "@1"}, Extra: nodeSettings,
@@ -86,13 +85,14 @@
 	return nil
 }
 
-// latencies is what a drive came to; times in milliseconds.
+// latencies are those of the completed requests, in milliseconds.
 type latencies struct {
 	sent, completed int
-	first, total    []float64
+	first, total    []float64 // times to the first token and to the end of the answer
 }
 
-// measureLatency sends Poisson arrivals at a rate to the addresses in turn.
+// measureLatency sends requests to the addresses in turn as a Poisson process with a rate per
+// second.
 func measureLatency(addrs []string, model string, rate float64) latencies {
 	rng := rand.New(rand.NewPCG(1, uint64(rate)))
 	caller := client.New(callerKey)
@@ -128,10 +128,10 @@
 	return sorted[min(len(sorted)-1, len(sorted)*percent/100)]
 }
 
-// clockTicksPerSecond is the kernel's unit of processor time in /proc, per second.
+// clockTicksPerSecond is the unit of processor times in /proc (USER_HZ).
 const clockTicksPerSecond = 100
 
-// cpuSeconds returns the processor seconds the processes have used.
+// cpuSeconds returns the processor time that the processes have used.
 func cpuSeconds(pids []int) float64 {
 	var total float64
 	for _, pid := range pids {
@@ -147,7 +147,7 @@
 	return total
 }
 
-// residentMB returns the residentMB memory of the processes in MB.
+// residentMB returns the resident memory of the processes.
 func residentMB(pids []int) float64 {
 	var total float64
 	for _, pid := range pids {
--- a/lab/load/report.go
+++ b/lab/load/report.go
@@ -23,17 +23,18 @@
 	return r, json.Unmarshal(data, &r)
 }
 
-// Summary is a mode's median over its rounds, with the spread.
+// Summary has the medians of a mode over its rounds, and the lowest (Lo) and highest (Hi)
+// values. Times are in milliseconds.
 type Summary struct {
 	Mode                                            string
-	FirstP99, FirstP99Lo, FirstP99Hi                float64 // ms
-	TotalP99                                        float64 // ms
-	FirstP99Ratio, FirstP99RatioLo, FirstP99RatioHi float64 // first-token p99 over that of the first mode, paired by round
-	TotalP99Ratio                                   float64 // the same of the whole answer
+	FirstP99, FirstP99Lo, FirstP99Hi                float64 // time to the first token
+	TotalP99                                        float64 // time to the end of the answer
+	FirstP99Ratio, FirstP99RatioLo, FirstP99RatioHi float64 // FirstP99 divided by that of the first mode in the same round
+	TotalP99Ratio                                   float64 // TotalP99 divided by that of the first mode in the same round
 	BatchShare, BatchShareLo, BatchShareHi          float64
 }
 
-// Summaries compares each mode with the experiment's first, round by round.
+// Summaries compares each mode with the first mode of the experiment, round by round.
 func (r Result) Summaries() []Summary {
 	var out []Summary
 	baseline := map[int]Measurement{}
@@ -80,7 +81,7 @@
 		s.TotalP99, s.FirstP99Ratio, s.FirstP99RatioLo, s.FirstP99RatioHi, s.TotalP99Ratio, 100*s.BatchShare, 100*s.BatchShareLo, 100*s.BatchShareHi)
 }
 
-// SummaryTableHead is the head of the table of summaries.
+// SummaryTableHead is the head of the Markdown table of summaries.
 const SummaryTableHead = "| mode | first token p99 ms | whole p99 ms | first-token harm | whole harm | batch share of idle |\n| --- | --- | --- | --- | --- | --- |"
 
 var palette = []color.RGBA{{0x1f, 0x77, 0xb4, 0xff}, {0x2c, 0xa0, 0x2c, 0xff}, {0xd6, 0x27, 0x28, 0xff}, {0x94, 0x67, 0xbd, 0xff}, {0x8c, 0x56, 0x4b, 0xff}}
@@ -90,8 +91,8 @@
 	plotHeight = 11 * vg.Centimeter
 )
 
-// Plot draws the distribution of the time to the first token, a line a mode
-// (the median round), into a PNG or SVG file.
+// Plot draws the distribution of the time to the first token into a PNG or SVG file, with a
+// line for the median round of each mode.
 func (r Result) Plot(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: time to the first token", r.Experiment.Name)
@@ -119,7 +120,7 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-// medianMeasurement returns the round of a mode with the median first-token p99.
+// medianMeasurement returns the measurement of a mode with the median FirstP99MS.
 func (r Result) medianMeasurement(mode string) Measurement {
 	var measurements []Measurement
 	for _, m := range r.Measurements {
--- a/lab/load/workload.go
+++ b/lab/load/workload.go
@@ -1,5 +1,5 @@
-// Package load measures the fleet's decisions: open-loop online arrivals with
-// and without batch, against baselines, paired in one run.
+// Package load measures the fleet under open-loop online traffic with and without batch work,
+// and compares the product's policies with baselines in the same run.
 package load
 
 import (
@@ -16,20 +16,20 @@
 	"github.com/marblepond/marblepond/lab/engine"
 )
 
-// Workload is the shape of one user's traffic.
+// Workload describes one user's deployment and traffic.
 type Workload struct {
 	Name          string
 	DataCentres   []string
-	Nodes         []int
+	Nodes         []int // in each data centre
 	EnginesPerDC  int
 	Model         string // service name
-	Templates     int    // prompt templates: requests of one share a long prefix
-	TemplateChars int
-	OnlineTokens  [2]int // least and most tokens of an answer
-	BatchTokens   [2]int
+	Templates     int    // number of prompt templates; requests of a template share a long prefix
+	TemplateChars int    // length of a template
+	OnlineTokens  [2]int // least and most tokens of an online answer
+	BatchTokens   [2]int // least and most tokens of a batch item's answer
 }
 
-// The shipped workloads, shaped as the brief's users.
+// workloads are modelled on two users of the product.
 var workloads = map[string]Workload{
 	"kurzeme": {Name: "kurzeme", DataCentres: []string{"saldus-hall", "kuldiga-hall", "talsi-hall"}, Nodes: []int{2, 2, 2}, EnginesPerDC: 4,
 		Model: "akmens-llm", Templates: 12, TemplateChars: 1200, OnlineTokens: [2]int{16, 64}, BatchTokens: [2]int{48, 96}},
@@ -37,14 +37,13 @@
 		Model: "signdesk-llm", Templates: 24, TemplateChars: 2400, OnlineTokens: [2]int{32, 96}, BatchTokens: [2]int{64, 128}},
 }
 
-// Mode is what one leg of a paired run does.
+// Mode is the product or a baseline, with or without batch work.
 type Mode struct {
 	Name    string
 	Batch   bool
 	Variant node.Variant
 }
 
-// The modes: the product, and the baselines it is compared with.
 var modes = map[string]Mode{
 	"batch_off":         {Name: "batch_off"},
 	"paced":             {Name: "paced", Batch: true},
@@ -58,17 +57,16 @@
 
 const callerKey = "load-key"
 
-// engineCount returns the number of engineCount.
 func (w Workload) engineCount() int { return w.EnginesPerDC * len(w.DataCentres) }
 
 func mean(r [2]int) float64 { return float64(r[0]+r[1]) / 2 }
 
-// fullRate is the online requests a second that keep every engine full.
+// fullRate returns how many online requests per second keep all engines fully loaded.
 func (w Workload) fullRate(m engine.Model) float64 {
 	return float64(w.engineCount()) * m.FullRate() / mean(w.OnlineTokens)
 }
 
-// settings of the nodes under measurement; extra comes from the experiment.
+// nodeSettings are the settings of measured nodes, to which those of the experiment are added.
 const nodeSettings = `[log]
 level = error
 [platform]
@@ -82,7 +80,7 @@
 		Fleet: fmt.Sprintf("[service %q]\n[workspace %q]\nkey_sha256 = %s\n", w.Model, w.Name, workspace.HashKey(callerKey))}
 }
 
-// template returns the long common beginning of a template's prompts.
+// template returns the prefix that all prompts of a template share.
 func (w Workload) template(n int) string {
 	line := fmt.Sprintf("[template %d of %s: answer in the house's words and name the slab or image asked for] ", n, w.Name)
 	return strings.Repeat(line, w.TemplateChars/len(line)+1)[:w.TemplateChars]
@@ -103,12 +101,12 @@
 	return []byte(b.String())
 }
 
-// Profile is the online rate over a run as shares of the full rate.
+// Profile is the rate of online requests over a run, as shares of the full rate.
 type Profile struct {
 	Share      float64 // before the burst
 	BurstShare float64 // from BurstAt on; 0: no burst
 	BurstAt    time.Duration
-	BurstRise  time.Duration // from Share to BurstShare
+	BurstRise  time.Duration // time in which the rate rises from Share to BurstShare
 }
 
 func (p Profile) shareAt(t time.Duration) float64 {
@@ -119,8 +117,8 @@
 	return p.Share + (p.BurstShare-p.Share)*progress
 }
 
-// arrivals returns the send times of a Poisson process that follows the
-// profile, by thinning.
+// arrivals returns the arrival times of a Poisson process whose rate follows the profile. It
+// thins a process at the highest rate.
 func arrivals(rng *rand.Rand, fullRate float64, p Profile, length time.Duration) []time.Duration {
 	peak := fullRate * max(p.Share, p.BurstShare)
 	var out []time.Duration
