--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -23,51 +23,51 @@
 
 // Sizes of letter 1, per data centre where that is what a node sees.
 const (
-	centres        = 23
-	nodesPerDC     = 16
-	nodes          = 360
-	targetsPerDC   = 183
-	workspaces     = 5700
-	leavingPerDC   = 10 // VMs marked as leaving at a time
-	heartbeat      = 500 * time.Millisecond
-	fullEvery      = 16 // heartbeats between two with all state
-	namesPerTarget = 2
+	dataCentres       = 23
+	nodesPerDC        = 16
+	nodes             = 360
+	targetsPerDC      = 183
+	workspaces        = 5700
+	leavingPerDC      = 10 // VMs marked as leaving at a time
+	heartbeatInterval = 500 * time.Millisecond
+	fullStateInterval = 16 // heartbeats between two with all state
+	modelsPerTarget   = 2
 )
 
 // Run prints every slope.
 func Run(out io.Writer) {
 	fmt.Fprintln(out, "heartbeats: nodes per data centre, bytes of one, bytes a node sends a second, time of a tick with all answers")
 	for _, n := range []int{4, 8, nodesPerDC} {
-		heartbeats(out, n)
+		measureHeartbeats(out, n)
 	}
 	fmt.Fprintln(out, "spread of a configuration version over 23 data centres by heartbeat alone: nodes, intervals until all have it")
 	for _, n := range []int{4, 8, nodesPerDC} {
-		spread(out, n)
+		measureDissemination(out, n)
 	}
 	fmt.Fprintln(out, "choice of target: targets, time of one choice, memory of one target")
 	for _, n := range []int{targetsPerDC / 4, targetsPerDC / 2, targetsPerDC} {
-		choice(out, n)
+		measureChoice(out, n)
 	}
 	fmt.Fprintln(out, "pacing: owned targets, time of one pressure report with a look at all slots")
 	for _, n := range []int{3, 6, 12} {
-		pacing(out, n)
+		measurePacing(out, n)
 	}
 	fmt.Fprintln(out, "held requests of 1 KiB: entries, memory of one, time to hold and finish one")
 	for _, n := range []int{10000, 20000, 40000} {
-		holds(out, n)
+		measureHolds(out, n)
 	}
 	fmt.Fprintln(out, "configuration: workspaces, size, size of a change, time to adopt, memory")
 	for _, n := range []int{workspaces / 4, workspaces / 2, workspaces} {
-		configuration(out, n)
+		measureConfiguration(out, n)
 	}
 	fmt.Fprintln(out, "batch: items of a chunk, size of its state with all results in four segments")
 	for _, n := range []int{64, 128, 256} {
-		chunk(out, n)
+		measureChunk(out, n)
 	}
 }
 
-// perCall returns the mean time of f.
-func perCall(calls int, f func(i int)) time.Duration {
+// meanDuration returns the mean time of f.
+func meanDuration(calls int, f func(i int)) time.Duration {
 	start := time.Now()
 	for i := range calls {
 		f(i)
@@ -75,8 +75,8 @@
 	return time.Since(start) / time.Duration(calls)
 }
 
-// heap returns the live heap in bytes.
-func heap() uint64 {
+// heapBytes returns the live heapBytes in bytes.
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -88,18 +88,18 @@
 		PeerAddr: fmt.Sprintf("10.%d.0.%d:7071", dc, n), CallerAddr: fmt.Sprintf("10.%d.0.%d:7070", dc, n), ConfigVersion: 7700}
 }
 
-var timing = member.Timing{Heartbeat: heartbeat, SuspectAfter: 3 * heartbeat, DeadAfter: 6 * heartbeat}
+var timing = member.Timing{Heartbeat: heartbeatInterval, SuspectAfter: 3 * heartbeatInterval, DeadAfter: 6 * heartbeatInterval}
 
-// message returns the heartbeat of a node that owns its share of the targets,
+// heartbeatMessage returns the heartbeat of a node that owns its share of the targets,
 // with what is new only or with all state.
-func message(n int, full bool) *v1.HeartbeatRequest {
+func heartbeatMessage(n int, full bool) *v1.HeartbeatRequest {
 	req := &v1.HeartbeatRequest{From: membership.ToProto(nodeInfo(0, 0)), Hlc: time.Now().UnixMilli() << 16, HeadVersion: 7700}
 	for i := 1; i < n && full; i++ {
 		req.Members = append(req.Members, membership.ToProto(nodeInfo(0, i)))
 	}
 	for i := range targetsPerDC / n {
 		load := &v1.TargetLoad{Target: fmt.Sprintf("dc00-target%03d", i), Incarnation: uint64(time.Now().UnixNano()), Running: 20, MaxRunning: 32, Batch: 5, Healthy: true, Names: full}
-		for k := 0; k < namesPerTarget && full; k++ {
+		for k := 0; k < modelsPerTarget && full; k++ {
 			load.Loaded = append(load.Loaded, fmt.Sprintf("model-%d@12", k))
 		}
 		req.Loads = append(req.Loads, load)
@@ -110,17 +110,17 @@
 	return req
 }
 
-// framing is what HTTP/2 adds to a message, in bytes: frames and the headers
+// framingBytes is what HTTP/2 adds to a message, in bytes: frames and the headers
 // that are not in its table yet; an estimate, not measured.
-const framing = 120
+const framingBytes = 120
 
-func heartbeats(out io.Writer, n int) {
-	usual, full := proto.Size(message(n, false)), proto.Size(message(n, true))
-	size := float64(usual*(fullEvery-1)+full) / fullEvery
+func measureHeartbeats(out io.Writer, n int) {
+	partial, full := proto.Size(heartbeatMessage(n, false)), proto.Size(heartbeatMessage(n, true))
+	meanSize := float64(partial*(fullStateInterval-1)+full) / fullStateInterval
 	m := member.New(nodeInfo(0, 0), timing)
 	now := time.Now()
-	tick := perCall(2000, func(i int) {
-		now = now.Add(heartbeat)
+	tick := meanDuration(2000, func(i int) {
+		now = now.Add(heartbeatInterval)
 		m.Tick(now)
 		for k := 1; k < n; k++ {
 			m.ObserveDirect(now, nodeInfo(0, k))
@@ -128,74 +128,74 @@
 		m.View()
 	})
 	// Of each pair one sends a request and the other an answer each interval.
-	for _, interval := range []time.Duration{heartbeat, 2 * heartbeat} {
-		perSecond := (size + framing) * float64(n-1) / interval.Seconds()
-		fmt.Fprintf(out, "  %3d  usual %d B, full %d B; every %v: %.1f KB/s; %v\n", n, usual, full, interval, perSecond/1000, tick)
+	for _, interval := range []time.Duration{heartbeatInterval, 2 * heartbeatInterval} {
+		perSecond := (meanSize + framingBytes) * float64(n-1) / interval.Seconds()
+		fmt.Fprintf(out, "  %3d  usual %d B, full %d B; every %v: %.1f KB/s; %v\n", n, partial, full, interval, perSecond/1000, tick)
 	}
 }
 
-// spread counts the heartbeat intervals until every node has heard of a
+// measureDissemination counts the heartbeat intervals until every node has heard of a
 // version that one node has, when nodes tell by heartbeats alone.
-func spread(out io.Writer, n int) {
-	var machines []*member.StateMachine
+func measureDissemination(out io.Writer, n int) {
+	var members []*member.StateMachine
 	byID := map[string]*member.StateMachine{}
 	now := time.Now()
-	for dc := range centres {
+	for dc := range dataCentres {
 		for i := range n {
 			info := nodeInfo(dc, i)
 			info.ConfigVersion = 0
 			m := member.New(info, timing)
-			machines = append(machines, m)
+			members = append(members, m)
 			byID[info.ID] = m
 		}
 	}
-	for _, a := range machines {
-		for _, b := range machines {
+	for _, a := range members {
+		for _, b := range members {
 			a.ObserveDirect(now, b.Self())
 		}
 	}
-	machines[0].SetConfigVersion(1)
+	members[0].SetConfigVersion(1)
 	intervals := 0
-	for done := 0; done < len(machines); intervals++ {
-		now = now.Add(heartbeat)
-		var sent []pair
-		for _, m := range machines {
+	for done := 0; done < len(members); intervals++ {
+		now = now.Add(heartbeatInterval)
+		var exchanges []exchange
+		for _, m := range members {
 			send, _ := m.Tick(now)
 			for _, to := range send {
-				sent = append(sent, pair{m, byID[to.ID]})
+				exchanges = append(exchanges, exchange{m, byID[to.ID]})
 			}
 		}
-		deliver(now, sent)
+		runExchanges(now, exchanges)
 		done = 0
-		for _, m := range machines {
+		for _, m := range members {
 			if m.Self().ConfigVersion == 1 {
 				done++
 			}
 		}
 	}
-	fmt.Fprintf(out, "  %3d  %d\n", len(machines), intervals)
+	fmt.Fprintf(out, "  %3d  %d\n", len(members), intervals)
 }
 
-// pair is one exchange of heartbeats.
-type pair struct{ a, b *member.StateMachine }
+// exchange is one exchange of heartbeats.
+type exchange struct{ a, b *member.StateMachine }
 
-// deliver carries out the exchanges of one interval. What a machine learns in
+// runExchanges carries out the exchanges of one interval. What a machine learns in
 // an interval it tells in the next.
-func deliver(now time.Time, pairs []pair) {
+func runExchanges(now time.Time, exchanges []exchange) {
 	learned := map[*member.StateMachine]uint64{}
-	for _, p := range pairs {
-		newest := max(p.a.Self().ConfigVersion, p.b.Self().ConfigVersion)
-		learned[p.a], learned[p.b] = max(learned[p.a], newest), max(learned[p.b], newest)
-		p.a.ObserveDirect(now, p.b.Self())
-		p.b.ObserveDirect(now, p.a.Self())
+	for _, e := range exchanges {
+		newest := max(e.a.Self().ConfigVersion, e.b.Self().ConfigVersion)
+		learned[e.a], learned[e.b] = max(learned[e.a], newest), max(learned[e.b], newest)
+		e.a.ObserveDirect(now, e.b.Self())
+		e.b.ObserveDirect(now, e.a.Self())
 	}
 	for m, version := range learned {
 		m.SetConfigVersion(max(version, m.Self().ConfigVersion))
 	}
 }
 
-func choice(out io.Writer, n int) {
-	before := heap()
+func measureChoice(out io.Writer, n int) {
+	before := heapBytes()
 	table := choose.New(choose.Config{EjectAfter: 3, EjectTime: time.Second, Policy: choose.Affinity})
 	var list []choose.Target
 	for i := range n {
@@ -206,18 +206,18 @@
 	for _, t := range list {
 		table.RecordLoad(t.ID, 1, choose.Load{MaxRunning: 32, Healthy: true, Loaded: []string{"m@1", "n@1"}, At: now})
 	}
-	memory := (heap() - before) / uint64(n)
-	took := perCall(5000, func(i int) {
+	memory := (heapBytes() - before) / uint64(n)
+	duration := meanDuration(5000, func(i int) {
 		target, _ := table.Choose(now, choose.Need{Service: "service", Loaded: "m@1", Prefix: fmt.Sprint(i % 50)})
 		table.Begin(target.ID)
 		if i%2 == 1 {
 			table.End(now, target.ID, choose.Success)
 		}
 	})
-	fmt.Fprintf(out, "  %3d  %v  %d B\n", n, took, memory)
+	fmt.Fprintf(out, "  %3d  %v  %d B\n", n, duration, memory)
 }
 
-func pacing(out io.Writer, n int) {
+func measurePacing(out io.Writer, n int) {
 	p := pace.New(pace.Config{FillShare: 0.9, Reserve: 1, QuietTime: 100 * time.Millisecond})
 	var ids []string
 	for i := range n {
@@ -228,30 +228,30 @@
 	for _, id := range ids {
 		p.SetCapacity(id, 32, true)
 	}
-	took := perCall(20000, func(i int) {
+	duration := meanDuration(20000, func(i int) {
 		p.RecordOnline(now, ids[i%n], fmt.Sprint("n", i%nodesPerDC), 1, uint64(i+1), i%20)
 		p.Excess(now)
 		p.Free(now)
 	})
-	fmt.Fprintf(out, "  %3d  %v\n", n, took)
+	fmt.Fprintf(out, "  %3d  %v\n", n, duration)
 }
 
-func holds(out io.Writer, n int) {
-	before := heap()
+func measureHolds(out io.Writer, n int) {
+	before := heapBytes()
 	table := hold.New(1 << 30)
-	took := perCall(n, func(i int) {
+	duration := meanDuration(n, func(i int) {
 		id := fmt.Sprintf("resp_dc00_dc01_tpf9ok_%08x_NONCENONCE12", i)
 		table.Hold(hold.Request{ID: id, Workspace: "workspace", Owner: "n", Body: make([]byte, 1024), Created: 1})
 		table.Finish(hold.Result{RequestID: id, Workspace: "workspace", Body: make([]byte, 1024)}, false)
 	})
-	memory := (heap() - before) / uint64(n)
+	memory := (heapBytes() - before) / uint64(n)
 	entries, _ := table.Size()
-	fmt.Fprintf(out, "  %6d  %d B  %v\n", entries, memory, took)
+	fmt.Fprintf(out, "  %6d  %d B  %v\n", entries, memory, duration)
 }
 
-func configuration(out io.Writer, n int) {
-	text := intent(n, 0)
-	before := heap()
+func measureConfiguration(out io.Writer, n int) {
+	text := intentText(n, 0)
+	before := heapBytes()
 	config, err := fleet.Parse([]byte(text))
 	if err != nil {
 		panic(err) // the intent is this function's own
@@ -262,22 +262,22 @@
 		bodies[fleet.HashSection(body)] = body
 		size += len(body)
 	}
-	adopt := perCall(5, func(int) { fleet.Assemble(head, bodies) })
-	memory := heap() - before
-	changed, _ := fleet.Parse([]byte(intent(n, 1)))
+	duration := meanDuration(5, func(int) { fleet.Assemble(head, bodies) })
+	memory := heapBytes() - before
+	changed, _ := fleet.Parse([]byte(intentText(n, 1)))
 	change := len(record.Encode(fleet.NewHead(changed, head, "token")))
 	for _, body := range changed.Sections() {
 		if bodies[fleet.HashSection(body)] == nil {
 			change += len(body)
 		}
 	}
-	fmt.Fprintf(out, "  %5d  %d KB  %d B  %v  %.1f MB\n", n, size/1000, change, adopt, float64(memory)/(1<<20))
+	fmt.Fprintf(out, "  %5d  %d KB  %d B  %v  %.1f MB\n", n, size/1000, change, duration, float64(memory)/(1<<20))
 	runtime.KeepAlive(config)
 }
 
-// intent returns a configuration of 13 models and n workspaces; limit is that
+// intentText returns a configuration of 13 models and n workspaces; limit is that
 // of the first.
-func intent(n, limit int) string {
+func intentText(n, limit int) string {
 	var b strings.Builder
 	for i := range 13 {
 		fmt.Fprintf(&b, "[service \"model-%d\"]\nversion = 12\nadapters = a,b\n", i)
@@ -291,7 +291,7 @@
 	return b.String()
 }
 
-func chunk(out io.Writer, n int) {
+func measureChunk(out io.Writer, n int) {
 	const segments = 4
 	state := record.ChunkState{Job: "batch_0123456789abcdef0123456789", Phase: record.ChunkDone, Holder: record.Holder{Node: "dc00-node00", Incarnation: 1}, Epoch: 1, Items: n, Completed: n}
 	for s := range segments {
