--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -1,5 +1,5 @@
-// Package capacity drives the node's machines alone, without processes, at
-// three sizes each, and prints the slopes that docs/CAPACITY.md is made of.
+// Package capacity measures the cost of the node's state machines and tables by themselves,
+// without processes, at three sizes each. It prints the figures of docs/CAPACITY.md.
 package capacity
 
 import (
@@ -21,20 +21,20 @@
 	"github.com/marblepond/marblepond/internal/version/fleet"
 )
 
-// Sizes of letter 1, per data centre where that is what a node sees.
+// Sizes of the deployment that the users plan; per data centre where a node sees no more.
 const (
-	dataCentres       = 23
-	nodesPerDC        = 16
-	nodes             = 360
-	targetsPerDC      = 183
-	workspaces        = 5700
-	leavingPerDC      = 10 // VMs marked as leaving at a time
-	heartbeatInterval = 500 * time.Millisecond
-	fullStateInterval = 16 // heartbeats between two with all state
-	modelsPerTarget   = 2
+	dataCentres            = 23
+	nodesPerDC             = 16
+	nodes                  = 360
+	targetsPerDC           = 183
+	workspaces             = 5700
+	leavingPerDC           = 10 // VMs marked as leaving at a time
+	heartbeatInterval      = 500 * time.Millisecond
+	heartbeatsPerFullState = 16 // one of so many heartbeats carries the complete state
+	modelsPerTarget        = 2
 )
 
-// Run prints every slope.
+// Run runs all measurements and prints their figures.
 func Run(out io.Writer) {
 	fmt.Fprintln(out, "heartbeats: nodes per data centre, bytes of one, bytes a node sends a second, time of a tick with all answers")
 	for _, n := range []int{4, 8, nodesPerDC} {
@@ -66,7 +66,7 @@
 	}
 }
 
-// meanDuration returns the mean time of f.
+// meanDuration returns the mean time of a call of f.
 func meanDuration(calls int, f func(i int)) time.Duration {
 	start := time.Now()
 	for i := range calls {
@@ -75,7 +75,7 @@
 	return time.Since(start) / time.Duration(calls)
 }
 
-// heapBytes returns the live heapBytes in bytes.
+// heapBytes returns the size of the live heap.
 func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -90,8 +90,8 @@
 
 var timing = member.Timing{Heartbeat: heartbeatInterval, SuspectAfter: 3 * heartbeatInterval, DeadAfter: 6 * heartbeatInterval}
 
-// heartbeatMessage returns the heartbeat of a node that owns its share of the targets,
-// with what is new only or with all state.
+// heartbeatMessage returns the heartbeat of a node that owns its share of the targets, with
+// the complete state or with the loads of its targets only.
 func heartbeatMessage(n int, full bool) *v1.HeartbeatRequest {
 	req := &v1.HeartbeatRequest{From: membership.ToProto(nodeInfo(0, 0)), Hlc: time.Now().UnixMilli() << 16, HeadVersion: 7700}
 	for i := 1; i < n && full; i++ {
@@ -110,13 +110,15 @@
 	return req
 }
 
-// framingBytes is what HTTP/2 adds to a message, in bytes: frames and the headers
-// that are not in its table yet; an estimate, not measured.
+// framingBytes approximates what HTTP/2 adds to a message: frames, and headers that are not
+// in its compression table yet.
 const framingBytes = 120
 
+// measureHeartbeats measures the size of heartbeats with n nodes per data centre, and the time
+// of a tick.
 func measureHeartbeats(out io.Writer, n int) {
 	partial, full := proto.Size(heartbeatMessage(n, false)), proto.Size(heartbeatMessage(n, true))
-	meanSize := float64(partial*(fullStateInterval-1)+full) / fullStateInterval
+	meanSize := float64(partial*(heartbeatsPerFullState-1)+full) / heartbeatsPerFullState
 	m := member.New(nodeInfo(0, 0), timing)
 	now := time.Now()
 	tick := meanDuration(2000, func(i int) {
@@ -127,15 +129,15 @@
 		}
 		m.View()
 	})
-	// Of each pair one sends a request and the other an answer each interval.
+	// In each interval one node of a pair sends a request and the other one a response.
 	for _, interval := range []time.Duration{heartbeatInterval, 2 * heartbeatInterval} {
 		perSecond := (meanSize + framingBytes) * float64(n-1) / interval.Seconds()
 		fmt.Fprintf(out, "  %3d  usual %d B, full %d B; every %v: %.1f KB/s; %v\n", n, partial, full, interval, perSecond/1000, tick)
 	}
 }
 
-// measureDissemination counts the heartbeat intervals until every node has heard of a
-// version that one node has, when nodes tell by heartbeats alone.
+// measureDissemination counts the heartbeat intervals until a configuration version of one
+// node has reached all nodes by heartbeats alone.
 func measureDissemination(out io.Writer, n int) {
 	var members []*member.StateMachine
 	byID := map[string]*member.StateMachine{}
@@ -179,8 +181,8 @@
 // exchange is one exchange of heartbeats.
 type exchange struct{ a, b *member.StateMachine }
 
-// runExchanges carries out the exchanges of one interval. What a machine learns in
-// an interval it tells in the next.
+// runExchanges runs the exchanges of one interval. A version that a node receives in an
+// interval is sent on in the next one.
 func runExchanges(now time.Time, exchanges []exchange) {
 	learned := map[*member.StateMachine]uint64{}
 	for _, e := range exchanges {
@@ -254,7 +256,7 @@
 	before := heapBytes()
 	config, err := fleet.Parse([]byte(text))
 	if err != nil {
-		panic(err) // the intent is this function's own
+		panic(err) // intentText generates a valid configuration
 	}
 	head := fleet.NewHead(config, fleet.Head{}, "token")
 	bodies, size := map[string][]byte{}, 0
@@ -275,8 +277,8 @@
 	runtime.KeepAlive(config)
 }
 
-// intentText returns a configuration of 13 models and n workspaces; limit is that
-// of the first.
+// intentText returns a configuration of 13 models and n workspaces; limit is the limit of
+// requests in flight of the first workspace.
 func intentText(n, limit int) string {
 	var b strings.Builder
 	for i := range 13 {
