--- a/lab/model/fleet.go
+++ b/lab/model/fleet.go
@@ -81,7 +81,7 @@
 	}
 	f.clock.every(sampleInterval, f.sample)
 	f.clock.run(load.Length + d.CompleteWithin)
-	return f.summarize()
+	return f.summarise()
 }
 
 func (f *fleet) build(seed uint64) {
--- a/lab/model/result.go
+++ b/lab/model/result.go
@@ -80,7 +80,7 @@
 	f.result.Samples = append(f.result.Samples, s)
 }
 
-func (f *fleet) summarize() Result {
+func (f *fleet) summarise() Result {
 	r := f.result
 	r.Load, r.Variant = f.load.Name, f.variant.Name
 	slices.Sort(r.firstEventTimes)
