--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -32,12 +32,12 @@
 // more than the difference between the policies.
 const runsPerPolicy = 6
 
-// TestRoomByArrivals: with online traffic in steps beside batch work that exceeds the rest
+// TestReserveFollowsArrivals: with online traffic in steps beside batch work that exceeds the rest
 // of the capacity, as on the users' heaviest days, a reserve that follows the rate of online
 // requests, with preemption of items as a request is sent, completes more items in time than
 // two slots kept free. It does so on other engines, sizes and due times too, and no fewer
 // online requests are in time.
-func TestRoomByArrivals(t *testing.T) {
+func TestReserveFollowsArrivals(t *testing.T) {
 	load, err := LoadByName("steps")
 	if err != nil {
 		t.Fatal(err)
@@ -111,8 +111,8 @@
 	is.Equal(order[4:], []int{6, 7})
 }
 
-// TestOneSeedOneCourse: two runs with the same seed have the same result.
-func TestOneSeedOneCourse(t *testing.T) {
+// TestSameSeedSameResult: two runs with the same seed have the same result.
+func TestSameSeedSameResult(t *testing.T) {
 	is := is.New(t)
 	load, err := LoadByName("lost")
 	is.NoErr(err)
