--- a/lab/model/quota/ways.go
+++ b/lab/model/quota/ways.go
@@ -61,7 +61,7 @@
 
 type demandNode struct {
 	buckets  []tokenBucket
-	demand   []float64       // requests per second, by workspace; a mean that decays within a second
+	demand   []float64       // requests per second, by workspace; a decaying mean with a time constant of 1 s
 	demandAt []time.Duration // when demand was computed, by workspace
 }
 
