--- a/lab/model/fleet.go
+++ b/lab/model/fleet.go
@@ -8,94 +8,95 @@
 	"github.com/marblepond/marblepond/internal/request/choose"
 )
 
-// Deployment is what the load is played on.
+// Deployment describes the simulated deployment and its objectives.
 type Deployment struct {
 	DataCentres, NodesPerDataCentre, TargetsPerDataCentre int
 	Engine                                                EngineParams
-	// FirstEventObjective is the time to the first event of an online request, GapObjective
-	// the longest pause after it, Deadline when its caller gives up, and
-	// CompleteWithin when items are due.
+	// FirstEventObjective is the largest allowed time to the first event of an online
+	// request, and GapObjective that between two later events. Its caller gives up after
+	// Deadline. Items are due CompleteWithin after their job arrives.
 	FirstEventObjective, GapObjective, Deadline, CompleteWithin time.Duration
-	// LocalDelay and RemoteDelay are the times one way within a data centre and between
-	// two.
+	// LocalDelay and RemoteDelay are the one-way network delays within a data centre and
+	// between two.
 	LocalDelay, RemoteDelay time.Duration
-	OnlineEvents            int // mean of an answer
-	ItemEvents              int
+	OnlineEvents            int // mean number of events of an answer
+	ItemEvents              int // mean number of events of an item
 }
 
-// Small is the deployment of a customer of today: four data centres with six nodes
-// and nine targets, rounded up to two and three in each.
+// Small is a present customer's deployment: four data centres with six nodes and nine
+// targets together, rounded up to two nodes and three targets in each.
 var Small = Deployment{DataCentres: 4, NodesPerDataCentre: 2, TargetsPerDataCentre: 3, Engine: PublishedEngine, FirstEventObjective: 300 * time.Millisecond,
 	GapObjective: 250 * time.Millisecond, Deadline: 5 * time.Second, CompleteWithin: 18 * time.Second, LocalDelay: 300 * time.Microsecond, RemoteDelay: 900 * time.Microsecond,
 	OnlineEvents: 28, ItemEvents: 193}
 
-// Variant switches a mechanism for comparison.
+// Variant is the product's policy with a mechanism changed for comparison.
 type Variant struct {
 	Name string
-	// MinReserve is how many slots items always leave free.
+	// MinReserve is how many slots of a target items always leave free.
 	MinReserve int
-	// NoHolderNotices keeps a node from telling holders at once that it needs room.
+	// NoHolderNotices: nodes do not notify holders of items at once when an online request
+	// needs a slot.
 	NoHolderNotices bool
-	// OneGroup makes each node tell each other one of its data centre, however many.
+	// OneGroup: all nodes of a data centre form one group, whatever their number.
 	OneGroup bool
 }
 
-// Variants are the product's policy and the ones that it is measured against.
+// Variants are the product's policy and those that it is compared with.
 var Variants = []Variant{{Name: "product"}, {Name: "two slots kept free", MinReserve: 2}, {Name: "no word to holders", NoHolderNotices: true}, {Name: "one group", OneGroup: true}}
 
 const (
-	sharedTokens = 200 // of an online prompt, with other requests
-	ownTokens    = 250
-	itemTokens   = 350
-	prefixes     = 40 // different shared parts
-	jobItems     = 10
-	// lengthSpread is the deviation of a length from its mean, as a share.
+	prefixTokens   = 200 // part of an online prompt that other requests have too
+	questionTokens = 250 // rest of an online prompt
+	itemTokens     = 350
+	prefixCount    = 40 // number of different prefixes
+	jobItems       = 10
+	// lengthSpread is the standard deviation of an output's length, as a share of its mean.
 	lengthSpread = 0.25
 )
 
-// fleet is one play.
+// fleet is the state of one run.
 type fleet struct {
 	Deployment
-	load    Load
-	variant Variant
-	clock   clock
-	draw    *rand.Rand
-	engines map[string]*engine
-	centres map[string]string // of targets
-	list    []choose.Target
-	nodes   []*node
-	byName  map[string]*node
-	cut     string // data centre that is cut off
-	jobs    int
-	result  Result
+	load              Load
+	variant           Variant
+	clock             clock
+	rng               *rand.Rand
+	engines           map[string]*engine
+	targetDataCentres map[string]string // by target
+	targets           []choose.Target
+	nodes             []*node
+	nodesByName       map[string]*node
+	isolated          string // data centre that a network partition isolates; empty: none
+	jobCount          int
+	result            Result
 }
 
-// Run plays a load and returns what came of it.
+// Run simulates a load on a deployment and returns its result.
 func Run(d Deployment, load Load, v Variant, seed uint64) Result {
-	f := &fleet{Deployment: d, load: load, variant: v, draw: rand.New(rand.NewPCG(seed, seed)), engines: map[string]*engine{}, centres: map[string]string{}, byName: map[string]*node{}}
+	f := &fleet{Deployment: d, load: load, variant: v, rng: rand.New(rand.NewPCG(seed, seed)), engines: map[string]*engine{}, targetDataCentres: map[string]string{}, nodesByName: map[string]*node{}}
 	f.build(seed)
-	f.arrivals()
+	f.scheduleArrivals()
 	for _, fault := range load.Faults {
-		f.clock.after(fault.At, func() { f.strike(fault) })
+		f.clock.after(fault.At, func() { f.inject(fault) })
 	}
-	f.clock.every(sampleEvery, f.sample)
+	f.clock.every(sampleInterval, f.sample)
 	f.clock.run(load.Length + d.CompleteWithin)
-	return f.finish()
+	return f.summarise()
 }
 
 func (f *fleet) build(seed uint64) {
 	for c := range f.DataCentres {
-		centre := centreName(c)
+		dataCentre := dataCentreName(c)
 		for t := range f.TargetsPerDataCentre {
 			id := fmt.Sprintf("t%d-%d", c, t)
-			f.list = append(f.list, choose.Target{ID: id, Incarnation: 1, Service: service, DataCentre: centre, Slots: f.Engine.Slots})
+			f.targets = append(f.targets, choose.Target{ID: id, Incarnation: 1, Service: serviceName, DataCentre: dataCentre, Slots: f.Engine.Slots})
 			f.engines[id] = newEngine(&f.Engine, &f.clock)
-			f.centres[id] = centre
+			f.targetDataCentres[id] = dataCentre
 		}
 		for n := range f.NodesPerDataCentre {
-			made := newNode(f, nodeName(c, n), centre, seed+uint64(100*c+n))
-			f.nodes = append(f.nodes, made)
-			f.byName[made.name] = made
+			created := newNode(f, nodeName(c, n), dataCentre, seed+uint64(100*c+n))
+			f.nodes = append(f.nodes, created)
+			f.nodesByName[created.name] = created
 		}
 	}
 	for _, n := range f.nodes {
@@ -103,67 +104,67 @@
 	}
 }
 
-func centreName(c int) string { return fmt.Sprint("dc", c) }
+func dataCentreName(c int) string { return fmt.Sprint("dc", c) }
 
 func nodeName(c, n int) string { return fmt.Sprintf("n%d-%d", c, n) }
 
-// all returns the nodes named.
-func (f *fleet) all(names []string) []*node {
+func (f *fleet) nodesByNames(names []string) []*node {
 	var out []*node
 	for _, name := range names {
-		out = append(out, f.byName[name])
+		out = append(out, f.nodesByName[name])
 	}
 	return out
 }
 
-// slotTime is how long a request of some events holds a slot on an idle engine.
+// slotTime returns how long a request takes a slot of an otherwise idle engine.
 func (f *fleet) slotTime(events, prompt int) time.Duration {
 	e := f.Engine
 	return time.Duration(events*e.TokensPerEvent)*e.StepTime + time.Duration(float64(prompt)/e.PromptTokensPerMS*float64(time.Millisecond))
 }
 
-// arrivals draws online requests and jobs as Poisson processes.
-func (f *fleet) arrivals() {
+// scheduleArrivals lets online requests and jobs arrive as Poisson processes.
+func (f *fleet) scheduleArrivals() {
 	slots := float64(f.DataCentres * f.TargetsPerDataCentre * f.Engine.Slots)
-	online := slots / f.slotTime(f.OnlineEvents, sharedTokens+ownTokens).Seconds()
+	online := slots / f.slotTime(f.OnlineEvents, prefixTokens+questionTokens).Seconds()
 	jobs := f.load.BatchShare * slots / f.slotTime(f.ItemEvents, itemTokens).Seconds() / jobItems
-	f.poisson(func() float64 { return online * f.load.OnlineShare(f.clock.now) }, f.request)
-	f.poisson(func() float64 { return jobs }, f.job)
+	f.schedulePoisson(func() float64 { return online * f.load.OnlineShare(f.clock.now) }, f.startRequest)
+	f.schedulePoisson(func() float64 { return jobs }, f.startJob)
 	for _, at := range f.load.JobBurstsAt {
 		f.clock.after(at, func() {
 			for range 10 {
-				f.job()
+				f.startJob()
 			}
 		})
 	}
 }
 
-// arrivalTick is the time between draws of arrivals.
+// arrivalTick is the interval at which arrivals are drawn.
 const arrivalTick = time.Millisecond
 
-func (f *fleet) poisson(perSecond func() float64, arrive func()) {
+func (f *fleet) schedulePoisson(perSecond func() float64, arrive func()) {
 	f.clock.every(arrivalTick, func() {
-		if f.draw.Float64() < perSecond()*arrivalTick.Seconds() {
+		if f.rng.Float64() < perSecond()*arrivalTick.Seconds() {
 			arrive()
 		}
 	})
 }
 
-func (f *fleet) length(mean int) int {
-	return max(1, int(float64(mean)*(1+lengthSpread*f.draw.NormFloat64())))
+// drawLength draws a number of events.
+func (f *fleet) drawLength(mean int) int {
+	return max(1, int(float64(mean)*(1+lengthSpread*f.rng.NormFloat64())))
 }
 
-// node draws one that takes callers.
-func (f *fleet) node() *node {
-	n := f.nodes[f.draw.IntN(len(f.nodes))]
+// randomNode draws a node, and returns nil if it is down.
+func (f *fleet) randomNode() *node {
+	n := f.nodes[f.rng.IntN(len(f.nodes))]
 	if n.down {
 		return nil
 	}
 	return n
 }
 
-// reaches reports whether two data centres reach each other.
-func (f *fleet) reaches(a, b string) bool { return a == b || (a != f.cut && b != f.cut) }
+// reachable reports whether two data centres can reach each other.
+func (f *fleet) reachable(a, b string) bool { return a == b || (a != f.isolated && b != f.isolated) }
 
 func (f *fleet) delay(a, b string) time.Duration {
 	if a == b {
@@ -172,35 +173,36 @@
 	return f.RemoteDelay
 }
 
-// unlistedAfter is when nodes hear that a target is gone: three heartbeats of a
-// third of a second.
-const unlistedAfter = time.Second
+// delistDelay is the time after which nodes learn that a target was lost: three missed
+// heartbeats of a third of a second each.
+const delistDelay = time.Second
 
-func (f *fleet) strike(fault Fault) {
-	struck := f.list[:int(fault.Share*float64(len(f.list)))]
+// inject starts a fault and schedules its end.
+func (f *fleet) inject(fault Fault) {
+	affected := f.targets[:int(fault.Share*float64(len(f.targets)))]
 	switch fault.Kind {
 	case TargetsLost:
-		for _, t := range struck {
+		for _, t := range affected {
 			f.engines[t.ID].fail()
 		}
-		f.clock.after(unlistedAfter, func() {
-			f.list = f.list[len(struck):]
+		f.clock.after(delistDelay, func() {
+			f.targets = f.targets[len(affected):]
 			for _, n := range f.nodes {
-				n.table.SetTargets(f.list)
+				n.table.SetTargets(f.targets)
 			}
 		})
 	case TargetsSlow:
-		for _, t := range struck {
-			f.engines[t.ID].slow = fault.Factor
+		for _, t := range affected {
+			f.engines[t.ID].slowdown = fault.Factor
 		}
 		f.clock.after(fault.For, func() {
-			for _, t := range struck {
-				f.engines[t.ID].slow = 1
+			for _, t := range affected {
+				f.engines[t.ID].slowdown = 1
 			}
 		})
 	case DataCentreIsolated:
-		f.cut = centreName(fault.DataCentre)
-		f.clock.after(fault.For, func() { f.cut = "" })
+		f.isolated = dataCentreName(fault.DataCentre)
+		f.clock.after(fault.For, func() { f.isolated = "" })
 	case AllNodesRestart:
 		for _, n := range f.nodes {
 			n.stop()
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// others returns deployments that differ from Small in one thing each.
-func others() map[string]Deployment {
+// deployments returns Small and deployments that differ from it in one respect each.
+func deployments() map[string]Deployment {
 	out := map[string]Deployment{"small": Small}
 	vary := func(name string, change func(*Deployment)) {
 		d := Small
@@ -23,47 +23,48 @@
 	return out
 }
 
-// onlineLoss is how much smaller the share of online requests in aim may be than
-// with two slots kept free: what two plays of one policy differ by.
+// onlineLoss is how much smaller the share of online requests in time may be than with two
+// slots kept free. It is the difference between two runs of one policy.
 const onlineLoss = 0.006
 
-// seeds is how many plays of each policy are compared. The items in time of two
-// plays ranged from 436 to 487 in sum with nothing but the order of datagrams
-// changed, which is more than the two policies differ by.
-const seeds = 6
+// runsPerPolicy is how many runs of each policy are compared. With nothing but the order of
+// datagrams changed, the sum of items in time over two runs ranged from 436 to 487, which is
+// more than the difference between the policies.
+const runsPerPolicy = 6
 
-// TestRoomByArrivals: online traffic in steps beside batch work that fills what it
-// leaves, the pattern of the users' heaviest days. Slots reserved by arrivals and
-// room made as a request is sent bring more items in time than two slots kept
-// free, on other engines, sizes and due times too, and online requests lose
-// nothing by it.
-func TestRoomByArrivals(t *testing.T) {
+// TestReserveFollowsArrivals: with online traffic in steps beside batch work that exceeds the rest
+// of the capacity, as on the users' heaviest days, a reserve that follows the rate of online
+// requests, with preemption of items as a request is sent, completes more items in time than
+// two slots kept free. It does so on other engines, sizes and due times too, and no fewer
+// online requests are in time.
+func TestReserveFollowsArrivals(t *testing.T) {
 	load, err := LoadByName("steps")
 	if err != nil {
 		t.Fatal(err)
 	}
-	load.Length, load.BatchShare = 30*time.Second, 0.5 // more than there is room for
-	for name, d := range others() {
+	load.Length, load.BatchShare = 30*time.Second, 0.5 // more than the remaining capacity
+	for name, d := range deployments() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			items, itemsBefore, online, onlineBefore := 0, 0, 0.0, 0.0
-			for seed := uint64(1); seed <= seeds; seed++ {
+			for seed := uint64(1); seed <= runsPerPolicy; seed++ {
 				after, before := Run(d, load, Variants[0], seed), Run(d, load, Variants[1], seed)
 				items, itemsBefore = items+after.Items.InTime, itemsBefore+before.Items.InTime
-				online, onlineBefore = online+after.Online.InTimeShare()/seeds, onlineBefore+before.Online.InTimeShare()/seeds
+				online, onlineBefore = online+after.Online.InTimeShare()/runsPerPolicy, onlineBefore+before.Online.InTimeShare()/runsPerPolicy
 			}
-			t.Logf("items in time %d, with two slots kept free %d; online in aim %.4f and %.4f", items, itemsBefore, online, onlineBefore)
+			t.Logf("items in time %d, with two slots kept free %d; online in time %.4f and %.4f", items, itemsBefore, online, onlineBefore)
 			if items <= itemsBefore {
 				t.Errorf("%d items in time, %d with two slots kept free", items, itemsBefore)
 			}
 			if online < onlineBefore-onlineLoss {
-				t.Errorf("%.4f of online requests in aim, %.4f with two slots kept free", online, onlineBefore)
+				t.Errorf("%.4f of online requests in time, %.4f with two slots kept free", online, onlineBefore)
 			}
 		})
 	}
 }
 
-// TestBurstOfJobs: ten jobs at once beside online traffic at half of the fleet.
+// TestBurstOfJobs: the same for bursts of ten jobs beside online traffic at half of the
+// capacity.
 func TestBurstOfJobs(t *testing.T) {
 	is := is.New(t)
 	load, err := LoadByName("burst")
@@ -73,44 +74,45 @@
 	is.True(after.Online.InTimeShare() >= before.Online.InTimeShare()-onlineLoss)
 }
 
-// TestEngine: an engine serves as many as it has slots, the others in order of
-// arrival; it reads a kept prefix once; memory that runs out sends the newest back.
+// TestEngine: an engine runs as many calls as it has slots and the others in order of
+// arrival, reads a cached prefix once, and returns the last started call to the queue when
+// its memory is exceeded.
 func TestEngine(t *testing.T) {
 	is := is.New(t)
 	var c clock
 	f := EngineParams{Slots: 2, StepTime: 10 * time.Millisecond, TokensPerEvent: 1, PromptTokensPerMS: 10, PromptTokensPerStep: 1000, MemoryTokens: 1000}
 	e := newEngine(&f, &c)
 	var order []int
-	add := func(id, prompt, events int, prefix string) *run {
-		r := &run{prompt: prompt, events: events, prefix: prefix, shared: prompt, event: func(time.Duration) {}, end: func(time.Duration) { order = append(order, id) }}
-		e.add(r)
-		return r
+	add := func(id, prompt, events int, prefix string) *engineCall {
+		call := &engineCall{promptTokens: prompt, eventsLeft: events, prefix: prefix, prefixTokens: prompt, onEvent: func(time.Duration) {}, onEnd: func(time.Duration) { order = append(order, id) }}
+		e.enqueue(call)
+		return call
 	}
 	add(1, 100, 3, "p")
 	add(2, 100, 5, "p")
 	add(3, 100, 1, "")
 	c.run(35 * time.Millisecond) // two steps of 10 ms and a prompt of 100 tokens
 	is.Equal(order, []int(nil))
-	is.Equal(e.promptTokens, 100) // the second one found it kept
+	is.Equal(e.readTokens, 100) // the second call found the prefix cached
 	c.run(time.Second)
 	is.Equal(order, []int{1, 3, 2})
 	add(4, 100, 50, "")
-	gone := add(5, 100, 50, "")
+	cancelled := add(5, 100, 50, "")
 	c.run(c.now + 100*time.Millisecond)
-	e.drop(gone)
+	e.remove(cancelled)
 	c.run(c.now + time.Second)
 	is.Equal(order, []int{1, 3, 2, 4})
 	add(6, 480, 60, "")
 	newest := add(7, 480, 60, "")
 	c.run(c.now + 500*time.Millisecond)
-	is.Equal(len(e.running), 1) // both have grown beyond the memory
+	is.Equal(len(e.running), 1) // together they exceed the memory
 	is.Equal(e.waiting[0], newest)
 	c.run(c.now + 3*time.Second)
 	is.Equal(order[4:], []int{6, 7})
 }
 
-// TestOneSeedOneCourse: a play repeats.
-func TestOneSeedOneCourse(t *testing.T) {
+// TestSameSeedSameResult: two runs with the same seed have the same result.
+func TestSameSeedSameResult(t *testing.T) {
 	is := is.New(t)
 	load, err := LoadByName("lost")
 	is.NoErr(err)
--- a/lab/model/result.go
+++ b/lab/model/result.go
@@ -14,15 +14,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Counts says how requests or items ended.
+// Counts counts requests or items by how they ended.
 type Counts struct {
 	Total, InTime, Late, Refused, Failed int
 }
 
-// InTimeShare returns the share that was in time.
+// InTimeShare returns the share that completed in time.
 func (c Counts) InTimeShare() float64 { return float64(c.InTime) / float64(max(1, c.Total)) }
 
-func (c *Counts) end(now, due time.Time) {
+func (c *Counts) recordEnd(now, due time.Time) {
 	if now.After(due) {
 		c.Late++
 		return
@@ -30,33 +30,33 @@
 	c.InTime++
 }
 
-// Result is what came of a play.
+// Result is the outcome of a run.
 type Result struct {
 	Load, Variant                string
 	Online, Items                Counts
-	FirstEventP50, FirstEventP99 time.Duration // from arrival to the first event
-	OnlineSlotShare              float64       // share of the slots' time that online requests held
+	FirstEventP50, FirstEventP99 time.Duration // from the arrival of an online request to its first event
+	OnlineSlotShare              float64       // share of the slots' total time that online requests took
 	ItemSlotShare                float64
 	Yields                       int
-	Datagrams                    int     // between nodes
-	DatagramRate                 float64 // a second, sent by a node
-	ResumedTokens                int     // of outputs, read again because an item went on
-	PromptTokens                 int     // read in all
-	RereadPrefixTokens           int     // of prefixes that the same engine had read before
+	Datagrams                    int     // sent between nodes
+	DatagramRate                 float64 // per second, sent by one node
+	ResumedTokens                int     // output tokens read again because an item was resumed
+	PromptTokens                 int     // prompt tokens read in total
+	RereadPrefixTokens           int     // prefix tokens read again by an engine that had read them before
 	Samples                      []Sample
-	first                        []time.Duration
+	firstEventTimes              []time.Duration
 }
 
-// Sample is what the slots of the fleet were doing at a time.
+// Sample is the use of the fleet's slots at one time.
 type Sample struct {
 	At            time.Duration
-	Slots         int // of engines that live
-	Online, Items int // running
-	Waiting       int // at engines
+	Slots         int // of engines that are up
+	Online, Items int // running requests and items
+	Waiting       int // requests and items queued at engines
 }
 
-// sampleEvery is the time between samples.
-const sampleEvery = 50 * time.Millisecond
+// sampleInterval is the time between samples.
+const sampleInterval = 50 * time.Millisecond
 
 func (f *fleet) sample() {
 	if f.clock.now > f.load.Length {
@@ -69,8 +69,8 @@
 		}
 		s.Slots += f.Engine.Slots
 		s.Waiting += len(e.waiting)
-		for _, r := range e.running {
-			if r.prefix == "" {
+		for _, c := range e.running {
+			if c.prefix == "" {
 				s.Items++
 			} else {
 				s.Online++
@@ -80,12 +80,12 @@
 	f.result.Samples = append(f.result.Samples, s)
 }
 
-func (f *fleet) finish() Result {
+func (f *fleet) summarise() Result {
 	r := f.result
 	r.Load, r.Variant = f.load.Name, f.variant.Name
-	slices.Sort(r.first)
-	if n := len(r.first); n > 0 {
-		r.FirstEventP50, r.FirstEventP99 = r.first[n/2], r.first[n*99/100]
+	slices.Sort(r.firstEventTimes)
+	if n := len(r.firstEventTimes); n > 0 {
+		r.FirstEventP50, r.FirstEventP99 = r.firstEventTimes[n/2], r.firstEventTimes[n*99/100]
 	}
 	slots, online, items := 0, 0, 0
 	for _, s := range r.Samples {
@@ -96,13 +96,13 @@
 	r.OnlineSlotShare, r.ItemSlotShare = float64(online)/float64(max(1, slots)), float64(items)/float64(max(1, slots))
 	r.DatagramRate = float64(r.Datagrams) / f.clock.now.Seconds() / float64(len(f.nodes))
 	for _, e := range f.engines {
-		r.PromptTokens += e.promptTokens
-		r.RereadPrefixTokens += e.sharedAgain
+		r.PromptTokens += e.readTokens
+		r.RereadPrefixTokens += e.rereadPrefixTokens
 	}
 	return r
 }
 
-// Print writes one line for each result.
+// Print writes the results as a table, one line each.
 func Print(w io.Writer, results []Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "load\tvariant\tonline in aim\trefused\tfailed\tfirst p50\tp99\titems in time\tslots online\titems\tfree\tyields\ttokens read\tagain for yields\tof prefixes\tdatagrams a node and s")
@@ -114,20 +114,20 @@
 	return t.Flush()
 }
 
-// Plot draws what the slots were doing over time into a PNG or SVG file.
+// Plot draws the use of the slots over time into a PNG or SVG file.
 func Plot(r Result, path string) error {
 	p := plot.New()
 	p.Title.Text = r.Load + ", " + r.Variant
 	p.X.Label.Text, p.Y.Label.Text = "s", "slots"
 	lines := []struct {
-		name string
-		of   func(Sample) int
+		name  string
+		value func(Sample) int
 	}{{"slots", func(s Sample) int { return s.Slots }}, {"online", func(s Sample) int { return s.Online }},
 		{"items", func(s Sample) int { return s.Items }}, {"waiting", func(s Sample) int { return s.Waiting }}}
 	for i, l := range lines {
 		points := make(plotter.XYs, len(r.Samples))
 		for k, s := range r.Samples {
-			points[k] = plotter.XY{X: s.At.Seconds(), Y: float64(l.of(s))}
+			points[k] = plotter.XY{X: s.At.Seconds(), Y: float64(l.value(s))}
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
