--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -42,18 +42,18 @@
 
 // Outcome is what a request came to.
 type Outcome struct {
-	Status     int
-	RequestID  string
-	Kind       string // of a refusal
-	NotRun     string // of a refusal
-	RetryAfter string
-	Text       string
-	Accepted   bool // the first byte of a 200 arrived
-	Whole      bool // the answer ended properly and is the right one
-	First      time.Duration
-	Total      time.Duration
-	Gaps       []time.Duration // between tokens
-	Err        error           // of the connection
+	Status           int
+	RequestID        string
+	Kind             string // of a refusal
+	NotRun           string // of a refusal
+	RetryAfter       string
+	Text             string
+	Accepted         bool // the first byte of a 200 arrived
+	Correct          bool // the answer ended properly and is the right one
+	TimeToFirstToken time.Duration
+	Total            time.Duration
+	Gaps             []time.Duration // between tokens
+	Err              error           // of the connection
 }
 
 // body is the completion request's JSON.
@@ -83,11 +83,11 @@
 		o.readStream(resp.Body, start)
 	} else {
 		o.readWhole(resp.Body)
-		o.First = time.Since(start)
+		o.TimeToFirstToken = time.Since(start)
 	}
 	o.Total = time.Since(start)
 	want := engine.Answer((&openai.Request{Messages: []openai.Message{{Role: "user", Content: p.Text}}}).Text(), p.MaxTokens)
-	o.Whole = o.Whole && o.Text == want
+	o.Correct = o.Correct && o.Text == want
 	return o
 }
 
@@ -104,7 +104,7 @@
 	}
 	if len(chunk.Choices) == 1 && chunk.Choices[0].Message != nil {
 		o.Text = chunk.Choices[0].Message.Content
-		o.Whole = chunk.FinishReason() != ""
+		o.Correct = chunk.FinishReason() != ""
 	}
 }
 
@@ -119,7 +119,7 @@
 			continue
 		}
 		if string(data) == openai.DoneMark {
-			o.Whole = finished
+			o.Correct = finished
 			break
 		}
 		var chunk openai.Chunk
@@ -128,8 +128,8 @@
 			break
 		}
 		now := time.Now()
-		if o.First == 0 {
-			o.First = now.Sub(start)
+		if o.TimeToFirstToken == 0 {
+			o.TimeToFirstToken = now.Sub(start)
 		} else {
 			o.Gaps = append(o.Gaps, now.Sub(last))
 		}
@@ -277,8 +277,8 @@
 	return fmt.Sprintf(`{"custom_id":%q,"method":"POST","url":%q,"body":%s}`+"\n", id, openai.ChatPath, b)
 }
 
-// ItemWhole reports whether an item's result is the right answer.
-func ItemWhole(r batch.Result, text string, maxTokens int) bool {
+// ItemCorrect reports whether an item's result is the right answer.
+func ItemCorrect(r batch.Result, text string, maxTokens int) bool {
 	if r.Response == nil {
 		return false
 	}
--- a/lab/cmd/marblelab/explain.go
+++ b/lab/cmd/marblelab/explain.go
@@ -22,7 +22,7 @@
 			if c.NArg() == 0 {
 				return errors.New("name at least one log")
 			}
-			return explainLogs(c.Args().Slice(), explain.Limits{First: c.Duration("first"), Pause: c.Duration("pause")}, c.Duration("due"))
+			return explainLogs(c.Args().Slice(), explain.Limits{FirstEvent: c.Duration("first"), Pause: c.Duration("pause")}, c.Duration("due"))
 		}}
 }
 
@@ -40,8 +40,8 @@
 	if err != nil {
 		return err
 	}
-	if err := explain.OfRequests(lines, limits).Print(os.Stdout); err != nil {
+	if err := explain.SummariseRequests(lines, limits).Print(os.Stdout); err != nil {
 		return err
 	}
-	return explain.OfItems(lines, due).Print(os.Stdout)
+	return explain.SummariseItems(lines, due).Print(os.Stdout)
 }
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -44,8 +44,8 @@
 	return deployment.Layout{
 		Net: 20, DataCentres: []string{"hall-a", "hall-b"}, Nodes: []int{2, 1}, Engines: 2, EngineName: model,
 		Model: engine.DefaultModel(), Loaded: []string{model + "@1"},
-		Extra: "[log]\nlevel = error\n",
-		Fleet: fmt.Sprintf("[service %q]\n[workspace \"demo\"]\nkey_sha256 = %s\n", model, workspace.HashKey(callerKey)),
+		ExtraSettings: "[log]\nlevel = error\n",
+		Intent:        fmt.Sprintf("[service %q]\n[workspace \"demo\"]\nkey_sha256 = %s\n", model, workspace.HashKey(callerKey)),
 	}
 }
 
@@ -153,7 +153,7 @@
 func (r *run) check(ctx context.Context, job client.Batch) []string {
 	var faults []string
 	for _, o := range r.outcomes {
-		if o.Accepted && !o.Whole {
+		if o.Accepted && !o.Correct {
 			faults = append(faults, "broken answer: "+o.RequestID)
 		}
 		if o.Err != nil {
@@ -172,7 +172,7 @@
 		var body openai.Request
 		json.Unmarshal(lines.Bytes(), &line)
 		json.Unmarshal(line.Body, &body)
-		if !client.ItemWhole(results[line.CustomID], body.Messages[0].Content, body.MaxTokens) {
+		if !client.ItemCorrect(results[line.CustomID], body.Messages[0].Content, body.MaxTokens) {
 			faults = append(faults, "broken item: "+line.CustomID)
 		}
 	}
@@ -190,10 +190,10 @@
 		switch {
 		case o.Accepted:
 			accepted++
-			if o.Whole {
+			if o.Correct {
 				whole++
 			}
-			first = append(first, o.First)
+			first = append(first, o.TimeToFirstToken)
 		default:
 			refused[o.Kind]++
 		}
--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -33,18 +33,18 @@
 
 // Layout says what a deployment consists of.
 type Layout struct {
-	Net         int // second byte of the addresses 127.Net.x.y, so that deployments don't meet
-	DataCentres []string
-	Nodes       []int  // by data centre
-	Engines     int    // per data centre
-	Services    int    // plain targets per data centre
-	EngineName  string // service that the engines run
-	PlainName   string // service that the plain targets run
-	Model       engine.Model
-	Loaded      []string // names the engines have loaded from the start
-	Extra       string   // settings of every node, INI text with whole sections
-	Fleet       string   // the first intent
-	Variant     node.Variant
+	Net           int // second byte of the addresses 127.Net.x.y, so that deployments don't meet
+	DataCentres   []string
+	Nodes         []int  // by data centre
+	Engines       int    // per data centre
+	Services      int    // plain targets per data centre
+	EngineName    string // service that the engines run
+	PlainName     string // service that the plain targets run
+	Model         engine.Model
+	Loaded        []string // names the engines have loaded from the start
+	ExtraSettings string   // settings of every node, INI text with whole sections
+	Intent        string   // the first intent
+	Variant       node.Variant
 }
 
 // Ports used on every address.
@@ -104,7 +104,7 @@
 peer_key = %s
 operator_key = %s
 
-%s`, l.NodeID(dc, n), l.DataCentres[dc], l.CallerAddr(dc, n), l.PeerAddr(dc, n), strings.Join(seeds, ","), l.PlatformAddr(), PeerKey, OperatorKey, l.Extra)
+%s`, l.NodeID(dc, n), l.DataCentres[dc], l.CallerAddr(dc, n), l.PeerAddr(dc, n), strings.Join(seeds, ","), l.PlatformAddr(), PeerKey, OperatorKey, l.ExtraSettings)
 }
 
 // VMs returns the VM list of the layout.
@@ -159,7 +159,7 @@
 			}
 		}
 	}
-	if err := e.apply(l.Fleet); err != nil {
+	if err := e.apply(l.Intent); err != nil {
 		return nil, err
 	}
 	return e, e.waitReady(readyTimeout)
--- a/lab/e2e/allowance_test.go
+++ b/lab/e2e/allowance_test.go
@@ -26,8 +26,8 @@
 	const perSecond, seconds = 20, 4
 	f, err := deployment.Start(deployment.Layout{
 		Net: 117, DataCentres: []string{"saldus-hall", "kuldiga-hall"}, Nodes: []int{2, 2}, Engines: 2,
-		EngineName: "akmens-llm", Model: engine.DefaultModel(), Loaded: []string{"akmens-llm@1"}, Extra: quick,
-		Fleet: fmt.Sprintf("[service \"akmens-llm\"]\nversion = 1\n[workspace \"w\"]\nrequests_per_second = %d\nkey_sha256 = %s\n", perSecond, workspace.HashKey("w-key")),
+		EngineName: "akmens-llm", Model: engine.DefaultModel(), Loaded: []string{"akmens-llm@1"}, ExtraSettings: quick,
+		Intent: fmt.Sprintf("[service \"akmens-llm\"]\nversion = 1\n[workspace \"w\"]\nrequests_per_second = %d\nkey_sha256 = %s\n", perSecond, workspace.HashKey("w-key")),
 	})
 	is.NoErr(err)
 	t.Cleanup(func() { is.NoErr(f.Stop()) })
--- a/lab/e2e/big_test.go
+++ b/lab/e2e/big_test.go
@@ -30,8 +30,8 @@
 	model.Instant, model.MaxRunning = true, 64
 	f, err := deployment.Start(deployment.Layout{
 		Net: 120, DataCentres: []string{"hall-a", "hall-b", "hall-c"}, Nodes: []int{2, 2, 2}, Engines: 2, EngineName: "m", Model: model, Loaded: []string{"m@1"},
-		Extra: "[log]\nlevel = error\n[platform]\nwrite_rate = 100\nread_rate = 300\n",
-		Fleet: "[service \"m\"]\n[workspace \"w\"]\nkey_sha256 = " + workspace.HashKey("k").String() + "\n",
+		ExtraSettings: "[log]\nlevel = error\n[platform]\nwrite_rate = 100\nread_rate = 300\n",
+		Intent:        "[service \"m\"]\n[workspace \"w\"]\nkey_sha256 = " + workspace.HashKey("k").String() + "\n",
 	})
 	is.NoErr(err)
 	c := client.New("k")
@@ -54,7 +54,7 @@
 	is.NoErr(err) // an item that stands twice is an error
 	is.Equal(len(results), *big)
 	for n := range *big {
-		is.True(client.ItemWhole(results[fmt.Sprint("i", n)], fmt.Sprint("attestation ", n), 2))
+		is.True(client.ItemCorrect(results[fmt.Sprint("i", n)], fmt.Sprint("attestation ", n), 2))
 	}
 	writes, reads := calls(f)
 	t.Logf("%d items: accepted after %.1f s, done after %.1f s, read back and checked after %.1f s; %d writes and %d reads of the platform (%.4f and %.4f an item); heap of all nodes, stand-ins and the file %d MB",
--- a/lab/e2e/crash_test.go
+++ b/lab/e2e/crash_test.go
@@ -29,7 +29,7 @@
 }
 
 // killerBody asks for what crashes the engine that runs it.
-var killerBody = fmt.Sprintf(`{"model":"akmens-llm","max_tokens":10,"messages":[{"role":"user","content":%q}]}`, engine.KillMark)
+var killerBody = fmt.Sprintf(`{"model":"akmens-llm","max_tokens":10,"messages":[{"role":"user","content":%q}]}`, engine.CrashMarker)
 
 // askKiller sends a request that crashes the engine that runs it, and returns the kind
 // of the refusal.
--- a/lab/e2e/e2e_test.go
+++ b/lab/e2e/e2e_test.go
@@ -47,7 +47,7 @@
 	f, err := procs.Start(deployment.Layout{
 		Net: net, DataCentres: []string{"saldus-hall", "kuldiga-hall"}, Nodes: []int{2, 2}, Engines: 2, Services: 1,
 		EngineName: "akmens-llm", PlainName: "orders", Model: engine.DefaultModel(), Loaded: []string{"akmens-llm@1"},
-		Extra: extra, Fleet: intent + workspace.HashKey("clerk-key").String() + "\n",
+		ExtraSettings: extra, Intent: intent + workspace.HashKey("clerk-key").String() + "\n",
 	}, t.TempDir(), binaries)
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 	is := is.New(t)
 	f := start(t, 31, "[log]\nstop_on_violation = true\n")
 	changed := filepath.Join(t.TempDir(), "fleet.ini")
-	is.NoErr(os.WriteFile(changed, []byte(strings.Replace(f.Layout.Fleet, "version = 1", "version = 2", 1)), 0o600))
+	is.NoErr(os.WriteFile(changed, []byte(strings.Replace(f.Layout.Intent, "version = 1", "version = 2", 1)), 0o600))
 	cmd := exec.Command("../../scripts/first-steps.sh")
 	cmd.Env = append(os.Environ(), "A="+f.CallerAddr(0, 0), "B="+f.CallerAddr(0, 1), "C="+f.CallerAddr(1, 1), "KEY=clerk-key", "MODEL=akmens-llm",
 		"MARBLEPOND="+filepath.Join(binaries, "marblepond"), "MARBLEPOND_NODE="+f.PeerAddr(0, 1),
--- a/lab/e2e/evacuation_test.go
+++ b/lab/e2e/evacuation_test.go
@@ -23,7 +23,7 @@
 func started(f *deployment.Embedded, dc int) int {
 	n := 0
 	for _, e := range f.Engines[dc] {
-		n += len(e.Ledger())
+		n += len(e.StartCounts())
 	}
 	return n
 }
@@ -77,8 +77,8 @@
 	}))
 	before := started(f, 0)
 	for n := range 8 {
-		is.True(ask(0, n).Whole)
-		is.True(ask(1, n).Whole)
+		is.True(ask(0, n).Correct)
+		is.True(ask(1, n).Correct)
 	}
 	var lines []byte
 	for n := range 10 {
@@ -110,7 +110,7 @@
 	is.NoErr(evacuate(op, "kuldiga-hall", true))
 	is.True(eventually(5*time.Second, func() bool { everywhere, evacuated := inForce(op); return everywhere && len(evacuated) == 0 }))
 	for n := range 8 {
-		is.True(ask(0, n).Whole)
+		is.True(ask(0, n).Correct)
 	}
 	is.True(started(f, 0) > before)
 }
--- a/lab/e2e/holds_test.go
+++ b/lab/e2e/holds_test.go
@@ -45,7 +45,7 @@
 	f, err := deployment.Start(deployment.Layout{
 		Net: net, DataCentres: []string{"saldus-hall", "kuldiga-hall"}, Nodes: []int{2, 2}, Engines: 2, Services: 1,
 		EngineName: "akmens-llm", PlainName: "orders", Model: engine.DefaultModel(), Loaded: []string{"akmens-llm@1"},
-		Extra: quick, Fleet: intent + workspace.HashKey("clerk-key").String() + "\n",
+		ExtraSettings: quick, Intent: intent + workspace.HashKey("clerk-key").String() + "\n",
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 	n := 0
 	for _, row := range f.Services {
 		for _, s := range row {
-			for _, r := range s.Ledger() {
+			for _, r := range s.Calls() {
 				if r.Operation == operation {
 					n++
 				}
@@ -91,11 +91,11 @@
 func TestLostTargetAfterTheCall(t *testing.T) {
 	is := is.New(t)
 	f, c := embedded(t, 101)
-	f.Services[0][0].BreakAfter.Store(true)
+	f.Services[0][0].AbortAfterCall.Store(true)
 	status, notRun := cut(c, f.CallerAddr(0, 0), "granite-1")
 	is.Equal(status, 500)
 	is.Equal(notRun, "unknown")
-	f.Services[0][0].BreakAfter.Store(false)
+	f.Services[0][0].AbortAfterCall.Store(false)
 	status, notRun = cut(c, f.CallerAddr(1, 0), "granite-1") // a resend elsewhere
 	is.Equal(status, 500)
 	is.Equal(notRun, "unknown")
@@ -190,10 +190,10 @@
 	}
 	wg.Wait()
 	for _, o := range broken {
-		if !o.Whole {
+		if !o.Correct {
 			t.Logf("%+v", o)
 		}
-		is.True(o.Whole) // each caller has the whole answer to its own request
+		is.True(o.Correct) // each caller has the whole answer to its own request
 	}
 }
 
@@ -214,7 +214,7 @@
 			mu.Unlock()
 			if !skip {
 				wg.Go(func() {
-					if o := c.Complete(context.Background(), addr, note(n, n%2 == 0)); !o.Whole {
+					if o := c.Complete(context.Background(), addr, note(n, n%2 == 0)); !o.Correct {
 						mu.Lock()
 						cuts = append(cuts, fmt.Sprintf("%s: %+v", addr, o))
 						mu.Unlock()
@@ -271,11 +271,11 @@
 	time.Sleep(time.Second)
 	f.Platform.SetVMs(f.VMs()) // a stale list: it does not show the mark
 	time.Sleep(time.Second)
-	before := len(f.Engines[0][0].Ledger())
+	before := len(f.Engines[0][0].StartCounts())
 	for n := range 40 {
-		is.True(c.Complete(context.Background(), f.CallerAddr(0, n%2), note(n, false)).Whole)
+		is.True(c.Complete(context.Background(), f.CallerAddr(0, n%2), note(n, false)).Correct)
 	}
-	is.Equal(len(f.Engines[0][0].Ledger()), before)
+	is.Equal(len(f.Engines[0][0].StartCounts()), before)
 }
 
 // A data centre without targets has its requests answered by another one.
@@ -289,7 +289,7 @@
 	f.Platform.SetVMs(vms)
 	time.Sleep(time.Second)
 	for n := range 6 {
-		is.True(c.Complete(context.Background(), f.CallerAddr(0, n%2), note(n, n%3 == 0)).Whole)
+		is.True(c.Complete(context.Background(), f.CallerAddr(0, n%2), note(n, n%3 == 0)).Correct)
 	}
 }
 
@@ -328,7 +328,7 @@
 		var wg sync.WaitGroup
 		for i := range versions {
 			wg.Go(func() {
-				text := strings.Replace(f.Fleet, "version = 1", fmt.Sprintf("version = %d%d", round, i), 1)
+				text := strings.Replace(f.Intent, "version = 1", fmt.Sprintf("version = %d%d", round, i), 1)
 				versions[i], _ = deployment.Apply(f.PeerAddr(i, 0), text)
 			})
 		}
@@ -381,7 +381,7 @@
 	n := 0
 	for _, row := range f.Engines {
 		for _, e := range row {
-			n += len(e.Ledger())
+			n += len(e.StartCounts())
 		}
 	}
 	return n
@@ -397,7 +397,7 @@
 	for n := range 100 {
 		text := fmt.Sprint("sheet ", n)
 		if n == 50 {
-			text = engine.KillMark
+			text = engine.CrashMarker
 		}
 		items.WriteString(client.Item(fmt.Sprint("i", n), "akmens-llm", text, 10))
 	}
@@ -411,7 +411,7 @@
 	is.Equal(results["i50"].Error.Code, "target_failed")
 	for n := range 100 {
 		if n != 50 {
-			is.True(client.ItemWhole(results[fmt.Sprint("i", n)], fmt.Sprint("sheet ", n), 10))
+			is.True(client.ItemCorrect(results[fmt.Sprint("i", n)], fmt.Sprint("sheet ", n), 10))
 		}
 	}
 }
--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -20,23 +20,23 @@
 // Model is the cost model. The time of a step is the sum of a base, a part
 // for each running sequence, and a part for each prompt token prefilled in it.
 type Model struct {
-	MaxRunning    int
-	StepBase      time.Duration
-	StepPerSeq    time.Duration
-	PrefillToken  time.Duration
-	PrefillChunk  int // prompt tokens prefilled in one step at most
-	CacheBlocks   int // blocks of blockTokens kept of earlier prompts
-	LoadLag       time.Duration
-	ModelLoadTime time.Duration
-	ChecksFence   bool
-	Instant       bool // no cost at all: to measure what is before the engine
+	MaxRunning         int
+	StepBase           time.Duration
+	StepPerSeq         time.Duration
+	PrefillPerToken    time.Duration
+	PrefillChunk       int // prompt tokens prefilled in one step at most
+	CacheBlocks        int // blocks of blockTokens kept of earlier prompts
+	LoadReportInterval time.Duration
+	ModelLoadTime      time.Duration
+	ChecksFence        bool
+	Instant            bool // no cost at all: to measure what is before the engine
 }
 
 // DefaultModel is a memory-bound decoder: a step of 15 ms that grows by a
 // fifth when full.
 func DefaultModel() Model {
-	return Model{MaxRunning: 32, StepBase: 15 * time.Millisecond, StepPerSeq: 100 * time.Microsecond, PrefillToken: 40 * time.Microsecond,
-		PrefillChunk: 512, CacheBlocks: 2000, LoadLag: 200 * time.Millisecond, ModelLoadTime: 300 * time.Millisecond, ChecksFence: true}
+	return Model{MaxRunning: 32, StepBase: 15 * time.Millisecond, StepPerSeq: 100 * time.Microsecond, PrefillPerToken: 40 * time.Microsecond,
+		PrefillChunk: 512, CacheBlocks: 2000, LoadReportInterval: 200 * time.Millisecond, ModelLoadTime: 300 * time.Millisecond, ChecksFence: true}
 }
 
 // Faults can be switched on while the engine runs.
@@ -55,8 +55,8 @@
 	defaultMaxTokens = 16
 	// keepEnded is how long an ended stream can be resumed.
 	keepEnded = 10 * time.Second
-	// KillMark in a prompt crashes the engine: an item that can never be done.
-	KillMark = "<crash-engine>"
+	// CrashMarker in a prompt crashes the engine: an item that can never be done.
+	CrashMarker = "<crash-engine>"
 )
 
 // sequence is one request inside the engine.
@@ -165,7 +165,7 @@
 }
 
 func (e *Engine) reportLoop(done <-chan struct{}) {
-	ticker := time.NewTicker(max(e.model.LoadLag, time.Millisecond))
+	ticker := time.NewTicker(max(e.model.LoadReportInterval, time.Millisecond))
 	defer ticker.Stop()
 	for {
 		select {
@@ -232,7 +232,7 @@
 		budget -= n
 	}
 	prefilled := e.model.PrefillChunk - budget
-	return e.model.StepBase + time.Duration(len(e.running))*e.model.StepPerSeq + time.Duration(prefilled)*e.model.PrefillToken, true
+	return e.model.StepBase + time.Duration(len(e.running))*e.model.StepPerSeq + time.Duration(prefilled)*e.model.PrefillPerToken, true
 }
 
 // emit gives every prefilled running sequence its next token.
@@ -323,8 +323,8 @@
 	return e.crashes
 }
 
-// Ledger returns how often each request was started.
-func (e *Engine) Ledger() map[string]int {
+// StartCounts returns how often each request was started.
+func (e *Engine) StartCounts() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := map[string]int{}
@@ -376,8 +376,8 @@
 	return e.tokens
 }
 
-// FullRate returns the tokens a second of an engine that is full.
-func (m Model) FullRate() float64 {
+// MaxTokenRate returns the tokens a second of an engine that is full.
+func (m Model) MaxTokenRate() float64 {
 	step := m.StepBase + time.Duration(m.MaxRunning)*m.StepPerSeq
 	return float64(m.MaxRunning) / step.Seconds()
 }
--- a/lab/engine/http.go
+++ b/lab/engine/http.go
@@ -22,7 +22,7 @@
 	mux.HandleFunc("GET /load", e.load)
 	mux.HandleFunc("POST /orders", e.takeOrder)
 	mux.HandleFunc("GET /events", e.showEvents)
-	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(e.Ledger()) })
+	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(e.StartCounts()) })
 	mux.HandleFunc("PUT /control/faults", e.control)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.currentFaults().Down && !strings.HasPrefix(r.URL.Path, "/control") {
@@ -56,7 +56,7 @@
 		http.Error(w, "model not loaded: "+req.Model, http.StatusServiceUnavailable)
 		return
 	}
-	if strings.Contains(req.Text(), KillMark) {
+	if strings.Contains(req.Text(), CrashMarker) {
 		e.Crash()
 		panic(http.ErrAbortHandler)
 	}
--- a/lab/explain/explain_test.go
+++ b/lab/explain/explain_test.go
@@ -41,8 +41,8 @@
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(aLog))
 	is.NoErr(err)
-	got := OfRequests(lines, Limits{First: 300 * time.Millisecond, Pause: 250 * time.Millisecond})
-	is.Equal(got, Requests{Answered: 4, Late: 3, Refused: 1, Failed: 1, Why: map[string]int{
+	got := SummariseRequests(lines, Limits{FirstEvent: 300 * time.Millisecond, Pause: 250 * time.Millisecond})
+	is.Equal(got, Requests{Answered: 4, Late: 3, Refused: 1, Failed: 1, ByCause: map[string]int{
 		"late: sent again after: broken: the target was silent for too lo": 1, "late: waited its turn at the target": 1, "late: the target paused": 1,
 		"failed: unknown_outcome": 1, "refused: no_target": 1}})
 }
@@ -51,10 +51,10 @@
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(aLog))
 	is.NoErr(err)
-	got := OfItems(lines, 18*time.Second)
-	is.Equal(got.InTime, Times{Items: 1, First: time.Second, Run: 5 * time.Second, Listed: 500 * time.Millisecond, Attempts: 1})
-	is.Equal(got.Late, Times{Items: 1, First: time.Second, Wait: 15 * time.Second, Run: 5 * time.Second, Attempts: 2})
-	is.Equal(got.Undone, 1)
+	got := SummariseItems(lines, 18*time.Second)
+	is.Equal(got.InTime, Times{Items: 1, BeforeStart: time.Second, AtTargets: 5 * time.Second, UntilListed: 500 * time.Millisecond, Attempts: 1})
+	is.Equal(got.Late, Times{Items: 1, BeforeStart: time.Second, BetweenAttempts: 15 * time.Second, AtTargets: 5 * time.Second, Attempts: 2})
+	is.Equal(got.Unfinished, 1)
 	is.Equal(got.Stopped, map[string]int{"online requests need the room": 1})
 	is.Equal(got.Refused, map[string]int{"the object store does not answer": 1})
 	var out bytes.Buffer
--- a/lab/explain/items.go
+++ b/lab/explain/items.go
@@ -9,18 +9,18 @@
 
 // Times says where the time of items went, summed over some of them.
 type Times struct {
-	Items    int
-	First    time.Duration // before their first start
-	Wait     time.Duration // between their attempts
-	Run      time.Duration // at targets
-	Listed   time.Duration // from the end to the commit that listed them
-	Attempts int
+	Items           int
+	BeforeStart     time.Duration // before their first start
+	BetweenAttempts time.Duration // between their attempts
+	AtTargets       time.Duration // at targets
+	UntilListed     time.Duration // from the end to the commit that listed them
+	Attempts        int
 }
 
 // Items sums up the batch items of a log.
 type Items struct {
 	InTime, Late Times
-	Undone       int // of jobs that were ended, or still open at the end of the log
+	Unfinished   int // of jobs that were ended, or still open at the end of the log
 	// Stopped counts ends of attempts by cause, Refused the jobs refused by cause.
 	Stopped, Refused map[string]int
 }
@@ -36,9 +36,9 @@
 	times          Times
 }
 
-// OfItems sums up the batch items of a log; completeWithin is the time after which
+// SummariseItems sums up the batch items of a log; completeWithin is the time after which
 // a job is due.
-func OfItems(lines []Line, completeWithin time.Duration) Items {
+func SummariseItems(lines []Line, completeWithin time.Duration) Items {
 	out := Items{Stopped: map[string]int{}, Refused: map[string]int{}}
 	lives := map[string]*life{}
 	byJob := map[string][]*life{} // done and not listed
@@ -80,9 +80,9 @@
 
 func (i *life) start(at time.Time) {
 	if i.ended.IsZero() && i.started.IsZero() {
-		i.times.First = at.Sub(i.submitted)
+		i.times.BeforeStart = at.Sub(i.submitted)
 	} else if i.started.IsZero() {
-		i.times.Wait += at.Sub(i.ended)
+		i.times.BetweenAttempts += at.Sub(i.ended)
 	}
 	i.started = at
 	i.times.Attempts++
@@ -90,17 +90,17 @@
 
 func (i *life) stop(at time.Time) {
 	if !i.started.IsZero() {
-		i.times.Run += at.Sub(i.started)
+		i.times.AtTargets += at.Sub(i.started)
 	}
 	i.started, i.ended = time.Time{}, at
 }
 
 func (o *Items) add(item *life) {
 	if item.listed.IsZero() {
-		o.Undone++
+		o.Unfinished++
 		return
 	}
-	item.times.Items, item.times.Listed = 1, item.listed.Sub(item.done)
+	item.times.Items, item.times.UntilListed = 1, item.listed.Sub(item.done)
 	if item.listed.After(item.due) {
 		o.Late.add(item.times)
 	} else {
@@ -110,16 +110,16 @@
 
 func (t *Times) add(o Times) {
 	t.Items += o.Items
-	t.First += o.First
-	t.Wait += o.Wait
-	t.Run += o.Run
-	t.Listed += o.Listed
+	t.BeforeStart += o.BeforeStart
+	t.BetweenAttempts += o.BetweenAttempts
+	t.AtTargets += o.AtTargets
+	t.UntilListed += o.UntilListed
 	t.Attempts += o.Attempts
 }
 
 // Print writes the mean times of items in time and late, and the causes.
 func (o Items) Print(w io.Writer) error {
-	fmt.Fprintf(w, "items: %d in time, %d late, %d not done\n", o.InTime.Items, o.Late.Items, o.Undone)
+	fmt.Fprintf(w, "items: %d in time, %d late, %d not done\n", o.InTime.Items, o.Late.Items, o.Unfinished)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\tbefore the first start\tbetween attempts\tat targets\tuntil listed\tattempts\t")
 	for _, row := range []struct {
@@ -127,7 +127,7 @@
 		Times
 	}{{"in time", o.InTime}, {"late", o.Late}} {
 		n := max(1, row.Items)
-		fmt.Fprintf(t, "%s\t%.2f s\t%.2f s\t%.2f s\t%.2f s\t%.2f\t\n", row.name, mean(row.First, n), mean(row.Wait, n), mean(row.Run, n), mean(row.Listed, n), float64(row.Attempts)/float64(n))
+		fmt.Fprintf(t, "%s\t%.2f s\t%.2f s\t%.2f s\t%.2f s\t%.2f\t\n", row.name, mean(row.BeforeStart, n), mean(row.BetweenAttempts, n), mean(row.AtTargets, n), mean(row.UntilListed, n), float64(row.Attempts)/float64(n))
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/lab/explain/requests.go
+++ b/lab/explain/requests.go
@@ -11,15 +11,15 @@
 
 // Limits say when an answer is late.
 type Limits struct {
-	First time.Duration // from the arrival to the first event
-	Pause time.Duration // between two events
+	FirstEvent time.Duration // from the arrival to the first event
+	Pause      time.Duration // between two events
 }
 
 // Requests sums up the online requests of a log.
 type Requests struct {
 	Answered, Late, Refused, Failed int
-	// Why counts late, refused and failed requests by cause.
-	Why map[string]int
+	// ByCause counts late, refused and failed requests by cause.
+	ByCause map[string]int
 }
 
 // attempt is one try of a request.
@@ -28,9 +28,9 @@
 	broke   string
 }
 
-// OfRequests sums up the online requests of a log.
-func OfRequests(lines []Line, limits Limits) Requests {
-	out := Requests{Why: map[string]int{}}
+// SummariseRequests sums up the online requests of a log.
+func SummariseRequests(lines []Line, limits Limits) Requests {
+	out := Requests{ByCause: map[string]int{}}
 	tries := map[string][]attempt{}
 	for _, l := range lines {
 		id := l.Fields.Request
@@ -47,10 +47,10 @@
 		case "request_refused":
 			if len(tries[id]) > 0 {
 				out.Failed++
-				out.Why["failed: "+l.Fields.Kind]++
+				out.ByCause["failed: "+l.Fields.Kind]++
 			} else {
 				out.Refused++
-				out.Why["refused: "+l.Fields.Kind]++
+				out.ByCause["refused: "+l.Fields.Kind]++
 			}
 			delete(tries, id)
 		}
@@ -64,12 +64,12 @@
 	}
 	r.Answered++
 	switch {
-	case time.Duration(f.FirstMS)*time.Millisecond > limits.First:
+	case time.Duration(f.FirstMS)*time.Millisecond > limits.FirstEvent:
 		r.Late++
-		r.Why["late: "+whyFirst(tries)]++
+		r.ByCause["late: "+whyFirst(tries)]++
 	case time.Duration(f.PauseMS)*time.Millisecond > limits.Pause:
 		r.Late++
-		r.Why["late: "+whyPause(tries)]++
+		r.ByCause["late: "+whyPause(tries)]++
 	}
 }
 
@@ -109,7 +109,7 @@
 // Print writes the sums and the causes, most frequent first.
 func (r Requests) Print(w io.Writer) error {
 	fmt.Fprintf(w, "online: %d answered, %d of them late; %d failed, %d refused\n", r.Answered, r.Late, r.Failed, r.Refused)
-	return printCounts(w, r.Why)
+	return printCounts(w, r.ByCause)
 }
 
 func printCounts(w io.Writer, counts map[string]int) error {
--- a/lab/load/experiment.go
+++ b/lab/load/experiment.go
@@ -163,7 +163,7 @@
 
 // submitBatch submits a batch that is larger than the engines can complete in the run.
 func (r *measurementRun) submitBatch(rng *rand.Rand, model engine.Model) error {
-	rate := float64(r.workload.engineCount()) * model.FullRate() / mean(r.workload.BatchTokens)
+	rate := float64(r.workload.engineCount()) * model.MaxTokenRate() / mean(r.workload.BatchTokens)
 	n := int(rate * (r.experiment.WarmUp + r.experiment.Length).Seconds() * 1.2)
 	_, err := r.caller.Submit(context.Background(), r.fleet.CallerAddr(0, 0), r.workload.items(rand.New(rand.NewPCG(rng.Uint64(), 0)), n), "", "")
 	return err
@@ -223,9 +223,9 @@
 	defer r.mu.Unlock()
 	r.result.Sent++
 	switch {
-	case o.Whole:
+	case o.Correct:
 		r.result.Completed++
-		r.firstToken.RecordValue((o.First + lateness).Microseconds())
+		r.firstToken.RecordValue((o.TimeToFirstToken + lateness).Microseconds())
 		r.total.RecordValue((o.Total + lateness).Microseconds())
 		for _, gap := range o.Gaps {
 			r.tokenGaps.RecordValue(max(1, gap.Microseconds()))
@@ -243,7 +243,7 @@
 	m.FirstP50MS, m.FirstP99MS = ms(r.firstToken, 50), ms(r.firstToken, 99)
 	m.TotalP50MS, m.TotalP99MS = ms(r.total, 50), ms(r.total, 99)
 	m.PerTokenP95, m.PerTokenP99 = ms(r.tokenGaps, 95), ms(r.tokenGaps, 99)
-	m.IdleTokens = float64(r.workload.engineCount())*model.FullRate() - m.OnlineTokens
+	m.IdleTokens = float64(r.workload.engineCount())*model.MaxTokenRate() - m.OnlineTokens
 	m.BatchShare = m.BatchTokens / m.IdleTokens
 	m.Violations = r.fleet.Violations()
 	for q := 1.0; q < 100; q++ {
--- a/lab/load/overhead.go
+++ b/lab/load/overhead.go
@@ -43,8 +43,8 @@
 	model := engine.DefaultModel()
 	model.Instant, model.MaxRunning = true, 4096
 	f, err := procs.Start(deployment.Layout{Net: net, DataCentres: []string{"a", "b"}, Nodes: []int{2, 1}, Engines: 2, EngineName: overheadModel,
-		Model: model, Loaded: []string{overheadModel + "@1"}, Extra: nodeSettings,
-		Fleet: fmt.Sprintf("[service %q]\n[workspace \"w\"]\nkey_sha256 = %s\n", overheadModel, workspace.HashKey(callerKey))}, dir, dir)
+		Model: model, Loaded: []string{overheadModel + "@1"}, ExtraSettings: nodeSettings,
+		Intent: fmt.Sprintf("[service %q]\n[workspace \"w\"]\nkey_sha256 = %s\n", overheadModel, workspace.HashKey(callerKey))}, dir, dir)
 	if err != nil {
 		return err
 	}
@@ -72,8 +72,8 @@
 // measureIdle measures a node that owns the given number of targets and gets no requests.
 func measureIdle(dir string, net, owned int, out io.Writer) error {
 	f, err := procs.Start(deployment.Layout{Net: net, DataCentres: []string{"a"}, Nodes: []int{1}, Engines: owned, EngineName: overheadModel,
-		Model: engine.DefaultModel(), Loaded: []string{overheadModel + "@1"}, Extra: nodeSettings,
-		Fleet: fmt.Sprintf("[service %q]\n", overheadModel)}, dir, dir)
+		Model: engine.DefaultModel(), Loaded: []string{overheadModel + "@1"}, ExtraSettings: nodeSettings,
+		Intent: fmt.Sprintf("[service %q]\n", overheadModel)}, dir, dir)
 	if err != nil {
 		return err
 	}
@@ -109,9 +109,9 @@
 			mu.Lock()
 			defer mu.Unlock()
 			d.sent++
-			if o.Whole {
+			if o.Correct {
 				d.completed++
-				d.first = append(d.first, (o.First+lateness).Seconds()*1000)
+				d.first = append(d.first, (o.TimeToFirstToken+lateness).Seconds()*1000)
 				d.total = append(d.total, (o.Total+lateness).Seconds()*1000)
 			}
 		})
--- a/lab/load/workload.go
+++ b/lab/load/workload.go
@@ -63,7 +63,7 @@
 
 // fullRate returns how many online requests per second keep all engines fully loaded.
 func (w Workload) fullRate(m engine.Model) float64 {
-	return float64(w.engineCount()) * m.FullRate() / mean(w.OnlineTokens)
+	return float64(w.engineCount()) * m.MaxTokenRate() / mean(w.OnlineTokens)
 }
 
 // nodeSettings are the settings of measured nodes, to which those of the experiment are added.
@@ -76,8 +76,8 @@
 
 func (w Workload) layout(net int, m engine.Model, v node.Variant, extra string) deployment.Layout {
 	return deployment.Layout{Net: net, DataCentres: w.DataCentres, Nodes: w.Nodes, Engines: w.EnginesPerDC, EngineName: w.Model, Model: m,
-		Loaded: []string{w.Model + "@1"}, Extra: nodeSettings + extra, Variant: v,
-		Fleet: fmt.Sprintf("[service %q]\n[workspace %q]\nkey_sha256 = %s\n", w.Model, w.Name, workspace.HashKey(callerKey))}
+		Loaded: []string{w.Model + "@1"}, ExtraSettings: nodeSettings + extra, Variant: v,
+		Intent: fmt.Sprintf("[service %q]\n[workspace %q]\nkey_sha256 = %s\n", w.Model, w.Name, workspace.HashKey(callerKey))}
 }
 
 // template returns the prefix that all prompts of a template share.
--- a/lab/procs/procs.go
+++ b/lab/procs/procs.go
@@ -107,7 +107,7 @@
 }
 
 func (f *Fleet) applyFirst() error {
-	_, err := deployment.Apply(f.Layout.PeerAddr(0, 0), f.Layout.Fleet)
+	_, err := deployment.Apply(f.Layout.PeerAddr(0, 0), f.Layout.Intent)
 	return err
 }
 
@@ -168,10 +168,10 @@
 // SetFaults switches the platform's faults.
 func (f *Fleet) SetFaults(faults platform.Faults) error { return f.control("faults", faults) }
 
-func (f *Fleet) control(what string, v any) error { return Put(f.PlatformAddr(), what, v) }
+func (f *Fleet) control(what string, v any) error { return SendControl(f.PlatformAddr(), what, v) }
 
-// Put sends a control message to a stand-in.
-func Put(addr, what string, v any) error {
+// SendControl sends a control message to a stand-in.
+func SendControl(addr, what string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -208,7 +208,7 @@
 // StartEngine starts an engine's process, again after it ended.
 func (f *Fleet) StartEngine(dc, n int) error {
 	name := f.EngineProc(dc, n)
-	args := []string{"engine", "--listen", f.EngineAddr(dc, n), "--ledger", f.Ledger(name),
+	args := []string{"engine", "--listen", f.EngineAddr(dc, n), "--ledger", f.LedgerPath(name),
 		"--max-running", fmt.Sprint(f.Model.MaxRunning), "--step", f.Model.StepBase.String()}
 	for _, loaded := range f.Loaded {
 		args = append(args, "--loaded", loaded)
@@ -225,11 +225,11 @@
 // StartService starts a plain target's process.
 func (f *Fleet) StartService(dc, n int) error {
 	name := fmt.Sprintf("%s-s%d", f.DataCentres[dc], n)
-	return f.run(name, "marblelab", "service", "--listen", f.PlainAddr(dc, n), "--ledger", f.Ledger(name))
+	return f.run(name, "marblelab", "service", "--listen", f.PlainAddr(dc, n), "--ledger", f.LedgerPath(name))
 }
 
-// Ledger returns the path of a target's ledger.
-func (f *Fleet) Ledger(name string) string { return filepath.Join(f.Dir, name+".ledger") }
+// LedgerPath returns the path of a target's ledger.
+func (f *Fleet) LedgerPath(name string) string { return filepath.Join(f.Dir, name+".ledger") }
 
 func (f *Fleet) run(name, binary string, args ...string) error {
 	p := &Proc{Name: name, args: append([]string{filepath.Join(f.Bin, binary)}, args...), log: filepath.Join(f.Dir, name+".log")}
--- a/lab/service/service.go
+++ b/lab/service/service.go
@@ -14,14 +14,14 @@
 	"github.com/marblepond/marblepond/internal/connection/engine"
 )
 
-// Run is one call that the service carried out.
-type Run struct {
+// Call is one call that the service carried out.
+type Call struct {
 	Operation string `json:"operation"` // from the body: what the caller wants done once
 	RequestID string `json:"request_id"`
 }
 
-// call is the body of a call.
-type call struct {
+// callBody is the body of a callBody.
+type callBody struct {
 	Operation string `json:"operation"`
 }
 
@@ -30,11 +30,11 @@
 	Delay time.Duration // before a call is carried out
 	Log   io.Writer     // gets a line for each call: Unix milliseconds, operation; may be nil
 
-	// BreakAfter breaks the connection after a call was carried out.
-	BreakAfter atomic.Bool
+	// AbortAfterCall breaks the connection after a call was carried out.
+	AbortAfterCall atomic.Bool
 
 	mu     sync.Mutex
-	ledger []Run
+	ledger []Call
 }
 
 // maxRunning is the capacity shown in load reports.
@@ -46,7 +46,7 @@
 	mux.HandleFunc("GET /load", func(w http.ResponseWriter, _ *http.Request) {
 		json.NewEncoder(w).Encode(engine.Report{MaxRunning: maxRunning})
 	})
-	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(s.Ledger()) })
+	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(s.Calls()) })
 	mux.HandleFunc("/", s.run)
 	return mux
 }
@@ -56,26 +56,26 @@
 	if err != nil {
 		return
 	}
-	var c call
+	var c callBody
 	json.Unmarshal(body, &c)
 	time.Sleep(s.Delay)
 	s.mu.Lock()
-	s.ledger = append(s.ledger, Run{c.Operation, r.Header.Get("X-Request-Id")})
+	s.ledger = append(s.ledger, Call{c.Operation, r.Header.Get("X-Request-Id")})
 	n := len(s.ledger)
 	if s.Log != nil {
 		fmt.Fprintf(s.Log, "%d %s\n", time.Now().UnixMilli(), c.Operation)
 	}
 	s.mu.Unlock()
-	if s.BreakAfter.Load() {
+	if s.AbortAfterCall.Load() {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, `{"operation":%q,"entry":%d}`+"\n", c.Operation, n)
 }
 
-// Ledger returns the calls carried out, in order.
-func (s *Service) Ledger() []Run {
+// Calls returns the calls carried out, in order.
+func (s *Service) Calls() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Run{}, s.ledger...)
+	return append([]Call{}, s.ledger...)
 }
--- a/lab/soak/check.go
+++ b/lab/soak/check.go
@@ -91,7 +91,7 @@
 
 // accepted: the answer was whole, or is found whole by its ID.
 func (c *checker) accepted(ctx context.Context, o online) {
-	if o.outcome.Whole {
+	if o.outcome.Correct {
 		c.report.Answered++
 		return
 	}
@@ -183,7 +183,7 @@
 					continue // an unknown outcome, or an item that was given up
 				}
 				c.violate(1, "item %s of %s ended with %s: %s", id, j.id, r.Error.Code, r.Error.Message)
-			case !j.plain && !client.ItemWhole(r, j.items[id], itemTokens):
+			case !j.plain && !client.ItemCorrect(r, j.items[id], itemTokens):
 				c.violate(4, "item %s of %s has the wrong answer", id, j.id)
 			}
 		}
@@ -210,7 +210,7 @@
 }
 
 func (c *checker) ledger(name string) []ledgerLine {
-	file, err := os.Open(c.fleet.Ledger(name))
+	file, err := os.Open(c.fleet.LedgerPath(name))
 	if err != nil {
 		return nil
 	}
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -162,8 +162,8 @@
 
 func (i *injector) engineFaults(f Fault, faults engine.Faults) (undo func()) {
 	addr := i.fleet.EngineAddr(f.DC, f.N)
-	i.must(procs.Put(addr, "faults", faults))
-	return func() { i.must(procs.Put(addr, "faults", engine.Faults{})) }
+	i.must(procs.SendControl(addr, "faults", faults))
+	return func() { i.must(procs.SendControl(addr, "faults", engine.Faults{})) }
 }
 
 func (i *injector) cutLinks(a, b string) (undo func()) {
@@ -243,5 +243,5 @@
 
 // vary returns the intent with an adapter that names this race and operator.
 func (i *injector) vary(operator string) string {
-	return strings.Replace(i.fleet.Layout.Fleet, "version = 1\n", fmt.Sprintf("version = 1\nadapters = a%d%s\n", i.races, operator), 1)
+	return strings.Replace(i.fleet.Layout.Intent, "version = 1\n", fmt.Sprintf("version = 1\nadapters = a%d%s\n", i.races, operator), 1)
 }
--- a/lab/soak/load.go
+++ b/lab/soak/load.go
@@ -132,7 +132,7 @@
 		o.outcome = l.caller.Complete(ctx, o.node, p)
 		o.end = time.Now()
 		l.history.addOnline(o)
-		if o.outcome.Whole || n%4 != 0 || ctx.Err() != nil {
+		if o.outcome.Correct || n%4 != 0 || ctx.Err() != nil {
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -76,8 +76,8 @@
 	model.ChecksFence = net%2 == 0 // some deployments' engines ignore fencing numbers
 	return deployment.Layout{
 		Net: net, DataCentres: []string{"hall-a", "hall-b", "hall-c"}, Nodes: []int{2, 2, 2}, Engines: 2, Services: 1,
-		EngineName: modelName, PlainName: plainName, Model: model, Loaded: []string{modelName + "@1"}, Extra: nodeSettings,
-		Fleet: fmt.Sprintf("[service %q]\nversion = 1\n[service %q]\nkind = plain\nnon_idempotent = true\n[workspace \"keystel\"]\nkey_sha256 = %s\n",
+		EngineName: modelName, PlainName: plainName, Model: model, Loaded: []string{modelName + "@1"}, ExtraSettings: nodeSettings,
+		Intent: fmt.Sprintf("[service %q]\nversion = 1\n[service %q]\nkind = plain\nnon_idempotent = true\n[workspace \"keystel\"]\nkey_sha256 = %s\n",
 			modelName, plainName, workspace.HashKey(callerKey)),
 	}
 }
@@ -104,7 +104,7 @@
 	logf := func(format string, args ...any) {
 		fmt.Fprintf(o.Out, "%s "+format+"\n", append([]any{time.Now().Format("15:04:05.000")}, args...)...)
 	}
-	in := &injector{fleet: f, history: h, log: logf, left: map[string]bool{}, accepted: map[uint64]string{1: l.Fleet}}
+	in := &injector{fleet: f, history: h, log: logf, left: map[string]bool{}, accepted: map[uint64]string{1: l.Intent}}
 	callers := &load{fleet: f, history: h, caller: client.New(callerKey), healthy: map[string]bool{},
 		rng: &lockedRand{rng: rand.New(rand.NewPCG(o.Seed, 1))}}
 	plan := NewPlan(o.Seed, o.Length, len(l.DataCentres), l.Nodes[0], l.Engines)
