--- a/lab/e2e/allowance_test.go
+++ b/lab/e2e/allowance_test.go
@@ -23,22 +23,22 @@
 // what one node would give it, and 429 with Retry-After for the rest.
 func TestRequestsPerSecondCountOverTheFleet(t *testing.T) {
 	is := is.New(t)
-	const perSecond, seconds = 20, 4
+	const requestsPerSecond, seconds = 20, 4
 	f, err := deployment.Start(deployment.Layout{
 		Net: 117, DataCentres: []string{"saldus-hall", "kuldiga-hall"}, Nodes: []int{2, 2}, Engines: 2,
-		EngineName: "akmens-llm", Model: engine.DefaultModel(), Loaded: []string{"akmens-llm@1"}, ExtraSettings: quick,
-		Intent: fmt.Sprintf("[service \"akmens-llm\"]\nversion = 1\n[workspace \"w\"]\nrequests_per_second = %d\nkey_sha256 = %s\n", perSecond, workspace.HashKey("w-key")),
+		EngineName: "akmens-llm", Model: engine.DefaultModel(), Loaded: []string{"akmens-llm@1"}, ExtraSettings: shortTimes,
+		Intent: fmt.Sprintf("[service \"akmens-llm\"]\nversion = 1\n[workspace \"w\"]\nrequests_per_second = %d\nkey_sha256 = %s\n", requestsPerSecond, workspace.HashKey("w-key")),
 	})
 	is.NoErr(err)
 	t.Cleanup(func() { is.NoErr(f.Stop()) })
 	nodes := []string{f.CallerAddr(0, 0), f.CallerAddr(0, 1), f.CallerAddr(1, 0), f.CallerAddr(1, 1)}
 	c := client.New("w-key")
-	var whole, refused atomic.Int64
-	ask := func(addr string, header map[string]string) {
+	var answered, refused atomic.Int64
+	send := func(addr string, header map[string]string) {
 		status, head, _, err := c.Call(context.Background(), http.MethodPost, addr, openai.ChatPath, []byte(`{"model":"akmens-llm","max_tokens":2,"messages":[{"role":"user","content":"x"}]}`), header)
 		switch {
 		case err == nil && status == http.StatusOK:
-			whole.Add(1)
+			answered.Add(1)
 		case err == nil && status == http.StatusTooManyRequests && head.Get("Retry-After") != "":
 			refused.Add(1)
 		default:
@@ -46,17 +46,17 @@
 		}
 	}
 	var wg sync.WaitGroup
-	ticker := time.NewTicker(time.Second / (4 * perSecond))
+	ticker := time.NewTicker(time.Second / (4 * requestsPerSecond))
 	defer ticker.Stop()
-	for i := range 4 * perSecond * seconds {
-		wg.Go(func() { ask(nodes[i%len(nodes)], nil) })
+	for i := range 4 * requestsPerSecond * seconds {
+		wg.Go(func() { send(nodes[i%len(nodes)], nil) })
 		<-ticker.C
 	}
 	wg.Wait()
-	allowed := perSecond*seconds + perSecond
-	tolerated := 0.1*float64(perSecond*5+perSecond) + 10 // the defaults of [allowance]
-	t.Logf("%d whole, %d refused, %d allowed", whole.Load(), refused.Load(), allowed)
-	is.True(float64(whole.Load()) <= float64(allowed)+tolerated)
-	is.True(whole.Load() >= int64(perSecond*seconds))
+	allowed := requestsPerSecond*seconds + requestsPerSecond
+	tolerance := 0.1*float64(requestsPerSecond*5+requestsPerSecond) + 10 // the defaults of [allowance]
+	t.Logf("%d whole, %d refused, %d allowed", answered.Load(), refused.Load(), allowed)
+	is.True(float64(answered.Load()) <= float64(allowed)+tolerance)
+	is.True(answered.Load() >= int64(requestsPerSecond*seconds))
 	is.True(refused.Load() > 0)
 }
--- a/lab/e2e/big_test.go
+++ b/lab/e2e/big_test.go
@@ -17,12 +17,12 @@
 	"github.com/marblepond/marblepond/lab/engine"
 )
 
-var big = flag.Int("big", 0, "run a job of this many items")
+var itemCount = flag.Int("big", 0, "run a job of this many items")
 
 // TestBigJob accepts, runs and reads back a job of many items: none missing,
 // none twice. Run it with -big 250000.
 func TestBigJob(t *testing.T) {
-	if *big == 0 {
+	if *itemCount == 0 {
 		t.Skip("needs -big N")
 	}
 	is := is.New(t)
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Minute)
 	defer cancel()
 	var items strings.Builder
-	for n := range *big {
+	for n := range *itemCount {
 		items.WriteString(client.Item(fmt.Sprint("i", n), "m", fmt.Sprint("attestation ", n), 2))
 	}
 	start := time.Now()
@@ -48,23 +48,23 @@
 	var peak runtime.MemStats
 	done, err := c.WaitBatch(ctx, f.CallerAddr(1, 0), job.ID)
 	is.NoErr(err)
-	ran := time.Since(start)
+	finished := time.Since(start)
 	runtime.ReadMemStats(&peak)
 	results, err := c.Results(ctx, f.CallerAddr(2, 0), done.OutputFileID)
 	is.NoErr(err) // an item that stands twice is an error
-	is.Equal(len(results), *big)
-	for n := range *big {
+	is.Equal(len(results), *itemCount)
+	for n := range *itemCount {
 		is.True(client.ItemCorrect(results[fmt.Sprint("i", n)], fmt.Sprint("attestation ", n), 2))
 	}
-	writes, reads := calls(f)
+	writes, reads := platformCalls(f)
 	t.Logf("%d items: accepted after %.1f s, done after %.1f s, read back and checked after %.1f s; %d writes and %d reads of the platform (%.4f and %.4f an item); heap of all nodes, stand-ins and the file %d MB",
-		*big, accepted.Seconds(), ran.Seconds(), time.Since(start).Seconds(), writes, reads, float64(writes)/float64(*big), float64(reads)/float64(*big), peak.HeapAlloc>>20)
+		*itemCount, accepted.Seconds(), finished.Seconds(), time.Since(start).Seconds(), writes, reads, float64(writes)/float64(*itemCount), float64(reads)/float64(*itemCount), peak.HeapAlloc>>20)
 	is.NoErr(f.Stop())
 	is.Equal(f.Violations(), int64(0))
 }
 
-// calls counts the nodes' calls to the platform.
-func calls(f *deployment.Embedded) (writes, reads int) {
+// platformCalls counts the nodes' platformCalls to the platform.
+func platformCalls(f *deployment.Embedded) (writes, reads int) {
 	for key, n := range f.Platform.Counts() {
 		if strings.HasSuffix(key, " GET") {
 			reads += n
--- a/lab/e2e/callers_test.go
+++ b/lab/e2e/callers_test.go
@@ -16,8 +16,8 @@
 	"github.com/marblepond/marblepond/lab/engine"
 )
 
-// open starts a streamed request and returns it after its first event.
-func open(ctx context.Context, addr, text string, tokens int) (*http.Response, *bufio.Scanner, error) {
+// openStream starts a streamed request and returns it after its first event.
+func openStream(ctx context.Context, addr, text string, tokens int) (*http.Response, *bufio.Scanner, error) {
 	body := fmt.Sprintf(`{"model":"akmens-llm","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, tokens, text)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+openai.ChatPath, strings.NewReader(body))
 	if err != nil {
@@ -35,23 +35,23 @@
 
 // What was accepted is finished and kept when its caller goes away, and a
 // caller that reads slowly gets the whole.
-func TestVanishingAndSlowCallers(t *testing.T) {
+func TestDisconnectedAndSlowCallers(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 112)
-	ctx, vanish := context.WithCancel(context.Background())
-	resp, _, err := open(ctx, f.CallerAddr(0, 0), "vanishing", 40)
+	f, c := startEmbedded(t, 112)
+	ctx, disconnect := context.WithCancel(context.Background())
+	resp, _, err := openStream(ctx, f.CallerAddr(0, 0), "vanishing", 40)
 	is.NoErr(err)
 	id := resp.Header.Get(openai.HeaderRequestID)
-	vanish()
+	disconnect()
 	resp.Body.Close()
 	want := engine.Answer("user: vanishing\n", 40)
 	is.True(eventually(10*time.Second, func() bool {
 		status, _, body, err := c.Call(context.Background(), http.MethodGet, f.CallerAddr(1, 0), "/v1/responses/"+id, nil, nil)
-		var whole openai.Chunk
-		return err == nil && status == http.StatusOK && json.Unmarshal(body, &whole) == nil && whole.Choices[0].Message.Content == want
+		var answer openai.Chunk
+		return err == nil && status == http.StatusOK && json.Unmarshal(body, &answer) == nil && answer.Choices[0].Message.Content == want
 	}))
 
-	resp, lines, err := open(context.Background(), f.CallerAddr(0, 0), "slow", 40)
+	resp, lines, err := openStream(context.Background(), f.CallerAddr(0, 0), "slow", 40)
 	is.NoErr(err)
 	defer resp.Body.Close()
 	events := 1
@@ -67,8 +67,8 @@
 // What is over a limit is refused before anything runs.
 func TestOverTheLimits(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 113)
-	before := starts(f)
+	f, c := startEmbedded(t, 113)
+	before := startCount(f)
 	for _, tc := range []struct {
 		body   string
 		header map[string]string
@@ -86,5 +86,5 @@
 			is.Equal(header.Get(openai.HeaderNotRun), "true")
 		}
 	}
-	is.Equal(starts(f), before)
+	is.Equal(startCount(f), before)
 }
--- a/lab/e2e/crash_test.go
+++ b/lab/e2e/crash_test.go
@@ -17,8 +17,8 @@
 	"github.com/marblepond/marblepond/lab/engine"
 )
 
-// crashesOf returns how often engines have crashed.
-func crashesOf(f *deployment.Embedded) int {
+// crashCount returns how often engines have crashed.
+func crashCount(f *deployment.Embedded) int {
 	n := 0
 	for _, centre := range f.Engines {
 		for _, e := range centre {
@@ -28,13 +28,13 @@
 	return n
 }
 
-// killerBody asks for what crashes the engine that runs it.
-var killerBody = fmt.Sprintf(`{"model":"akmens-llm","max_tokens":10,"messages":[{"role":"user","content":%q}]}`, engine.CrashMarker)
+// crashingBody asks for what crashes the engine that runs it.
+var crashingBody = fmt.Sprintf(`{"model":"akmens-llm","max_tokens":10,"messages":[{"role":"user","content":%q}]}`, engine.CrashMarker)
 
-// askKiller sends a request that crashes the engine that runs it, and returns the kind
+// sendCrashingRequest sends a request that crashes the engine that runs it, and returns the kind
 // of the refusal.
-func askKiller(ctx context.Context, c *client.Caller, addr string) (status int, kind string) {
-	status, _, answer, err := c.Call(ctx, http.MethodPost, addr, openai.ChatPath, []byte(killerBody), map[string]string{openai.HeaderTimeoutMS: "4000"})
+func sendCrashingRequest(ctx context.Context, c *client.Caller, addr string) (status int, kind string) {
+	status, _, answer, err := c.Call(ctx, http.MethodPost, addr, openai.ChatPath, []byte(crashingBody), map[string]string{openai.HeaderTimeoutMS: "4000"})
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -55,30 +55,30 @@
 // after a few, and so is an item of a job that asks the same.
 func TestRequestThatCrashesEngines(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 114)
+	f, c := startEmbedded(t, 114)
 	ctx, cancel := context.WithTimeout(context.Background(), 40*time.Second)
 	defer cancel()
 	nodes := []string{f.CallerAddr(0, 0), f.CallerAddr(0, 1), f.CallerAddr(1, 0), f.CallerAddr(1, 1)}
 	for i := range 40 {
-		askKiller(ctx, c, nodes[i%len(nodes)])
+		sendCrashingRequest(ctx, c, nodes[i%len(nodes)])
 		time.Sleep(100 * time.Millisecond)
 	}
-	crashes := crashesOf(f)
+	crashes := crashCount(f)
 	t.Logf("%d crashes", crashes)
 	is.True(crashes >= 3)
 	for range 3 {
 		for _, addr := range nodes {
-			status, kind := askKiller(ctx, c, addr)
+			status, kind := sendCrashingRequest(ctx, c, addr)
 			is.Equal(status, http.StatusInternalServerError)
 			is.Equal(kind, "crashes_targets")
 		}
 	}
-	is.Equal(crashesOf(f), crashes)
+	is.Equal(crashCount(f), crashes)
 
 	var items strings.Builder
 	for n := range 10 {
 		if n == 5 {
-			fmt.Fprintf(&items, `{"custom_id":"i5","method":"POST","url":%q,"body":%s}`+"\n", openai.ChatPath, killerBody)
+			fmt.Fprintf(&items, `{"custom_id":"i5","method":"POST","url":%q,"body":%s}`+"\n", openai.ChatPath, crashingBody)
 			continue
 		}
 		items.WriteString(client.Item(fmt.Sprint("i", n), "akmens-llm", fmt.Sprint("sheet ", n), 10))
@@ -91,5 +91,5 @@
 	is.NoErr(err)
 	is.Equal(len(results), 10)
 	is.Equal(results["i5"].Error.Code, "target_failed")
-	is.Equal(crashesOf(f), crashes)
+	is.Equal(crashCount(f), crashes)
 }
--- a/lab/e2e/e2e_test.go
+++ b/lab/e2e/e2e_test.go
@@ -42,7 +42,7 @@
 	os.Exit(code)
 }
 
-func start(t *testing.T, net int, extra string) *procs.Fleet {
+func startProcesses(t *testing.T, net int, extra string) *procs.Fleet {
 	t.Helper()
 	f, err := procs.Start(deployment.Layout{
 		Net: net, DataCentres: []string{"saldus-hall", "kuldiga-hall"}, Nodes: []int{2, 2}, Engines: 2, Services: 1,
@@ -65,7 +65,7 @@
 // of three failed at this step with the same answer.
 func TestFirstSteps(t *testing.T) {
 	is := is.New(t)
-	f := start(t, 31, "[log]\nstop_on_violation = true\n")
+	f := startProcesses(t, 31, "[log]\nstop_on_violation = true\n")
 	changed := filepath.Join(t.TempDir(), "fleet.ini")
 	is.NoErr(os.WriteFile(changed, []byte(strings.Replace(f.Layout.Intent, "version = 1", "version = 2", 1)), 0o600))
 	cmd := exec.Command("../../scripts/first-steps.sh")
--- a/lab/e2e/evacuation_test.go
+++ b/lab/e2e/evacuation_test.go
@@ -19,8 +19,8 @@
 	"github.com/marblepond/marblepond/lab/deployment"
 )
 
-// started returns how many requests the engines of a data centre have begun.
-func started(f *deployment.Embedded, dc int) int {
+// startsInDataCentre returns how many requests the engines of a data centre have begun.
+func startsInDataCentre(f *deployment.Embedded, dc int) int {
 	n := 0
 	for _, e := range f.Engines[dc] {
 		n += len(e.StartCounts())
@@ -61,10 +61,10 @@
 // centre until the end; where both are evacuated requests are refused at once.
 func TestOperatorEvacuatesADataCentre(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 118)
+	f, c := startEmbedded(t, 118)
 	ctx := context.Background()
 	op := peer.NewOperatorClient(http.DefaultClient, f.PeerAddr(0, 0), deployment.OperatorKey)
-	ask := func(dc, n int) client.Outcome {
+	complete := func(dc, n int) client.Outcome {
 		return c.Complete(ctx, f.CallerAddr(dc, n%2), client.Prompt{Model: "akmens-llm", Text: fmt.Sprint("slab ", dc, n), MaxTokens: 4, Stream: true})
 	}
 	err := evacuate(op, "no-hall", false)
@@ -75,10 +75,10 @@
 		everywhere, evacuated := inForce(op)
 		return everywhere && len(evacuated) == 1 && evacuated[0] == "saldus-hall"
 	}))
-	before := started(f, 0)
+	before := startsInDataCentre(f, 0)
 	for n := range 8 {
-		is.True(ask(0, n).Correct)
-		is.True(ask(1, n).Correct)
+		is.True(complete(0, n).Correct)
+		is.True(complete(1, n).Correct)
 	}
 	var lines []byte
 	for n := range 10 {
@@ -89,7 +89,7 @@
 	done, err := c.WaitBatch(ctx, f.CallerAddr(0, 1), job.ID)
 	is.NoErr(err)
 	is.Equal(done.Counts.Completed, 10)
-	is.Equal(started(f, 0), before) // nothing began there
+	is.Equal(startsInDataCentre(f, 0), before) // nothing began there
 
 	stale := &v1.Evacuation{DataCentre: "kuldiga-hall"}
 	resp, err := op.Apply(ctx, &v1.ApplyRequest{Evacuation: stale, BaseVersion: 1})
@@ -97,20 +97,20 @@
 	is.True(resp.Stale) // a plan of before the first evacuation
 	is.NoErr(evacuate(op, "kuldiga-hall", false))
 	is.True(eventually(5*time.Second, func() bool { everywhere, evacuated := inForce(op); return everywhere && len(evacuated) == 2 }))
-	asked := time.Now()
+	sent := time.Now()
 	status, header, body, err := c.Call(ctx, http.MethodPost, f.CallerAddr(1, 0), openai.ChatPath, []byte(`{"model":"akmens-llm","messages":[{"role":"user","content":"refused"}]}`), nil)
 	is.NoErr(err)
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.Equal(header.Get(openai.HeaderNotRun), "true")
 	is.True(header.Get("Retry-After") != "")
 	is.True(strings.Contains(string(body), "evacuated")) // by this node: no other one is asked in vain
-	is.True(time.Since(asked) < time.Second)
+	is.True(time.Since(sent) < time.Second)
 
 	is.NoErr(evacuate(op, "saldus-hall", true))
 	is.NoErr(evacuate(op, "kuldiga-hall", true))
 	is.True(eventually(5*time.Second, func() bool { everywhere, evacuated := inForce(op); return everywhere && len(evacuated) == 0 }))
 	for n := range 8 {
-		is.True(ask(0, n).Correct)
+		is.True(complete(0, n).Correct)
 	}
-	is.True(started(f, 0) > before)
+	is.True(startsInDataCentre(f, 0) > before)
 }
--- a/lab/e2e/holds_test.go
+++ b/lab/e2e/holds_test.go
@@ -22,7 +22,7 @@
 )
 
 // Short times, so that leases and silences end within a test.
-const quick = `[log]
+const shortTimes = `[log]
 level = error
 [membership]
 heartbeat = 100ms
@@ -39,13 +39,13 @@
 commit_every = 300ms
 `
 
-// embedded starts two data centres of two nodes in this process.
-func embedded(t *testing.T, net int) (*deployment.Embedded, *client.Caller) {
+// startEmbedded starts two data centres of two nodes in this process.
+func startEmbedded(t *testing.T, net int) (*deployment.Embedded, *client.Caller) {
 	t.Helper()
 	f, err := deployment.Start(deployment.Layout{
 		Net: net, DataCentres: []string{"saldus-hall", "kuldiga-hall"}, Nodes: []int{2, 2}, Engines: 2, Services: 1,
 		EngineName: "akmens-llm", PlainName: "orders", Model: engine.DefaultModel(), Loaded: []string{"akmens-llm@1"},
-		ExtraSettings: quick, Intent: intent + workspace.HashKey("clerk-key").String() + "\n",
+		ExtraSettings: shortTimes, Intent: intent + workspace.HashKey("clerk-key").String() + "\n",
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -61,8 +61,8 @@
 	return f, client.New("clerk-key")
 }
 
-// cut calls the plain service; its calls may not be repeated.
-func cut(c *client.Caller, addr, operation string) (status int, notRun string) {
+// callOrders calls the plain service; its calls may not be repeated.
+func callOrders(c *client.Caller, addr, operation string) (status int, notRun string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	status, header, _, err := c.Call(ctx, http.MethodPost, addr, "/services/orders/cut", []byte(fmt.Sprintf(`{"operation":%q}`, operation)),
@@ -73,7 +73,7 @@
 	return status, header.Get(openai.HeaderNotRun)
 }
 
-func ran(f *deployment.Embedded, operation string) int {
+func runCount(f *deployment.Embedded, operation string) int {
 	n := 0
 	for _, row := range f.Services {
 		for _, s := range row {
@@ -90,32 +90,32 @@
 // Point 6: a call whose target is lost after it ran is not repeated.
 func TestLostTargetAfterTheCall(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 101)
+	f, c := startEmbedded(t, 101)
 	f.Services[0][0].AbortAfterCall.Store(true)
-	status, notRun := cut(c, f.CallerAddr(0, 0), "granite-1")
+	status, notRun := callOrders(c, f.CallerAddr(0, 0), "granite-1")
 	is.Equal(status, 500)
 	is.Equal(notRun, "unknown")
 	f.Services[0][0].AbortAfterCall.Store(false)
-	status, notRun = cut(c, f.CallerAddr(1, 0), "granite-1") // a resend elsewhere
+	status, notRun = callOrders(c, f.CallerAddr(1, 0), "granite-1") // a resend elsewhere
 	is.Equal(status, 500)
 	is.Equal(notRun, "unknown")
-	is.Equal(ran(f, "granite-1"), 1)
+	is.Equal(runCount(f, "granite-1"), 1)
 }
 
 // Point 6: resends to all nodes at once run once, and all get its answer.
 func TestResendsToAllNodesAtOnce(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 102)
+	f, c := startEmbedded(t, 102)
 	for n := range 10 {
 		operation := fmt.Sprint("slab-", n)
 		var wg sync.WaitGroup
 		statuses := make([]int, 4)
 		for i := range statuses {
-			wg.Go(func() { statuses[i], _ = cut(c, f.CallerAddr(i/2, i%2), operation) })
+			wg.Go(func() { statuses[i], _ = callOrders(c, f.CallerAddr(i/2, i%2), operation) })
 		}
 		wg.Wait()
 		t.Log(operation, statuses)
-		is.Equal(ran(f, operation), 1)
+		is.Equal(runCount(f, operation), 1)
 		is.Equal(statuses, []int{200, 200, 200, 200})
 	}
 }
@@ -124,50 +124,50 @@
 // and the same key runs once the platform is back.
 func TestNoClaimNoCall(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 103)
+	f, c := startEmbedded(t, 103)
 	f.Platform.SetFaults(platform.Faults{Down: true})
-	status, notRun := cut(c, f.CallerAddr(0, 0), "gravel")
+	status, notRun := callOrders(c, f.CallerAddr(0, 0), "gravel")
 	is.Equal(status, 503)
 	is.Equal(notRun, "true")
-	is.Equal(ran(f, "gravel"), 0)
+	is.Equal(runCount(f, "gravel"), 0)
 	f.Platform.SetFaults(platform.Faults{})
 	is.True(eventually(5*time.Second, func() bool {
-		status, _ = cut(c, f.CallerAddr(1, 1), "gravel")
+		status, _ = callOrders(c, f.CallerAddr(1, 1), "gravel")
 		return status == 200
 	}))
-	is.Equal(ran(f, "gravel"), 1)
+	is.Equal(runCount(f, "gravel"), 1)
 }
 
 // Point 6: answers of the platform lost after the claim took effect.
 func TestLostClaimAnswers(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 104)
+	f, c := startEmbedded(t, 104)
 	f.Platform.SetFaults(platform.Faults{LostShare: 0.5})
 	answered := 0
 	for n := range 30 {
 		operation := fmt.Sprint("kerb-", n)
-		status, notRun := cut(c, f.CallerAddr(n%2, 0), operation)
+		status, notRun := callOrders(c, f.CallerAddr(n%2, 0), operation)
 		if status == 200 {
 			answered++
-			is.Equal(ran(f, operation), 1)
+			is.Equal(runCount(f, operation), 1)
 		}
 		if notRun == "true" {
-			is.Equal(ran(f, operation), 0)
+			is.Equal(runCount(f, operation), 0)
 		}
 	}
 	is.True(answered > 25)
 }
 
-func eventually(limit time.Duration, holds func() bool) bool {
+func eventually(limit time.Duration, condition func() bool) bool {
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return true
 		}
 	}
 	return false
 }
 
-func note(n int, stream bool) client.Prompt {
+func orderNote(n int, stream bool) client.Prompt {
 	return client.Prompt{Model: "akmens-llm", Text: fmt.Sprint("order note ", n), MaxTokens: 40, Stream: stream}
 }
 
@@ -175,7 +175,7 @@
 // target lost in mid-stream.
 func TestBadStreams(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 105)
+	f, c := startEmbedded(t, 105)
 	for _, row := range f.Engines {
 		for _, e := range row {
 			e.SetFaults(engine.Faults{CutShare: 0.02, RepeatShare: 0.3, ReorderShare: 0.3})
@@ -184,12 +184,12 @@
 	crash := time.AfterFunc(400*time.Millisecond, f.Engines[0][0].Crash)
 	defer crash.Stop()
 	var wg sync.WaitGroup
-	broken := make([]client.Outcome, 60)
-	for n := range broken {
-		wg.Go(func() { broken[n] = c.Complete(context.Background(), f.CallerAddr(n%2, n%2), note(n, true)) })
+	outcomes := make([]client.Outcome, 60)
+	for n := range outcomes {
+		wg.Go(func() { outcomes[n] = c.Complete(context.Background(), f.CallerAddr(n%2, n%2), orderNote(n, true)) })
 	}
 	wg.Wait()
-	for _, o := range broken {
+	for _, o := range outcomes {
 		if !o.Correct {
 			t.Logf("%+v", o)
 		}
@@ -200,23 +200,23 @@
 // Point 8: nodes are asked to stop one after the other under load.
 func TestRollingDrain(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 106)
-	ctx, stop := context.WithCancel(context.Background())
+	f, c := startEmbedded(t, 106)
+	ctx, stopLoad := context.WithCancel(context.Background())
 	var mu sync.Mutex
-	gone := map[string]bool{}
-	var cuts []string
+	unhealthy := map[string]bool{}
+	var incomplete []string
 	var wg, drivers sync.WaitGroup
 	drivers.Go(func() {
 		for n := 0; ctx.Err() == nil; n++ {
 			addr := f.CallerAddr(0, n%2)
 			mu.Lock()
-			skip := gone[addr] // the balancer has seen its health answer fail
+			skip := unhealthy[addr] // the balancer has seen its health answer fail
 			mu.Unlock()
 			if !skip {
 				wg.Go(func() {
-					if o := c.Complete(context.Background(), addr, note(n, n%2 == 0)); !o.Correct {
+					if o := c.Complete(context.Background(), addr, orderNote(n, n%2 == 0)); !o.Correct {
 						mu.Lock()
-						cuts = append(cuts, fmt.Sprintf("%s: %+v", addr, o))
+						incomplete = append(incomplete, fmt.Sprintf("%s: %+v", addr, o))
 						mu.Unlock()
 					}
 				})
@@ -231,25 +231,25 @@
 			f.StopNode(0, n)
 			close(stopped)
 		}()
-		is.True(eventually(time.Second, func() bool { return health(f.CallerAddr(0, n)) != http.StatusOK }))
+		is.True(eventually(time.Second, func() bool { return healthStatus(f.CallerAddr(0, n)) != http.StatusOK }))
 		mu.Lock()
-		gone[f.CallerAddr(0, n)] = true
+		unhealthy[f.CallerAddr(0, n)] = true
 		mu.Unlock()
 		<-stopped
 		is.NoErr(f.StartNode(0, n))
 		is.NoErr(deployment.WaitTargets(f.PeerAddr(0, n), 3, 10*time.Second))
 		mu.Lock()
-		gone[f.CallerAddr(0, n)] = false
+		unhealthy[f.CallerAddr(0, n)] = false
 		mu.Unlock()
 	}
-	stop()
+	stopLoad()
 	drivers.Wait()
 	wg.Wait()
-	is.Equal(len(cuts), 0)
+	is.Equal(len(incomplete), 0)
 }
 
-// health returns the status of a node's health answer, 0 when there is none.
-func health(addr string) int {
+// healthStatus returns the status of a node's healthStatus answer, 0 when there is none.
+func healthStatus(addr string) int {
 	resp, err := (&http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Get("http://" + addr + "/healthz")
 	if err != nil {
 		return 0
@@ -262,7 +262,7 @@
 // goes stale again after one node has read it.
 func TestLeavingTarget(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 107)
+	f, c := startEmbedded(t, 107)
 	vms := f.VMs()
 	for i := range vms {
 		vms[i].Leaving = vms[i].ID == "saldus-hall-e0"
@@ -273,7 +273,7 @@
 	time.Sleep(time.Second)
 	before := len(f.Engines[0][0].StartCounts())
 	for n := range 40 {
-		is.True(c.Complete(context.Background(), f.CallerAddr(0, n%2), note(n, false)).Correct)
+		is.True(c.Complete(context.Background(), f.CallerAddr(0, n%2), orderNote(n, false)).Correct)
 	}
 	is.Equal(len(f.Engines[0][0].StartCounts()), before)
 }
@@ -281,7 +281,7 @@
 // A data centre without targets has its requests answered by another one.
 func TestEmptyCentre(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 111)
+	f, c := startEmbedded(t, 111)
 	vms := f.VMs()
 	for i := range vms {
 		vms[i].Leaving = vms[i].DataCentre == "saldus-hall" && vms[i].Service == "akmens-llm"
@@ -289,7 +289,7 @@
 	f.Platform.SetVMs(vms)
 	time.Sleep(time.Second)
 	for n := range 6 {
-		is.True(c.Complete(context.Background(), f.CallerAddr(0, n%2), note(n, n%3 == 0)).Correct)
+		is.True(c.Complete(context.Background(), f.CallerAddr(0, n%2), orderNote(n, n%3 == 0)).Correct)
 	}
 }
 
@@ -297,10 +297,10 @@
 // that the first one holds.
 func TestForwardedContinuation(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 114)
-	whole := engine.Answer("user: x\n", 12)
-	held := engine.Answer("user: x\n", 5)
-	body := fmt.Sprintf(`{"model":"akmens-llm","stream":true,"max_tokens":12,"messages":[{"role":"user","content":"x"}],"continuation":{"tokens":5,"text":%q}}`, held)
+	f, c := startEmbedded(t, 114)
+	complete := engine.Answer("user: x\n", 12)
+	received := engine.Answer("user: x\n", 5)
+	body := fmt.Sprintf(`{"model":"akmens-llm","stream":true,"max_tokens":12,"messages":[{"role":"user","content":"x"}],"continuation":{"tokens":5,"text":%q}}`, received)
 	status, _, out, err := c.Call(context.Background(), http.MethodPost, f.CallerAddr(1, 0), openai.ChatPath, []byte(body),
 		map[string]string{openai.HeaderForwarded: deployment.PeerKey, openai.HeaderWorkspace: "kurzeme", openai.HeaderRequestID: "r1"})
 	is.NoErr(err)
@@ -311,7 +311,7 @@
 			rest += chunk.Text()
 		}
 	}
-	is.Equal(held+rest, whole)
+	is.Equal(received+rest, complete)
 	status, _, _, err = c.Call(context.Background(), http.MethodPost, f.CallerAddr(1, 0), openai.ChatPath, []byte(body), nil)
 	is.NoErr(err)
 	is.Equal(status, http.StatusBadRequest) // not for callers
@@ -321,7 +321,7 @@
 // and every node ends with the last version.
 func TestOperatorsRace(t *testing.T) {
 	is := is.New(t)
-	f, _ := embedded(t, 108)
+	f, _ := startEmbedded(t, 108)
 	f.Platform.SetFaults(platform.Faults{LostShare: 0.3})
 	for round := range 8 {
 		versions := make([]uint64, 2)
@@ -349,7 +349,7 @@
 // nothing more is sent.
 func TestCancelAcrossAnOutage(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 109)
+	f, c := startEmbedded(t, 109)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	var items strings.Builder
@@ -364,20 +364,20 @@
 	f.Platform.SetFaults(platform.Faults{Down: true})
 	time.Sleep(1500 * time.Millisecond)
 	f.Platform.SetFaults(platform.Faults{})
-	asked := time.Now()
+	outageEnd := time.Now()
 	done, err := c.WaitBatch(ctx, f.CallerAddr(1, 0), job.ID)
 	is.NoErr(err)
 	is.Equal(done.Status, "cancelled")
-	t.Logf("cancelled %v after the outage with %d of %d items done", time.Since(asked), done.Counts.Completed, done.Counts.Total)
-	shown := starts(f)
+	t.Logf("cancelled %v after the outage with %d of %d items done", time.Since(outageEnd), done.Counts.Completed, done.Counts.Total)
+	startsWhenShown := startCount(f)
 	time.Sleep(time.Second)
-	is.Equal(starts(f), shown) // nothing is sent any more
+	is.Equal(startCount(f), startsWhenShown) // nothing is sent any more
 	results, err := c.Results(ctx, f.CallerAddr(1, 0), done.OutputFileID)
 	is.NoErr(err)
 	is.Equal(len(results), done.Counts.Completed+done.Counts.Failed) // what was done stays readable
 }
 
-func starts(f *deployment.Embedded) int {
+func startCount(f *deployment.Embedded) int {
 	n := 0
 	for _, row := range f.Engines {
 		for _, e := range row {
@@ -390,7 +390,7 @@
 // Items that can never be done end with an error and do not hold up their job.
 func TestItemsThatCanNeverBeDone(t *testing.T) {
 	is := is.New(t)
-	f, c := embedded(t, 110)
+	f, c := startEmbedded(t, 110)
 	ctx, cancel := context.WithTimeout(context.Background(), 40*time.Second)
 	defer cancel()
 	var items strings.Builder
