--- a/lab/e2e/allowance_test.go
+++ b/lab/e2e/allowance_test.go
@@ -18,9 +18,9 @@
 	"github.com/marblepond/marblepond/lab/engine"
 )
 
-// TestRequestsPerSecondCountOverTheFleet: requests_per_second of a workspace holds for all
-// nodes of all data centres together: asked at four times that at four nodes, it gets
-// what one node would give it, and 429 with Retry-After for the rest.
+// TestRequestsPerSecondCountOverTheFleet checks that requests_per_second of a workspace
+// limits all nodes of all data centres together: at four times that rate, spread over four
+// nodes, the workspace gets the limit once, and 429 with Retry-After for the rest.
 func TestRequestsPerSecondCountOverTheFleet(t *testing.T) {
 	is := is.New(t)
 	const requestsPerSecond, seconds = 20, 4
@@ -55,7 +55,7 @@
 	wg.Wait()
 	allowed := requestsPerSecond*seconds + requestsPerSecond
 	tolerance := 0.1*float64(requestsPerSecond*5+requestsPerSecond) + 10 // the defaults of [allowance]
-	t.Logf("%d whole, %d refused, %d allowed", answered.Load(), refused.Load(), allowed)
+	t.Logf("%d answered, %d refused, %d allowed", answered.Load(), refused.Load(), allowed)
 	is.True(float64(answered.Load()) <= float64(allowed)+tolerance)
 	is.True(answered.Load() >= int64(requestsPerSecond*seconds))
 	is.True(refused.Load() > 0)
--- a/lab/e2e/big_test.go
+++ b/lab/e2e/big_test.go
@@ -19,8 +19,8 @@
 
 var itemCount = flag.Int("big", 0, "run a job of this many items")
 
-// TestBigJob accepts, runs and reads back a job of many items: none missing,
-// none twice. Run it with -big 250000.
+// TestBigJob submits, runs and reads back a job of many items and checks that no result is
+// missing or duplicated. Run it with -big 250000.
 func TestBigJob(t *testing.T) {
 	if *itemCount == 0 {
 		t.Skip("needs -big N")
@@ -51,19 +51,19 @@
 	finished := time.Since(start)
 	runtime.ReadMemStats(&peak)
 	results, err := c.Results(ctx, f.CallerAddr(2, 0), done.OutputFileID)
-	is.NoErr(err) // an item that stands twice is an error
+	is.NoErr(err) // Results fails on a duplicated item
 	is.Equal(len(results), *itemCount)
 	for n := range *itemCount {
 		is.True(client.ItemCorrect(results[fmt.Sprint("i", n)], fmt.Sprint("attestation ", n), 2))
 	}
 	writes, reads := platformCalls(f)
-	t.Logf("%d items: accepted after %.1f s, done after %.1f s, read back and checked after %.1f s; %d writes and %d reads of the platform (%.4f and %.4f an item); heap of all nodes, stand-ins and the file %d MB",
+	t.Logf("%d items: accepted after %.1f s, done after %.1f s, read back and checked after %.1f s; %d writes and %d reads of the platform (%.4f and %.4f an item); heap of all nodes, stand-ins and the input file %d MB",
 		*itemCount, accepted.Seconds(), finished.Seconds(), time.Since(start).Seconds(), writes, reads, float64(writes)/float64(*itemCount), float64(reads)/float64(*itemCount), peak.HeapAlloc>>20)
 	is.NoErr(f.Stop())
 	is.Equal(f.Violations(), int64(0))
 }
 
-// platformCalls counts the nodes' platformCalls to the platform.
+// platformCalls returns the numbers of writes and reads that the nodes sent to the platform.
 func platformCalls(f *deployment.Embedded) (writes, reads int) {
 	for key, n := range f.Platform.Counts() {
 		if strings.HasSuffix(key, " GET") {
--- a/lab/e2e/callers_test.go
+++ b/lab/e2e/callers_test.go
@@ -16,7 +16,7 @@
 	"github.com/marblepond/marblepond/lab/engine"
 )
 
-// openStream starts a streamed request and returns it after its first event.
+// openStream sends a streaming request and returns its response after the first event.
 func openStream(ctx context.Context, addr, text string, tokens int) (*http.Response, *bufio.Scanner, error) {
 	body := fmt.Sprintf(`{"model":"akmens-llm","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, tokens, text)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+openai.ChatPath, strings.NewReader(body))
@@ -33,8 +33,8 @@
 	return resp, lines, nil
 }
 
-// What was accepted is finished and kept when its caller goes away, and a
-// caller that reads slowly gets the whole.
+// TestDisconnectedAndSlowCallers checks that an accepted request is completed and its answer
+// stored when the caller disconnects, and that a slow reader gets the complete answer.
 func TestDisconnectedAndSlowCallers(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 112)
@@ -61,10 +61,11 @@
 		}
 		time.Sleep(20 * time.Millisecond) // slower than the engine
 	}
-	is.Equal(events, 41) // every token and the closing mark
+	is.Equal(events, 41) // 40 tokens and the [DONE] event
 }
 
-// What is over a limit is refused before anything runs.
+// TestOverTheLimits checks that requests over a limit and malformed ones are refused before
+// anything runs.
 func TestOverTheLimits(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 113)
@@ -82,7 +83,7 @@
 		status, header, _, err := c.Call(context.Background(), http.MethodPost, f.CallerAddr(0, 0), openai.ChatPath, []byte(tc.body), tc.header)
 		is.NoErr(err)
 		is.Equal(status, tc.status)
-		if status != http.StatusRequestHeaderFieldsTooLarge { // answered before the node sees the request
+		if status != http.StatusRequestHeaderFieldsTooLarge { // the HTTP server answers 431 itself, without the node's headers
 			is.Equal(header.Get(openai.HeaderNotRun), "true")
 		}
 	}
--- a/lab/e2e/crash_test.go
+++ b/lab/e2e/crash_test.go
@@ -17,7 +17,7 @@
 	"github.com/marblepond/marblepond/lab/engine"
 )
 
-// crashCount returns how often engines have crashed.
+// crashCount returns the number of crashes of all engines.
 func crashCount(f *deployment.Embedded) int {
 	n := 0
 	for _, centre := range f.Engines {
@@ -28,11 +28,11 @@
 	return n
 }
 
-// crashingBody asks for what crashes the engine that runs it.
+// crashingBody is the body of a request that crashes the engine that runs it.
 var crashingBody = fmt.Sprintf(`{"model":"akmens-llm","max_tokens":10,"messages":[{"role":"user","content":%q}]}`, engine.CrashMarker)
 
-// sendCrashingRequest sends a request that crashes the engine that runs it, and returns the kind
-// of the refusal.
+// sendCrashingRequest sends a request that crashes the engine that runs it, and returns the
+// status and the error type of the answer.
 func sendCrashingRequest(ctx context.Context, c *client.Caller, addr string) (status int, kind string) {
 	status, _, answer, err := c.Call(ctx, http.MethodPost, addr, openai.ChatPath, []byte(crashingBody), map[string]string{openai.HeaderTimeoutMS: "4000"})
 	if err != nil {
@@ -49,10 +49,10 @@
 	return status, refusal.Error.Kind
 }
 
-// TestRequestThatCrashesEngines: engines that start again at once take connections all
-// the while, so that only their load reports show that they have crashed. A request
-// that crashes each of them, sent again and again at all nodes, is refused at each
-// after a few, and so is an item of a job that asks the same.
+// TestRequestThatCrashesEngines checks that a request that crashes every engine it runs on
+// is refused at all nodes after a few crashes, and so is an item of a job with the same
+// body. The engines restart at once and keep accepting connections, so that only their load
+// reports show the crashes.
 func TestRequestThatCrashesEngines(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 114)
--- a/lab/e2e/e2e_test.go
+++ b/lab/e2e/e2e_test.go
@@ -1,4 +1,5 @@
-// Package e2e tries the product as separate processes, as users meet it.
+// Package e2e tests the product end to end through its public interfaces, as separate
+// processes and as nodes embedded in the test process.
 package e2e
 
 import (
@@ -16,6 +17,7 @@
 	"github.com/marblepond/marblepond/lab/procs"
 )
 
+// intent is the configuration of the test fleets, without the hash of the workspace's key.
 const intent = `[service "akmens-llm"]
 version = 1
 
@@ -26,6 +28,7 @@
 [workspace "kurzeme"]
 key_sha256 = `
 
+// binaries is the folder of the compiled programs.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -56,13 +59,12 @@
 	return f
 }
 
-// TestFirstSteps runs a new user's first steps by script.
+// TestFirstSteps runs scripts/first-steps.sh against a fleet of processes.
 //
-// What happened: twice, beside load, the answer that one data centre had given was
-// "not_found" in the other. Why: the node there had not heard of the first data centre yet
-// and took it for one that does not exist; it asked its seeds with its first heartbeat and
-// then half a second later. What showed it: with the first question put off, three plays
-// of three failed at this step with the same answer.
+// It also guards against "not_found" for an answer that another data centre gave: a node
+// that had received nothing from that data centre took it for one that does not exist,
+// because it contacted its seeds with its first heartbeat and then only half a second later.
+// This was seen twice under load, and in three of three runs without the first contact.
 func TestFirstSteps(t *testing.T) {
 	is := is.New(t)
 	f := startProcesses(t, 31, "[log]\nstop_on_violation = true\n")
--- a/lab/e2e/evacuation_test.go
+++ b/lab/e2e/evacuation_test.go
@@ -19,7 +19,8 @@
 	"github.com/marblepond/marblepond/lab/deployment"
 )
 
-// startsInDataCentre returns how many requests the engines of a data centre have begun.
+// startsInDataCentre returns how many different requests the engines of a data centre have
+// started.
 func startsInDataCentre(f *deployment.Embedded, dc int) int {
 	n := 0
 	for _, e := range f.Engines[dc] {
@@ -28,7 +29,7 @@
 	return n
 }
 
-// evacuate plans and confirms an evacuation or its end.
+// evacuate plans and applies the evacuation of a data centre, or its end.
 func evacuate(op marblepondv1connect.OperatorServiceClient, dataCentre string, end bool) error {
 	change := &v1.Evacuation{DataCentre: dataCentre, End: end}
 	plan, err := op.Plan(context.Background(), &v1.PlanRequest{Evacuation: change})
@@ -42,8 +43,8 @@
 	return err
 }
 
-// inForce reports whether every node has the newest version, and which data centres it
-// evacuates.
+// inForce reports whether the newest configuration version is in force at every node, and
+// returns the evacuated data centres.
 func inForce(op marblepondv1connect.OperatorServiceClient) (everywhere bool, evacuated []string) {
 	resp, err := op.Status(context.Background(), &v1.StatusRequest{})
 	if err != nil {
@@ -57,8 +58,9 @@
 	return resp.InForceEverywhere, evacuated
 }
 
-// TestOperatorEvacuatesADataCentre: requests and items of all callers go to the other data
-// centre until the end; where both are evacuated requests are refused at once.
+// TestOperatorEvacuatesADataCentre checks that requests and items of all callers go to the
+// other data centre while one is evacuated, that requests are refused at once while both
+// are, and that the targets are used again after the end.
 func TestOperatorEvacuatesADataCentre(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 118)
@@ -89,12 +91,12 @@
 	done, err := c.WaitBatch(ctx, f.CallerAddr(0, 1), job.ID)
 	is.NoErr(err)
 	is.Equal(done.Counts.Completed, 10)
-	is.Equal(startsInDataCentre(f, 0), before) // nothing began there
+	is.Equal(startsInDataCentre(f, 0), before) // nothing was started there
 
 	stale := &v1.Evacuation{DataCentre: "kuldiga-hall"}
 	resp, err := op.Apply(ctx, &v1.ApplyRequest{Evacuation: stale, BaseVersion: 1})
 	is.NoErr(err)
-	is.True(resp.Stale) // a plan of before the first evacuation
+	is.True(resp.Stale) // its base version precedes the first evacuation
 	is.NoErr(evacuate(op, "kuldiga-hall", false))
 	is.True(eventually(5*time.Second, func() bool { everywhere, evacuated := inForce(op); return everywhere && len(evacuated) == 2 }))
 	sent := time.Now()
@@ -103,7 +105,7 @@
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.Equal(header.Get(openai.HeaderNotRun), "true")
 	is.True(header.Get("Retry-After") != "")
-	is.True(strings.Contains(string(body), "evacuated")) // by this node: no other one is asked in vain
+	is.True(strings.Contains(string(body), "evacuated")) // refused by this node, without forwarding
 	is.True(time.Since(sent) < time.Second)
 
 	is.NoErr(evacuate(op, "saldus-hall", true))
--- a/lab/e2e/holds_test.go
+++ b/lab/e2e/holds_test.go
@@ -21,7 +21,8 @@
 	"github.com/marblepond/marblepond/lab/platform"
 )
 
-// Short times, so that leases and silences end within a test.
+// shortTimes are settings with short intervals and timeouts, so that leases expire and
+// unresponsive nodes are detected within a test.
 const shortTimes = `[log]
 level = error
 [membership]
@@ -39,7 +40,8 @@
 commit_every = 300ms
 `
 
-// startEmbedded starts two data centres of two nodes in this process.
+// startEmbedded starts two data centres of two nodes each in this process. The cleanup fails
+// the test on an invariant violation.
 func startEmbedded(t *testing.T, net int) (*deployment.Embedded, *client.Caller) {
 	t.Helper()
 	f, err := deployment.Start(deployment.Layout{
@@ -61,7 +63,7 @@
 	return f, client.New("clerk-key")
 }
 
-// callOrders calls the plain service; its calls may not be repeated.
+// callOrders sends a call to the plain service, which is not idempotent.
 func callOrders(c *client.Caller, addr, operation string) (status int, notRun string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -73,6 +75,7 @@
 	return status, header.Get(openai.HeaderNotRun)
 }
 
+// runCount returns how often the plain services have run an operation.
 func runCount(f *deployment.Embedded, operation string) int {
 	n := 0
 	for _, row := range f.Services {
@@ -87,7 +90,8 @@
 	return n
 }
 
-// Point 6: a call whose target is lost after it ran is not repeated.
+// TestLostTargetAfterTheCall checks requirement 6 (non-idempotent calls run at most once): a
+// call whose connection breaks after it ran is not repeated.
 func TestLostTargetAfterTheCall(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 101)
@@ -96,13 +100,14 @@
 	is.Equal(status, 500)
 	is.Equal(notRun, "unknown")
 	f.Services[0][0].AbortAfterCall.Store(false)
-	status, notRun = callOrders(c, f.CallerAddr(1, 0), "granite-1") // a resend elsewhere
+	status, notRun = callOrders(c, f.CallerAddr(1, 0), "granite-1") // a resend at another data centre
 	is.Equal(status, 500)
 	is.Equal(notRun, "unknown")
 	is.Equal(runCount(f, "granite-1"), 1)
 }
 
-// Point 6: resends to all nodes at once run once, and all get its answer.
+// TestResendsToAllNodesAtOnce checks requirement 6: a call sent to all nodes at the same time
+// with one key runs once, and every sender gets its answer.
 func TestResendsToAllNodesAtOnce(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 102)
@@ -120,8 +125,9 @@
 	}
 }
 
-// Points 5 and 6: without the platform nothing is sent, the refusal says so,
-// and the same key runs once the platform is back.
+// TestNoClaimNoCall checks requirements 5 (refusals state truthfully whether the work ran)
+// and 6: while the platform is down no call is sent and the refusal says not run; the same
+// key runs once the platform is back.
 func TestNoClaimNoCall(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 103)
@@ -138,7 +144,8 @@
 	is.Equal(runCount(f, "gravel"), 1)
 }
 
-// Point 6: answers of the platform lost after the claim took effect.
+// TestLostClaimAnswers checks requirements 5 and 6 while the platform's answers to writes of
+// claims are lost after the writes took effect.
 func TestLostClaimAnswers(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 104)
@@ -158,6 +165,7 @@
 	is.True(answered > 25)
 }
 
+// eventually polls a condition and reports whether it held within the limit.
 func eventually(limit time.Duration, condition func() bool) bool {
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		if condition() {
@@ -171,8 +179,9 @@
 	return client.Prompt{Model: "akmens-llm", Text: fmt.Sprint("order note ", n), MaxTokens: 40, Stream: stream}
 }
 
-// Point 4: pieces late, repeated and swapped, links lost in mid-stream, and a
-// target lost in mid-stream.
+// TestBadStreams checks requirement 4 (answers are complete and consist of their own request's
+// tokens): stream events arrive repeated and out of order, connections break in mid-stream,
+// and an engine crashes in mid-stream.
 func TestBadStreams(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 105)
@@ -193,11 +202,12 @@
 		if !o.Correct {
 			t.Logf("%+v", o)
 		}
-		is.True(o.Correct) // each caller has the whole answer to its own request
+		is.True(o.Correct) // each caller has the complete answer to its own request
 	}
 }
 
-// Point 8: nodes are asked to stop one after the other under load.
+// TestRollingDrain checks requirement 8 (a draining node completes its requests): under load
+// the nodes are drained and restarted one after the other.
 func TestRollingDrain(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 106)
@@ -210,7 +220,7 @@
 		for n := 0; ctx.Err() == nil; n++ {
 			addr := f.CallerAddr(0, n%2)
 			mu.Lock()
-			skip := unhealthy[addr] // the balancer has seen its health answer fail
+			skip := unhealthy[addr] // as a load balancer whose health check failed
 			mu.Unlock()
 			if !skip {
 				wg.Go(func() {
@@ -248,7 +258,7 @@
 	is.Equal(len(incomplete), 0)
 }
 
-// healthStatus returns the status of a node's healthStatus answer, 0 when there is none.
+// healthStatus returns the HTTP status of a node's health check, 0 if it does not respond.
 func healthStatus(addr string) int {
 	resp, err := (&http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Get("http://" + addr + "/healthz")
 	if err != nil {
@@ -258,8 +268,8 @@
 	return resp.StatusCode
 }
 
-// Point 7: a leaving target gets nothing new on any node, also while the list
-// goes stale again after one node has read it.
+// TestLeavingTarget checks requirement 7 (a leaving target gets no new work), also if a later,
+// stale VM list shows the target as not leaving.
 func TestLeavingTarget(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 107)
@@ -269,7 +279,7 @@
 	}
 	f.Platform.SetVMs(vms)
 	time.Sleep(time.Second)
-	f.Platform.SetVMs(f.VMs()) // a stale list: it does not show the mark
+	f.Platform.SetVMs(f.VMs()) // a stale list, without the mark
 	time.Sleep(time.Second)
 	before := len(f.Engines[0][0].StartCounts())
 	for n := range 40 {
@@ -278,7 +288,8 @@
 	is.Equal(len(f.Engines[0][0].StartCounts()), before)
 }
 
-// A data centre without targets has its requests answered by another one.
+// TestEmptyCentre checks that requests to a data centre without usable targets are answered by
+// another data centre.
 func TestEmptyCentre(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 111)
@@ -293,8 +304,8 @@
 	}
 }
 
-// Point 4: a request that another data centre goes on with, from the tokens
-// that the first one holds.
+// TestForwardedContinuation checks requirement 4 for a request that a data centre continues
+// after the tokens that another one has received. Callers cannot send a continuation.
 func TestForwardedContinuation(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 114)
@@ -317,8 +328,9 @@
 	is.Equal(status, http.StatusBadRequest) // not for callers
 }
 
-// Point 9: two operators race from one base many times: one wins each time,
-// and every node ends with the last version.
+// TestOperatorsRace checks requirement 9 (configuration versions only increase): two operators
+// repeatedly apply different intents to the same base version; at most one succeeds each time,
+// and the newest version comes into force at every node.
 func TestOperatorsRace(t *testing.T) {
 	is := is.New(t)
 	f, _ := startEmbedded(t, 108)
@@ -345,8 +357,8 @@
 	t.Logf("in force everywhere %v after the race", time.Since(start))
 }
 
-// Point 2: cancelled while the platform is out: shown as cancelled only when
-// nothing more is sent.
+// TestCancelAcrossAnOutage checks requirement 2 (no item starts after its job was shown as
+// cancelled) for a job that is cancelled right before an outage of the platform.
 func TestCancelAcrossAnOutage(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 109)
@@ -371,12 +383,14 @@
 	t.Logf("cancelled %v after the outage with %d of %d items done", time.Since(outageEnd), done.Counts.Completed, done.Counts.Total)
 	startsWhenShown := startCount(f)
 	time.Sleep(time.Second)
-	is.Equal(startCount(f), startsWhenShown) // nothing is sent any more
+	is.Equal(startCount(f), startsWhenShown) // no item starts any more
 	results, err := c.Results(ctx, f.CallerAddr(1, 0), done.OutputFileID)
 	is.NoErr(err)
-	is.Equal(len(results), done.Counts.Completed+done.Counts.Failed) // what was done stays readable
+	is.Equal(len(results), done.Counts.Completed+done.Counts.Failed) // results of finished items stay readable
 }
 
+// startCount returns how many different requests the engines have started, summed over the
+// engines.
 func startCount(f *deployment.Embedded) int {
 	n := 0
 	for _, row := range f.Engines {
@@ -387,7 +401,8 @@
 	return n
 }
 
-// Items that can never be done end with an error and do not hold up their job.
+// TestItemsThatCanNeverBeDone checks that an item that crashes every engine ends with an error
+// while the other items of its job are completed.
 func TestItemsThatCanNeverBeDone(t *testing.T) {
 	is := is.New(t)
 	f, c := startEmbedded(t, 110)
