--- a/lab/explain/explain_test.go
+++ b/lab/explain/explain_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// aLog holds one request of each end and three items: one in time, one late
+// sampleLog holds one request of each end and three items: one in time, one late
 // because it waited, one of a job that was ended.
-const aLog = `collector prefix {"fields":{"request":"r1","after_ms":0},"timestamp":"2026-01-01T00:00:00Z","message":"request_dispatched"}
+const sampleLog = `collector prefix {"fields":{"request":"r1","after_ms":0},"timestamp":"2026-01-01T00:00:00Z","message":"request_dispatched"}
 {"fields":{"request":"r1","events":3,"first_ms":40,"pause_ms":30},"timestamp":"2026-01-01T00:00:01Z","message":"request_answered"}
 {"fields":{"request":"r2","after_ms":0},"timestamp":"2026-01-01T00:00:01Z","message":"request_dispatched"}
 {"fields":{"request":"r2","cause":"broken: the target was silent for too long"},"timestamp":"2026-01-01T00:00:01.2Z","message":"request_broken"}
@@ -39,7 +39,7 @@
 
 func TestRequestsByCause(t *testing.T) {
 	is := is.New(t)
-	lines, err := Read(strings.NewReader(aLog))
+	lines, err := Read(strings.NewReader(sampleLog))
 	is.NoErr(err)
 	got := SummariseRequests(lines, Limits{FirstEvent: 300 * time.Millisecond, Pause: 250 * time.Millisecond})
 	is.Equal(got, Requests{Answered: 4, Late: 3, Refused: 1, Failed: 1, ByCause: map[string]int{
@@ -49,7 +49,7 @@
 
 func TestItemsByWhereTheirTimeWent(t *testing.T) {
 	is := is.New(t)
-	lines, err := Read(strings.NewReader(aLog))
+	lines, err := Read(strings.NewReader(sampleLog))
 	is.NoErr(err)
 	got := SummariseItems(lines, 18*time.Second)
 	is.Equal(got.InTime, Times{Items: 1, BeforeStart: time.Second, AtTargets: 5 * time.Second, UntilListed: 500 * time.Millisecond, Attempts: 1})
--- a/lab/explain/items.go
+++ b/lab/explain/items.go
@@ -25,8 +25,8 @@
 	Stopped, Refused map[string]int
 }
 
-// life is what the log tells of one item.
-type life struct {
+// itemHistory is what the log tells of one item.
+type itemHistory struct {
 	submitted, due time.Time
 	job            string
 	started        time.Time // of the attempt that runs; zero: none does
@@ -40,45 +40,45 @@
 // a job is due.
 func SummariseItems(lines []Line, completeWithin time.Duration) Items {
 	out := Items{Stopped: map[string]int{}, Refused: map[string]int{}}
-	lives := map[string]*life{}
-	byJob := map[string][]*life{} // done and not listed
+	items := map[string]*itemHistory{}
+	unlistedByJob := map[string][]*itemHistory{} // done and not listed
 	for _, l := range lines {
 		switch l.Name {
 		case "item_sent":
-			item := lives[l.Fields.Request]
+			item := items[l.Fields.Request]
 			if item == nil {
 				due := l.At.Add(time.Duration(l.Fields.DueMS) * time.Millisecond)
-				item = &life{due: due, submitted: due.Add(-completeWithin), job: l.Fields.Job}
-				lives[l.Fields.Request] = item
+				item = &itemHistory{due: due, submitted: due.Add(-completeWithin), job: l.Fields.Job}
+				items[l.Fields.Request] = item
 			}
 			item.start(l.At)
 		case "item_failed":
 			out.Stopped[shorten(l.Fields.Cause)]++
-			if item := lives[l.Fields.Request]; item != nil {
+			if item := items[l.Fields.Request]; item != nil {
 				item.stop(l.At)
 			}
 		case "item_done":
-			if item := lives[l.Fields.Request]; item != nil && item.done.IsZero() {
+			if item := items[l.Fields.Request]; item != nil && item.done.IsZero() {
 				item.stop(l.At)
 				item.done = l.At
-				byJob[item.job] = append(byJob[item.job], item)
+				unlistedByJob[item.job] = append(unlistedByJob[item.job], item)
 			}
 		case "job_committed":
-			for _, item := range byJob[l.Fields.Request] {
+			for _, item := range unlistedByJob[l.Fields.Request] {
 				item.listed = l.At
 			}
-			delete(byJob, l.Fields.Request)
+			delete(unlistedByJob, l.Fields.Request)
 		case "job_refused":
 			out.Refused[shorten(l.Fields.Cause)]++
 		}
 	}
-	for _, item := range lives {
+	for _, item := range items {
 		out.add(item)
 	}
 	return out
 }
 
-func (i *life) start(at time.Time) {
+func (i *itemHistory) start(at time.Time) {
 	if i.ended.IsZero() && i.started.IsZero() {
 		i.times.BeforeStart = at.Sub(i.submitted)
 	} else if i.started.IsZero() {
@@ -88,14 +88,14 @@
 	i.times.Attempts++
 }
 
-func (i *life) stop(at time.Time) {
+func (i *itemHistory) stop(at time.Time) {
 	if !i.started.IsZero() {
 		i.times.AtTargets += at.Sub(i.started)
 	}
 	i.started, i.ended = time.Time{}, at
 }
 
-func (o *Items) add(item *life) {
+func (o *Items) add(item *itemHistory) {
 	if item.listed.IsZero() {
 		o.Unfinished++
 		return
--- a/lab/explain/requests.go
+++ b/lab/explain/requests.go
@@ -24,41 +24,41 @@
 
 // attempt is one try of a request.
 type attempt struct {
-	afterMS int64 // from the arrival to the sending
-	broke   string
+	afterMS     int64 // from the arrival to the sending
+	brokenCause string
 }
 
 // SummariseRequests sums up the online requests of a log.
 func SummariseRequests(lines []Line, limits Limits) Requests {
 	out := Requests{ByCause: map[string]int{}}
-	tries := map[string][]attempt{}
+	attempts := map[string][]attempt{}
 	for _, l := range lines {
 		id := l.Fields.Request
 		switch l.Name {
 		case "request_dispatched":
-			tries[id] = append(tries[id], attempt{afterMS: l.Fields.AfterMS})
+			attempts[id] = append(attempts[id], attempt{afterMS: l.Fields.AfterMS})
 		case "request_broken":
-			if all := tries[id]; len(all) > 0 {
-				all[len(all)-1].broke = l.Fields.Cause
+			if all := attempts[id]; len(all) > 0 {
+				all[len(all)-1].brokenCause = l.Fields.Cause
 			}
 		case "request_answered":
-			out.answered(l.Fields, tries[id], limits)
-			delete(tries, id)
+			out.addAnswered(l.Fields, attempts[id], limits)
+			delete(attempts, id)
 		case "request_refused":
-			if len(tries[id]) > 0 {
+			if len(attempts[id]) > 0 {
 				out.Failed++
 				out.ByCause["failed: "+l.Fields.Kind]++
 			} else {
 				out.Refused++
 				out.ByCause["refused: "+l.Fields.Kind]++
 			}
-			delete(tries, id)
+			delete(attempts, id)
 		}
 	}
 	return out
 }
 
-func (r *Requests) answered(f Fields, tries []attempt, limits Limits) {
+func (r *Requests) addAnswered(f Fields, attempts []attempt, limits Limits) {
 	if f.Events == 0 {
 		return
 	}
@@ -66,40 +66,40 @@
 	switch {
 	case time.Duration(f.FirstMS)*time.Millisecond > limits.FirstEvent:
 		r.Late++
-		r.ByCause["late: "+whyFirst(tries)]++
+		r.ByCause["late: "+firstEventCause(attempts)]++
 	case time.Duration(f.PauseMS)*time.Millisecond > limits.Pause:
 		r.Late++
-		r.ByCause["late: "+whyPause(tries)]++
+		r.ByCause["late: "+pauseCause(attempts)]++
 	}
 }
 
-// heldMS is how long a request may wait in its node before that counts as a cause.
-const heldMS = 20
+// minQueuedMS is how long a request may wait in its node before that counts as a cause.
+const minQueuedMS = 20
 
-func whyFirst(tries []attempt) string {
+func firstEventCause(attempts []attempt) string {
 	switch {
-	case len(tries) == 0:
+	case len(attempts) == 0:
 		return "not told by this log"
-	case len(tries) > 1:
-		return "sent again after: " + shorten(tries[0].broke)
-	case tries[0].afterMS > heldMS:
+	case len(attempts) > 1:
+		return "sent again after: " + shorten(attempts[0].brokenCause)
+	case attempts[0].afterMS > minQueuedMS:
 		return "no target had room"
 	}
 	return "waited its turn at the target"
 }
 
-func whyPause(tries []attempt) string {
-	if len(tries) > 1 {
-		return "gone on elsewhere after: " + shorten(tries[0].broke)
+func pauseCause(attempts []attempt) string {
+	if len(attempts) > 1 {
+		return "gone on elsewhere after: " + shorten(attempts[0].brokenCause)
 	}
 	return "the target paused"
 }
 
 // shorten cuts addresses and texts off that differ from line to line.
 func shorten(cause string) string {
-	const most = 40
+	const maxBytes = 40
 	for i, c := range cause {
-		if c >= '0' && c <= '9' || i >= most {
+		if c >= '0' && c <= '9' || i >= maxBytes {
 			return cause[:i]
 		}
 	}
