--- a/lab/explain/explain_test.go
+++ b/lab/explain/explain_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// sampleLog holds one request of each end and three items: one in time, one late
-// because it waited, one of a job that was ended.
+// sampleLog holds a request for each outcome and three items: one in time, one late because
+// it waited between attempts, and one that was never done.
 const sampleLog = `collector prefix {"fields":{"request":"r1","after_ms":0},"timestamp":"2026-01-01T00:00:00Z","message":"request_dispatched"}
 {"fields":{"request":"r1","events":3,"first_ms":40,"pause_ms":30},"timestamp":"2026-01-01T00:00:01Z","message":"request_answered"}
 {"fields":{"request":"r2","after_ms":0},"timestamp":"2026-01-01T00:00:01Z","message":"request_dispatched"}
@@ -43,7 +43,7 @@
 	is.NoErr(err)
 	got := SummariseRequests(lines, Limits{FirstEvent: 300 * time.Millisecond, Pause: 250 * time.Millisecond})
 	is.Equal(got, Requests{Answered: 4, Late: 3, Refused: 1, Failed: 1, ByCause: map[string]int{
-		"late: sent again after: broken: the target was silent for too lo": 1, "late: waited its turn at the target": 1, "late: the target paused": 1,
+		"late: sent again after: broken: the target was silent for too lo": 1, "late: queued at the target": 1, "late: the target paused": 1,
 		"failed: unknown_outcome": 1, "refused: no_target": 1}})
 }
 
--- a/lab/explain/items.go
+++ b/lab/explain/items.go
@@ -7,41 +7,42 @@
 	"time"
 )
 
-// Times says where the time of items went, summed over some of them.
+// Times is the time that a group of items spent in each phase, summed over the items.
 type Times struct {
 	Items           int
-	BeforeStart     time.Duration // before their first start
-	BetweenAttempts time.Duration // between their attempts
-	AtTargets       time.Duration // at targets
-	UntilListed     time.Duration // from the end to the commit that listed them
+	BeforeStart     time.Duration // from the submission to the first attempt
+	BetweenAttempts time.Duration
+	AtTargets       time.Duration
+	UntilListed     time.Duration // from the end of the last attempt to the commit that listed the result
 	Attempts        int
 }
 
-// Items sums up the batch items of a log.
+// Items is a summary of the batch items of a log.
 type Items struct {
 	InTime, Late Times
-	Unfinished   int // of jobs that were ended, or still open at the end of the log
-	// Stopped counts ends of attempts by cause, Refused the jobs refused by cause.
+	Unfinished   int // items whose job was ended, or still open at the end of the log
+	// Stopped counts the attempts that ended without a result, Refused the refused jobs, each
+	// by cause.
 	Stopped, Refused map[string]int
 }
 
-// itemHistory is what the log tells of one item.
+// itemHistory holds what the log says about one item.
 type itemHistory struct {
 	submitted, due time.Time
 	job            string
-	started        time.Time // of the attempt that runs; zero: none does
-	ended          time.Time // of the last attempt
+	started        time.Time // start of the running attempt; zero if none runs
+	ended          time.Time // end of the last attempt
 	done           time.Time
-	listed         time.Time
+	listed         time.Time // when a commit of the job listed the result
 	times          Times
 }
 
-// SummariseItems sums up the batch items of a log; completeWithin is the time after which
-// a job is due.
+// SummariseItems summarises the batch items of a log. completeWithin is the time from the
+// submission of a job to its due time.
 func SummariseItems(lines []Line, completeWithin time.Duration) Items {
 	out := Items{Stopped: map[string]int{}, Refused: map[string]int{}}
 	items := map[string]*itemHistory{}
-	unlistedByJob := map[string][]*itemHistory{} // done and not listed
+	unlistedByJob := map[string][]*itemHistory{} // done, but not listed by a commit yet
 	for _, l := range lines {
 		switch l.Name {
 		case "item_sent":
@@ -117,7 +118,8 @@
 	t.Attempts += o.Attempts
 }
 
-// Print writes the mean times of items in time and late, and the causes.
+// Print writes the mean times of the items in time and of the late ones, and the counts by
+// cause.
 func (o Items) Print(w io.Writer) error {
 	fmt.Fprintf(w, "items: %d in time, %d late, %d not done\n", o.InTime.Items, o.Late.Items, o.Unfinished)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/lab/explain/log.go
+++ b/lab/explain/log.go
@@ -1,5 +1,5 @@
-// Package explain reads the logs of a fleet's nodes and tells where the time of
-// late requests and batch items went, and why requests were refused or failed.
+// Package explain summarises the logs of a fleet's nodes: in which phase late requests and
+// batch items spent their time, and why requests were refused or failed.
 package explain
 
 import (
@@ -12,35 +12,36 @@
 	"time"
 )
 
-// Line is one line of a node's log. What stands before its first brace is left
-// out, so that logs which a collector has prefixed are read too.
+// Line is one line of a node's log, a JSON object. Read ignores the text before the first
+// brace, such as the prefix of a log collector.
 type Line struct {
 	At     time.Time `json:"timestamp"`
-	Name   string    `json:"message"` // of the event
+	Name   string    `json:"message"` // event name
 	Fields Fields    `json:"fields"`
 }
 
-// Fields are those of an event that this package uses; times are in milliseconds.
+// Fields are the event fields that this package uses. Those with the suffix MS are in
+// milliseconds.
 type Fields struct {
 	Node    string `json:"node"`
-	Request string `json:"request"` // or item, or job
+	Request string `json:"request"` // ID of the request, item or job
 	Subject string `json:"subject"`
 	Cause   string `json:"cause"`
-	Kind    string `json:"kind"` // of a refusal
-	Job     string `json:"job"`  // of an item
+	Kind    string `json:"kind"` // error kind of a refusal
+	Job     string `json:"job"`  // job of an item
 	Events  int64  `json:"events"`
 	FirstMS int64  `json:"first_ms"`
 	PauseMS int64  `json:"pause_ms"`
 	AfterMS int64  `json:"after_ms"`
 	TookMS  int64  `json:"took_ms"`
-	DueMS   int64  `json:"due_ms"` // left until the item is due
+	DueMS   int64  `json:"due_ms"` // time left until the item is due
 }
 
-// maxLine bounds one line, in bytes.
+// maxLine is the maximum length of a line in bytes.
 const maxLine = 1 << 20
 
-// Read returns the lines of logs in the order of their time. Lines without an
-// object are left out; one that cannot be decoded is an error.
+// Read returns the lines of all logs, sorted by time. It skips lines that hold no event, and
+// fails on an event that cannot be decoded.
 func Read(logs ...io.Reader) ([]Line, error) {
 	var lines []Line
 	for _, log := range logs {
--- a/lab/explain/requests.go
+++ b/lab/explain/requests.go
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// Limits say when an answer is late.
+// Limits are the times above which an answer counts as late.
 type Limits struct {
 	FirstEvent time.Duration // from the arrival to the first event
 	Pause      time.Duration // between two events
 }
 
-// Requests sums up the online requests of a log.
+// Requests is a summary of the online requests of a log. Failed requests were sent to a
+// target at least once; refused ones were not.
 type Requests struct {
 	Answered, Late, Refused, Failed int
 	// ByCause counts late, refused and failed requests by cause.
 	ByCause map[string]int
 }
 
-// attempt is one try of a request.
+// attempt is one attempt to run a request at a target.
 type attempt struct {
-	afterMS     int64 // from the arrival to the sending
-	brokenCause string
+	afterMS     int64  // from the arrival of the request to the start of the attempt
+	brokenCause string // why the attempt broke; empty if it did not
 }
 
-// SummariseRequests sums up the online requests of a log.
+// SummariseRequests summarises the online requests of a log.
 func SummariseRequests(lines []Line, limits Limits) Requests {
 	out := Requests{ByCause: map[string]int{}}
 	attempts := map[string][]attempt{}
@@ -73,29 +74,31 @@
 	}
 }
 
-// minQueuedMS is how long a request may wait in its node before that counts as a cause.
+// minQueuedMS is the time in its node, in milliseconds, above which a request counts as late
+// for want of a free slot at the targets.
 const minQueuedMS = 20
 
 func firstEventCause(attempts []attempt) string {
 	switch {
 	case len(attempts) == 0:
-		return "not told by this log"
+		return "the log has no attempt"
 	case len(attempts) > 1:
 		return "sent again after: " + shorten(attempts[0].brokenCause)
 	case attempts[0].afterMS > minQueuedMS:
 		return "no target had room"
 	}
-	return "waited its turn at the target"
+	return "queued at the target"
 }
 
 func pauseCause(attempts []attempt) string {
 	if len(attempts) > 1 {
-		return "gone on elsewhere after: " + shorten(attempts[0].brokenCause)
+		return "continued in a new attempt after: " + shorten(attempts[0].brokenCause)
 	}
 	return "the target paused"
 }
 
-// shorten cuts addresses and texts off that differ from line to line.
+// shorten truncates a cause at its first digit and at 40 bytes, so that causes that differ
+// only in addresses or numbers are counted together.
 func shorten(cause string) string {
 	const maxBytes = 40
 	for i, c := range cause {
@@ -106,7 +109,7 @@
 	return cause
 }
 
-// Print writes the sums and the causes, most frequent first.
+// Print writes the totals and the counts by cause, most frequent first.
 func (r Requests) Print(w io.Writer) error {
 	fmt.Fprintf(w, "online: %d answered, %d of them late; %d failed, %d refused\n", r.Answered, r.Late, r.Failed, r.Refused)
 	return printCounts(w, r.ByCause)
