--- a/lab/soak/check.go
+++ b/lab/soak/check.go
@@ -38,23 +38,23 @@
 
 func (c *checker) check() {
 	c.log("settling")
-	c.processes()
-	for _, check := range []func(context.Context){c.jobs, c.online, c.configuration} {
-		ctx, cancel := context.WithTimeout(context.Background(), 2*settleLimit)
+	c.checkProcesses()
+	for _, check := range []func(context.Context){c.checkJobs, c.checkOnline, c.checkConfiguration} {
+		ctx, cancel := context.WithTimeout(context.Background(), 2*settleTimeout)
 		check(ctx)
 		cancel()
 	}
-	c.operations()
-	c.leaving()
-	c.processes()
+	c.checkOperations()
+	c.checkLeaving()
+	c.checkProcesses()
 }
 
-func (c *checker) violate(point int, format string, args ...any) {
-	c.history.violate(fmt.Sprintf("%d: ", point) + fmt.Sprintf(format, args...))
+func (c *checker) violate(requirement int, format string, args ...any) {
+	c.history.addViolation(fmt.Sprintf("%d: ", requirement) + fmt.Sprintf(format, args...))
 }
 
-// processes finds nodes that stopped themselves over an invariant.
-func (c *checker) processes() {
+// checkProcesses finds nodes that stopped themselves over an invariant.
+func (c *checker) checkProcesses() {
 	for d := range c.fleet.DataCentres {
 		for n := range c.fleet.Nodes[d] {
 			p := c.fleet.Proc(c.fleet.NodeID(d, n))
@@ -66,17 +66,17 @@
 	}
 }
 
-// online checks points 1, 4, 5 and 8.
-func (c *checker) online(ctx context.Context) {
+// checkOnline checks points 1, 4, 5 and 8.
+func (c *checker) checkOnline(ctx context.Context) {
 	for _, o := range c.history.online {
 		out := o.outcome
 		switch {
 		case out.Accepted:
 			c.report.Accepted++
-			c.accepted(ctx, o)
+			c.checkAccepted(ctx, o)
 		case out.Err != nil:
 			c.report.Lost++
-			c.lost(o)
+			c.checkLost(o)
 		default:
 			c.report.Refused++
 			if out.NotRun == "unknown" {
@@ -89,22 +89,22 @@
 	}
 }
 
-// accepted: the answer was whole, or is found whole by its ID.
-func (c *checker) accepted(ctx context.Context, o online) {
+// checkAccepted: the answer was whole, or is found whole by its ID.
+func (c *checker) checkAccepted(ctx context.Context, o online) {
 	if o.outcome.Correct {
 		c.report.Answered++
 		return
 	}
 	id := o.outcome.RequestID
-	broken := o.outcome.Err != nil || c.history.during(o.start, o.end, c.hard(o.node))
+	broken := o.outcome.Err != nil || c.history.faultDuring(o.start, o.end, c.breaksConnections(o.node))
 	if !broken {
 		c.violate(4, "%s at %s: the answer is not whole (%s)", id, o.node, o.outcome.Kind)
 		return
 	}
-	if !c.history.during(o.start, o.end, c.hard(o.node)) {
+	if !c.history.faultDuring(o.start, o.end, c.breaksConnections(o.node)) {
 		c.violate(8, "%s at %s: the connection was cut (%v)", id, o.node, o.outcome.Err)
 	}
-	if text, err := c.stored(ctx, id); err != nil {
+	if text, err := c.readStored(ctx, id); err != nil {
 		c.violate(1, "%s at %s was accepted and can't be read: %v", id, o.node, err)
 	} else if text != lab.Answer(prompt(o.text), o.tokens) {
 		c.violate(4, "%s: the stored answer is not the right one: %q", id, text)
@@ -117,21 +117,21 @@
 	return (&openai.Request{Messages: []openai.Message{{Role: "user", Content: text}}}).Text()
 }
 
-// storedLimit is how long an accepted answer may take to be found.
-const storedLimit = 40 * time.Second
+// storedTimeout is how long an accepted answer may take to be found.
+const storedTimeout = 40 * time.Second
 
-// stored reads an answer by its ID until it is there.
-func (c *checker) stored(ctx context.Context, id string) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, storedLimit)
+// readStored reads an answer by its ID until it is there.
+func (c *checker) readStored(ctx context.Context, id string) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, storedTimeout)
 	defer cancel()
 	for {
 		status, _, body, err := c.caller.Call(ctx, http.MethodGet, c.fleet.CallerAddr(2, 1), "/v1/responses/"+id, nil, nil)
 		if err == nil && status == http.StatusOK {
-			var whole openai.Chunk
-			if err := json.Unmarshal(body, &whole); err != nil || len(whole.Choices) == 0 || whole.Choices[0].Message == nil {
+			var answer openai.Chunk
+			if err := json.Unmarshal(body, &answer); err != nil || len(answer.Choices) == 0 || answer.Choices[0].Message == nil {
 				return "", fmt.Errorf("not an answer: %s", body)
 			}
-			return whole.Choices[0].Message.Content, nil
+			return answer.Choices[0].Message.Content, nil
 		}
 		if !sleep(ctx, 300*time.Millisecond) {
 			return "", fmt.Errorf("status %d, %s, %v", status, strings.TrimSpace(string(body)), err)
@@ -139,23 +139,23 @@
 	}
 }
 
-// lost: a connection may break only when its node was killed or frozen.
-func (c *checker) lost(o online) {
-	if errors.Is(o.outcome.Err, syscall.ECONNREFUSED) || c.history.during(o.start, o.end, c.hard(o.node)) {
+// checkLost: a connection may break only when its node was killed or frozen.
+func (c *checker) checkLost(o online) {
+	if errors.Is(o.outcome.Err, syscall.ECONNREFUSED) || c.history.faultDuring(o.start, o.end, c.breaksConnections(o.node)) {
 		return
 	}
 	c.violate(8, "a request at %s was cut without its node being killed: %v", o.node, o.outcome.Err)
 }
 
-// hard matches the faults that break connections to a node.
-func (c *checker) hard(addr string) func(Fault) bool {
+// breaksConnections matches the faults that break connections to a node.
+func (c *checker) breaksConnections(addr string) func(Fault) bool {
 	return func(f Fault) bool {
 		return (f.Kind == KillNode || f.Kind == FreezeNode) && c.fleet.CallerAddr(f.DC, f.N) == addr
 	}
 }
 
-// jobs checks points 1 and 2: every accepted job ends with every item once.
-func (c *checker) jobs(ctx context.Context) {
+// checkJobs checks points 1 and 2: every accepted job ends with every item once.
+func (c *checker) checkJobs(ctx context.Context) {
 	starts := c.batchStarts()
 	for _, j := range c.history.jobs {
 		c.report.Jobs++
@@ -165,7 +165,7 @@
 			continue
 		}
 		if j.cancelled {
-			c.cancelled(j, starts[j.id])
+			c.checkCancelled(j, starts[j.id])
 		}
 		results, err := c.caller.Results(ctx, c.fleet.CallerAddr(1, 1), j.output)
 		if err != nil {
@@ -190,37 +190,37 @@
 	}
 }
 
-// cancelled: nothing of the job starts after "cancelled" was shown.
-func (c *checker) cancelled(j *job, starts []time.Time) {
+// checkCancelled: nothing of the job starts after "checkCancelled" was shown.
+func (c *checker) checkCancelled(j *job, starts []time.Time) {
 	if j.shownAt.IsZero() {
 		c.violate(2, "job %s was asked to stop and never shown as ended", j.id)
 		return
 	}
 	for _, at := range starts {
 		if at.After(j.shownAt) {
-			c.violate(2, "an item of %s started %v after it was shown as %s", j.id, at.Sub(j.shownAt), j.final)
+			c.violate(2, "an item of %s started %v after it was shown as %s", j.id, at.Sub(j.shownAt), j.finalStatus)
 		}
 	}
 }
 
-// ledgerLine is one start at a target.
-type ledgerLine struct {
+// startRecord is one start at a target.
+type startRecord struct {
 	at time.Time
 	id string
 }
 
-func (c *checker) ledger(name string) []ledgerLine {
+func (c *checker) readLedger(name string) []startRecord {
 	file, err := os.Open(c.fleet.LedgerPath(name))
 	if err != nil {
 		return nil
 	}
 	defer file.Close()
-	var lines []ledgerLine
+	var lines []startRecord
 	scanner := bufio.NewScanner(file)
 	for scanner.Scan() {
 		ms, id, _ := strings.Cut(scanner.Text(), " ")
 		if n, err := strconv.ParseInt(ms, 10, 64); err == nil {
-			lines = append(lines, ledgerLine{time.UnixMilli(n), id})
+			lines = append(lines, startRecord{time.UnixMilli(n), id})
 		}
 	}
 	return lines
@@ -231,7 +231,7 @@
 	starts := map[string][]time.Time{}
 	for d := range c.fleet.DataCentres {
 		for n := range c.fleet.Engines {
-			for _, line := range c.ledger(c.fleet.EngineProc(d, n)) {
+			for _, line := range c.readLedger(c.fleet.EngineProc(d, n)) {
 				if job, _, ok := strings.Cut(line.id, "."); ok {
 					starts[job] = append(starts[job], line.at)
 				}
@@ -241,12 +241,12 @@
 	return starts
 }
 
-// operations checks points 5 and 6 against the plain services' ledgers.
-func (c *checker) operations() {
+// checkOperations checks points 5 and 6 against the plain services' ledgers.
+func (c *checker) checkOperations() {
 	ran := map[string]int{}
 	for _, dc := range c.fleet.DataCentres {
 		for n := range c.fleet.Services {
-			for _, line := range c.ledger(fmt.Sprintf("%s-s%d", dc, n)) {
+			for _, line := range c.readLedger(fmt.Sprintf("%s-s%d", dc, n)) {
 				ran[line.id]++
 			}
 		}
@@ -262,28 +262,28 @@
 		case op.answered > 0 && ran[op.id] != 1:
 			c.violate(6, "operation %s was answered and ran %d times", op.id, ran[op.id])
 		case op.answered == 0 && op.unknown == 0 && ran[op.id] != 0:
-			c.violate(5, "operation %s was refused as not run (%v) and ran", op.id, op.kinds)
+			c.violate(5, "operation %s was refused as not run (%v) and ran", op.id, op.results)
 		}
 	}
 }
 
-// leaveLimit is how long a leaving target may still get new work.
-const leaveLimit = 3 * time.Second
+// leaveTimeout is how long a leaving target may still get new work.
+const leaveTimeout = 3 * time.Second
 
-// leaving checks point 7. While the list is shown late or not at all, the
+// checkLeaving checks point 7. While the list is shown late or not at all, the
 // time counts from when the fault was over.
-func (c *checker) leaving() {
+func (c *checker) checkLeaving() {
 	for name, s := range c.history.leaving {
 		shown := s.from
 		for _, o := range c.history.spans {
 			hides := o.fault.Kind == StaleVMs || o.fault.Kind == PlatformDown || o.fault.Kind == PlatformSlow ||
 				(o.fault.Kind == CutPlatform && o.fault.DC == s.fault.DC)
-			if hides && o.from.Before(shown.Add(leaveLimit)) && o.to.After(shown) {
+			if hides && o.from.Before(shown.Add(leaveTimeout)) && o.to.After(shown) {
 				shown = o.to
 			}
 		}
-		for _, line := range c.ledger(name) {
-			if late := line.at.Sub(shown); late > leaveLimit {
+		for _, line := range c.readLedger(name) {
+			if late := line.at.Sub(shown); late > leaveTimeout {
 				c.violate(7, "%s got new work (%s) %v after it was shown as leaving", name, line.id, late)
 				break
 			}
@@ -291,28 +291,28 @@
 	}
 }
 
-// configuration checks that the fleet ends equal to the last accepted intent.
-func (c *checker) configuration(ctx context.Context) {
+// checkConfiguration checks that the fleet ends equal to the last accepted intent.
+func (c *checker) checkConfiguration(ctx context.Context) {
 	in := c.injector
 	var newest uint64
 	for v := range in.accepted {
 		newest = max(newest, v)
 	}
-	candidates := append([]string{in.accepted[newest]}, in.unsure...)
-	var why string
+	candidates := append([]string{in.accepted[newest]}, in.uncertain...)
+	var mismatch string
 	for {
-		if why = c.settled(ctx, candidates, newest); why == "" {
+		if mismatch = c.configurationMismatch(ctx, candidates, newest); mismatch == "" {
 			return
 		}
 		if !sleep(ctx, 300*time.Millisecond) {
-			c.violate(9, "the fleet does not end as last accepted: %s", why)
+			c.violate(9, "the fleet does not end as last accepted: %s", mismatch)
 			return
 		}
 	}
 }
 
-// settled returns what is not yet as it should be, empty when all is.
-func (c *checker) settled(ctx context.Context, candidates []string, newest uint64) string {
+// configurationMismatch returns what is not yet as it should be, empty when all is.
+func (c *checker) configurationMismatch(ctx context.Context, candidates []string, newest uint64) string {
 	operator := peer.NewOperatorClient(http.DefaultClient, c.fleet.PeerAddr(1, 0), deployment.OperatorKey)
 	status, err := operator.Status(ctx, &v1.StatusRequest{})
 	if err != nil {
@@ -330,10 +330,10 @@
 	if inForce == "" {
 		return "the configuration in force is none that was accepted last"
 	}
-	return c.targetsEqual(inForce)
+	return c.loadedMismatch(inForce)
 }
 
-func (c *checker) targetsEqual(intent string) string {
+func (c *checker) loadedMismatch(intent string) string {
 	config, err := fleet.Parse([]byte(intent))
 	if err != nil {
 		return err.Error()
@@ -355,25 +355,25 @@
 	return ""
 }
 
-// versions watches that no node's configuration goes back, over restarts too.
-type versions struct {
+// versionMonitor watches that no node's configuration goes back, over restarts too.
+type versionMonitor struct {
 	fleet   *procs.Fleet
 	history *history
 	mu      sync.Mutex
 	seen    map[string]uint64
 }
 
-func (v *versions) run(ctx context.Context) {
+func (v *versionMonitor) run(ctx context.Context) {
 	for sleep(ctx, 200*time.Millisecond) {
 		for d := range v.fleet.DataCentres {
 			for n := range v.fleet.Nodes[d] {
-				go v.look(ctx, d, n)
+				go v.probe(ctx, d, n)
 			}
 		}
 	}
 }
 
-func (v *versions) look(ctx context.Context, d, n int) {
+func (v *versionMonitor) probe(ctx context.Context, d, n int) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	id := v.fleet.NodeID(d, n)
@@ -394,7 +394,7 @@
 		}
 		v.mu.Lock()
 		if s.Node.ConfigVersion < before {
-			v.history.violate(fmt.Sprintf("9: %s went from version %d back to %d", id, before, s.Node.ConfigVersion))
+			v.history.addViolation(fmt.Sprintf("9: %s went from version %d back to %d", id, before, s.Node.ConfigVersion))
 		}
 		v.seen[id] = max(v.seen[id], s.Node.ConfigVersion)
 		v.mu.Unlock()
@@ -402,7 +402,7 @@
 }
 
 // ready reports whether a node serves; one that does not may have no version.
-func (v *versions) ready(ctx context.Context, d, n int) bool {
+func (v *versionMonitor) ready(ctx context.Context, d, n int) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+v.fleet.CallerAddr(d, n)+"/readyz", nil)
 	if err != nil {
 		return false
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -15,8 +15,8 @@
 	"github.com/marblepond/marblepond/lab/procs"
 )
 
-// drainLimit is how long a node asked to stop may take.
-const drainLimit = 60 * time.Second
+// drainTimeout is how long a node asked to stop may take.
+const drainTimeout = 60 * time.Second
 
 // injector carries out the plan.
 type injector struct {
@@ -24,12 +24,12 @@
 	history *history
 	log     func(format string, args ...any)
 
-	mu       sync.Mutex
-	platform platform.Faults
-	left     map[string]bool // engines marked as leaving
-	races    int
-	accepted map[uint64]string // intents by the version they became
-	unsure   []string          // intents whose confirmation had no clear answer
+	mu        sync.Mutex
+	platform  platform.Faults
+	leaving   map[string]bool // engines marked as leaving
+	races     int
+	accepted  map[uint64]string // intents by the version they became
+	uncertain []string          // intents whose confirmation had no clear answer
 }
 
 // run carries out the plan until it ends.
@@ -59,19 +59,19 @@
 func (i *injector) inject(ctx context.Context, f Fault) {
 	i.log("fault %v", f)
 	i.history.mu.Lock()
-	i.history.spans = append(i.history.spans, span{fault: f, from: time.Now()})
+	i.history.spans = append(i.history.spans, faultSpan{fault: f, from: time.Now()})
 	index := len(i.history.spans) - 1
 	i.history.mu.Unlock()
 	undo := i.begin(f)
 	sleep(ctx, f.Length)
 	undo()
 	i.history.mu.Lock()
-	i.history.spans[index].to = time.Now().Add(grace)
+	i.history.spans[index].to = time.Now().Add(afterEffectTime)
 	i.history.mu.Unlock()
 }
 
-// grace is how long after a fault its effects on connections may still show.
-const grace = 2 * time.Second
+// afterEffectTime is how long after a fault its effects on connections may still show.
+const afterEffectTime = 2 * time.Second
 
 func (i *injector) begin(f Fault) (undo func()) {
 	l := i.fleet
@@ -80,21 +80,21 @@
 	switch f.Kind {
 	case KillNode:
 		node.Kill()
-		return func() { i.must(l.StartNode(f.DC, f.N)) }
+		return func() { i.logError(l.StartNode(f.DC, f.N)) }
 	case FreezeNode:
 		node.Signal(syscall.SIGSTOP)
 		return func() { node.Signal(syscall.SIGCONT) }
 	case TermNode:
 		node.Signal(syscall.SIGTERM)
 		return func() {
-			if err := node.Wait(drainLimit); err != nil && !i.killed(f) {
-				i.history.violate(fmt.Sprintf("8: %s did not stop cleanly: %v", node.Name, err))
+			if err := node.Wait(drainTimeout); err != nil && !i.stoppedByOther(f) {
+				i.history.addViolation(fmt.Sprintf("8: %s did not stop cleanly: %v", node.Name, err))
 			}
-			i.must(l.StartNode(f.DC, f.N))
+			i.logError(l.StartNode(f.DC, f.N))
 		}
 	case KillEngine:
 		en.Kill()
-		return func() { i.must(l.StartEngine(f.DC, f.N)) }
+		return func() { i.logError(l.StartEngine(f.DC, f.N)) }
 	case HangEngine:
 		return i.engineFaults(f, engine.Faults{Hang: true})
 	case BadStreams:
@@ -102,36 +102,36 @@
 	case FailingEngine:
 		return i.engineFaults(f, engine.Faults{FailShare: 0.5})
 	case CutCentres:
-		return i.cutLinks(i.centre(f.DC), i.centre(f.Other))
+		return i.cutLinks(i.addressPrefix(f.DC), i.addressPrefix(f.Other))
 	case CutNodes:
 		return i.cutLinks(fmt.Sprintf("127.%d.%d.%d:", l.Net, f.DC+1, f.N+1), fmt.Sprintf("127.%d.%d.%d:", l.Net, f.DC+1, f.Other+1))
 	case CutPlatform:
-		return i.platformFaults(func(p *platform.Faults, on bool) { p.CutPrefixes = toggle(p.CutPrefixes, i.centre(f.DC), on) })
+		return i.platformFaults(func(p *platform.Faults, on bool) { p.CutPrefixes = setEntry(p.CutPrefixes, i.addressPrefix(f.DC), on) })
 	case PlatformDown:
 		return i.platformFaults(func(p *platform.Faults, on bool) { p.Down = on })
 	case PlatformSlow:
-		return i.platformFaults(func(p *platform.Faults, on bool) { p.SlowMS = choose(on, 300) })
+		return i.platformFaults(func(p *platform.Faults, on bool) { p.SlowMS = valueIf(on, 300) })
 	case LostAnswers:
-		return i.platformFaults(func(p *platform.Faults, on bool) { p.LostShare = choose(on, 0.3) })
+		return i.platformFaults(func(p *platform.Faults, on bool) { p.LostShare = valueIf(on, 0.3) })
 	case StaleVMs:
-		return i.platformFaults(func(p *platform.Faults, on bool) { p.StaleVMsMS = choose(on, 2000) })
+		return i.platformFaults(func(p *platform.Faults, on bool) { p.StaleVMsMS = valueIf(on, 2000) })
 	case OperatorRace:
-		i.race()
+		i.raceOperators()
 	case TargetLeaves:
-		return i.leave(f)
+		return i.markLeaving(f)
 	}
 	return func() {}
 }
 
-// killed reports whether the node was also killed during the fault, or could
+// stoppedByOther reports whether the node was also stoppedByOther during the fault, or could
 // not finish because its work was held up by another fault.
-func (i *injector) killed(f Fault) bool {
-	return i.history.during(time.Now().Add(-drainLimit), time.Now(), func(o Fault) bool {
+func (i *injector) stoppedByOther(f Fault) bool {
+	return i.history.faultDuring(time.Now().Add(-drainTimeout), time.Now(), func(o Fault) bool {
 		return (o.Kind == KillNode || o.Kind == TermNode) && o != f && o.DC == f.DC && o.N == f.N
 	})
 }
 
-func choose[T any](on bool, v T) T {
+func valueIf[T any](on bool, v T) T {
 	var zero T
 	if on {
 		return v
@@ -139,7 +139,7 @@
 	return zero
 }
 
-func toggle(list []string, entry string, on bool) []string {
+func setEntry(list []string, entry string, on bool) []string {
 	var out []string
 	for _, e := range list {
 		if e != entry {
@@ -152,18 +152,18 @@
 	return out
 }
 
-func (i *injector) must(err error) {
+func (i *injector) logError(err error) {
 	if err != nil {
 		i.log("driver: %v", err)
 	}
 }
 
-func (i *injector) centre(dc int) string { return fmt.Sprintf("127.%d.%d.", i.fleet.Net, dc+1) }
+func (i *injector) addressPrefix(dc int) string { return fmt.Sprintf("127.%d.%d.", i.fleet.Net, dc+1) }
 
 func (i *injector) engineFaults(f Fault, faults engine.Faults) (undo func()) {
 	addr := i.fleet.EngineAddr(f.DC, f.N)
-	i.must(procs.SendControl(addr, "faults", faults))
-	return func() { i.must(procs.SendControl(addr, "faults", engine.Faults{})) }
+	i.logError(procs.SendControl(addr, "faults", faults))
+	return func() { i.logError(procs.SendControl(addr, "faults", engine.Faults{})) }
 }
 
 func (i *injector) cutLinks(a, b string) (undo func()) {
@@ -176,27 +176,27 @@
 		i.mu.Lock()
 		defer i.mu.Unlock()
 		change(&i.platform, on)
-		i.must(i.fleet.SetFaults(i.platform))
+		i.logError(i.fleet.SetFaults(i.platform))
 	}
 	set(true)
 	return func() { set(false) }
 }
 
-// maxLeft bounds the engines that leave in a run, for they do not come back.
-const maxLeft = 2
+// maxLeaving bounds the engines that leave in a run, for they do not come back.
+const maxLeaving = 2
 
-// leave marks an engine's VM as leaving.
-func (i *injector) leave(f Fault) (undo func()) {
+// markLeaving marks an engine's VM as leaving.
+func (i *injector) markLeaving(f Fault) (undo func()) {
 	name := i.fleet.EngineProc(f.DC, f.N)
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if len(i.left) >= maxLeft || i.left[name] {
+	if len(i.leaving) >= maxLeaving || i.leaving[name] {
 		return func() {}
 	}
-	i.left[name] = true
+	i.leaving[name] = true
 	i.setVMs()
 	i.history.mu.Lock()
-	i.history.leaving[name] = span{fault: f, from: time.Now()}
+	i.history.leaving[name] = faultSpan{fault: f, from: time.Now()}
 	i.history.mu.Unlock()
 	return func() {}
 }
@@ -205,43 +205,43 @@
 func (i *injector) setVMs() {
 	vms := i.fleet.VMs()
 	for n := range vms {
-		vms[n].Leaving = i.left[vms[n].ID]
+		vms[n].Leaving = i.leaving[vms[n].ID]
 	}
-	i.must(i.fleet.SetVMs(vms))
+	i.logError(i.fleet.SetVMs(vms))
 }
 
-// race lets two operators confirm different intents at the same time, at
+// raceOperators lets two operators confirm different intents at the same time, at
 // different nodes.
-func (i *injector) race() {
+func (i *injector) raceOperators() {
 	i.mu.Lock()
 	i.races++
-	intents := []string{i.vary("a"), i.vary("b")}
+	intents := []string{i.intentVariant("a"), i.intentVariant("b")}
 	i.mu.Unlock()
 	var wg sync.WaitGroup
 	for n, intent := range intents {
-		wg.Go(func() { i.operate(i.fleet.PeerAddr(n%len(i.fleet.DataCentres), 0), intent) })
+		wg.Go(func() { i.applyIntent(i.fleet.PeerAddr(n%len(i.fleet.DataCentres), 0), intent) })
 	}
 	wg.Wait()
 }
 
-// operate confirms an intent and notes what came of it.
-func (i *injector) operate(addr, intent string) {
+// applyIntent confirms an intent and notes what came of it.
+func (i *injector) applyIntent(addr, intent string) {
 	version, err := deployment.Apply(addr, intent)
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	switch {
 	case err == nil:
 		if other, twice := i.accepted[version]; twice && other != intent {
-			i.history.violate(fmt.Sprintf("9: version %d was accepted from two operators", version))
+			i.history.addViolation(fmt.Sprintf("9: version %d was accepted from two operators", version))
 		}
 		i.accepted[version] = intent
 	case !errors.Is(err, deployment.ErrStale):
-		i.unsure = append(i.unsure, intent)
+		i.uncertain = append(i.uncertain, intent)
 	}
 	i.log("operator at %s: version %d, %v", addr, version, err)
 }
 
-// vary returns the intent with an adapter that names this race and operator.
-func (i *injector) vary(operator string) string {
+// intentVariant returns the intent with an adapter that names this race and operator.
+func (i *injector) intentVariant(operator string) string {
 	return strings.Replace(i.fleet.Layout.Intent, "version = 1\n", fmt.Sprintf("version = 1\nadapters = a%d%s\n", i.races, operator), 1)
 }
--- a/lab/soak/history.go
+++ b/lab/soak/history.go
@@ -23,22 +23,22 @@
 	answered int // tries answered with 200
 	notRun   int // tries refused as not run
 	unknown  int // tries with an unknown outcome or a lost connection
-	kinds    []string
+	results  []string
 }
 
 // job is one batch as its caller saw it.
 type job struct {
-	id        string
-	output    string
-	plain     bool              // items are operations on the plain service
-	items     map[string]string // item ID to text or operation
-	cancelled bool              // cancellation was asked for
-	shownAt   time.Time         // when "cancelled" was first shown
-	final     string
+	id          string
+	output      string
+	plain       bool              // items are operations on the plain service
+	items       map[string]string // item ID to text or operation
+	cancelled   bool              // cancellation was asked for
+	shownAt     time.Time         // when "cancelled" was first shown
+	finalStatus string
 }
 
-// span is a time in which something was wrong with a process or a place.
-type span struct {
+// faultSpan is a time in which something was wrong with a process or a place.
+type faultSpan struct {
 	fault    Fault
 	from, to time.Time
 }
@@ -49,12 +49,12 @@
 	online     []online
 	operations []*operation
 	jobs       []*job
-	spans      []span
+	spans      []faultSpan
 	violations []string
-	leaving    map[string]span // by engine
+	leaving    map[string]faultSpan // by engine
 }
 
-func (h *history) violate(text string) {
+func (h *history) addViolation(text string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.violations = append(h.violations, text)
@@ -78,8 +78,8 @@
 	h.jobs = append(h.jobs, j)
 }
 
-// during reports whether one of the kinds was in force between two times.
-func (h *history) during(from, to time.Time, match func(Fault) bool) bool {
+// faultDuring reports whether one of the kinds was in force between two times.
+func (h *history) faultDuring(from, to time.Time, match func(Fault) bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.spans {
--- a/lab/soak/load.go
+++ b/lab/soak/load.go
@@ -22,8 +22,8 @@
 	plainName = "orders"
 )
 
-// load plays the callers.
-type load struct {
+// loadGenerator plays the callers.
+type loadGenerator struct {
 	fleet   *procs.Fleet
 	history *history
 	caller  *client.Caller
@@ -46,25 +46,25 @@
 }
 
 const (
-	onlineEvery    = 25 * time.Millisecond
-	operationEvery = 150 * time.Millisecond
-	batchEvery     = 5 * time.Second
-	healthEvery    = 100 * time.Millisecond
-	batchItems     = 150
+	onlineInterval    = 25 * time.Millisecond
+	operationInterval = 150 * time.Millisecond
+	batchInterval     = 5 * time.Second
+	healthInterval    = 100 * time.Millisecond
+	batchItems        = 150
 )
 
 // run makes load until ctx ends, then waits for what is in progress.
-func (l *load) run(ctx context.Context) {
+func (l *loadGenerator) run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { l.balance(ctx) })
-	wg.Go(func() { l.every(ctx, onlineEvery, l.online) })
-	wg.Go(func() { l.every(ctx, operationEvery, l.operation) })
-	wg.Go(func() { l.every(ctx, batchEvery, l.batch) })
+	wg.Go(func() { l.checkHealth(ctx) })
+	wg.Go(func() { l.runEvery(ctx, onlineInterval, l.online) })
+	wg.Go(func() { l.runEvery(ctx, operationInterval, l.operation) })
+	wg.Go(func() { l.runEvery(ctx, batchInterval, l.batch) })
 	wg.Wait()
 }
 
-// every calls f at a steady rate, each call in its own goroutine.
-func (l *load) every(ctx context.Context, pause time.Duration, f func(n int)) {
+// runEvery calls f at a steady rate, each call in its own goroutine.
+func (l *loadGenerator) runEvery(ctx context.Context, pause time.Duration, f func(n int)) {
 	var wg sync.WaitGroup
 	for n := 0; sleep(ctx, pause); n++ {
 		wg.Go(func() { f(n) })
@@ -72,10 +72,10 @@
 	wg.Wait()
 }
 
-// balance is the platform's balancer: it keeps to nodes whose health answers.
-func (l *load) balance(ctx context.Context) {
+// checkHealth is the platform's balancer: it keeps to nodes whose health answers.
+func (l *loadGenerator) checkHealth(ctx context.Context) {
 	prober := &http.Client{Timeout: 500 * time.Millisecond}
-	for sleep(ctx, healthEvery) {
+	for sleep(ctx, healthInterval) {
 		for d := range l.fleet.DataCentres {
 			for n := range l.fleet.Nodes[d] {
 				go func() {
@@ -94,8 +94,8 @@
 	}
 }
 
-// node returns a healthy node, of the data centre if that is not negative.
-func (l *load) node(dc int) string {
+// pickNode returns a healthy pickNode, of the data centre if that is not negative.
+func (l *loadGenerator) pickNode(dc int) string {
 	var addrs []string
 	l.mu.Lock()
 	for d := range l.fleet.DataCentres {
@@ -112,14 +112,14 @@
 	return addrs[l.rng.intN(len(addrs))]
 }
 
-// callLimit bounds one call of a caller.
-const callLimit = 40 * time.Second
+// callTimeout bounds one call of a caller.
+const callTimeout = 40 * time.Second
 
-// resends is how often a caller sends a keyed request again.
-const resends = 4
+// maxSends is how often a caller sends a keyed request again.
+const maxSends = 4
 
-func (l *load) online(n int) {
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+func (l *loadGenerator) online(n int) {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	p := client.Prompt{Model: modelName, Text: fmt.Sprintf("explanation %d of %d", n, l.rng.intN(1000)), MaxTokens: 4 + l.rng.intN(30), Stream: n%3 != 0,
 		Header: map[string]string{openai.HeaderTimeoutMS: "20000"}}
@@ -127,8 +127,8 @@
 	if n%4 == 0 {
 		p.Header[openai.HeaderIdempotencyKey] = fmt.Sprintf("key-%d", n)
 	}
-	for range resends {
-		o := online{start: time.Now(), node: l.node(dc), text: p.Text, tokens: p.MaxTokens, stream: p.Stream}
+	for range maxSends {
+		o := online{start: time.Now(), node: l.pickNode(dc), text: p.Text, tokens: p.MaxTokens, stream: p.Stream}
 		o.outcome = l.caller.Complete(ctx, o.node, p)
 		o.end = time.Now()
 		l.history.addOnline(o)
@@ -141,10 +141,10 @@
 
 // operation plays a call that must run at most once: some are sent to several
 // nodes at once; a true refusal is tried again until it runs.
-func (l *load) operation(n int) {
+func (l *loadGenerator) operation(n int) {
 	op := &operation{id: fmt.Sprintf("cut-%d", n)}
 	defer l.history.addOperation(op)
-	for range resends {
+	for range maxSends {
 		senders := 1
 		if n%5 == 0 {
 			senders = 3
@@ -152,10 +152,10 @@
 		outcomes := make([]string, senders)
 		var wg sync.WaitGroup
 		for i := range senders {
-			wg.Go(func() { outcomes[i] = l.operate(op.id) })
+			wg.Go(func() { outcomes[i] = l.sendOperation(op.id) })
 		}
 		wg.Wait()
-		op.kinds = append(op.kinds, outcomes...)
+		op.results = append(op.results, outcomes...)
 		again := true
 		for _, o := range outcomes {
 			switch o {
@@ -176,10 +176,10 @@
 	}
 }
 
-func (l *load) operate(id string) string {
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+func (l *loadGenerator) sendOperation(id string) string {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	status, header, _, err := l.caller.Call(ctx, http.MethodPost, l.node(-1), "/services/"+plainName+"/cut",
+	status, header, _, err := l.caller.Call(ctx, http.MethodPost, l.pickNode(-1), "/services/"+plainName+"/cut",
 		[]byte(fmt.Sprintf(`{"operation":%q}`, id)),
 		map[string]string{openai.HeaderIdempotencyKey: id, openai.HeaderTimeoutMS: "15000"})
 	switch {
@@ -197,8 +197,8 @@
 
 // batch submits a job; every third is cancelled, every fourth is made of
 // operations on the plain service.
-func (l *load) batch(n int) {
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+func (l *loadGenerator) batch(n int) {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	j := &job{items: map[string]string{}, plain: n%4 == 3}
 	var lines strings.Builder
@@ -231,14 +231,14 @@
 
 // submit uploads and creates a batch, again with the same key and file until
 // it is accepted.
-func (l *load) submit(ctx context.Context, lines []byte, key, options string) (client.Batch, bool) {
+func (l *loadGenerator) submit(ctx context.Context, lines []byte, key, options string) (client.Batch, bool) {
 	fileID := ""
 	for ctx.Err() == nil {
 		if fileID == "" {
 			fileID = l.upload(ctx, lines)
 		}
 		if fileID != "" {
-			if b, err := l.caller.Create(ctx, l.node(-1), fileID, key, options); err == nil {
+			if b, err := l.caller.Create(ctx, l.pickNode(-1), fileID, key, options); err == nil {
 				return b, true
 			}
 		}
@@ -247,8 +247,8 @@
 	return client.Batch{}, false
 }
 
-func (l *load) upload(ctx context.Context, lines []byte) string {
-	id, err := l.caller.Upload(ctx, l.node(-1), lines)
+func (l *loadGenerator) upload(ctx context.Context, lines []byte) string {
+	id, err := l.caller.Upload(ctx, l.pickNode(-1), lines)
 	if err != nil {
 		return ""
 	}
@@ -258,12 +258,12 @@
 // cancelAfter is how long a job that is to be cancelled runs.
 const cancelAfter = 700 * time.Millisecond
 
-func (l *load) cancel(j *job) {
+func (l *loadGenerator) cancel(j *job) {
 	time.Sleep(cancelAfter)
-	ctx, cancel := context.WithTimeout(context.Background(), settleLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		if _, err := l.caller.Cancel(ctx, l.node(-1), j.id); err == nil {
+		if _, err := l.caller.Cancel(ctx, l.pickNode(-1), j.id); err == nil {
 			break
 		}
 		time.Sleep(300 * time.Millisecond)
@@ -272,10 +272,10 @@
 	j.cancelled = true
 	l.history.mu.Unlock()
 	for ctx.Err() == nil {
-		b, err := l.caller.Batch(ctx, l.node(-1), j.id)
+		b, err := l.caller.Batch(ctx, l.pickNode(-1), j.id)
 		if err == nil && (b.Status == "cancelled" || b.Status == "completed") {
 			l.history.mu.Lock()
-			j.shownAt, j.final = time.Now(), b.Status
+			j.shownAt, j.finalStatus = time.Now(), b.Status
 			l.history.mu.Unlock()
 			return
 		}
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -31,7 +31,7 @@
 	TargetLeaves  Kind = "target-leaves"
 )
 
-var kinds = []Kind{KillNode, FreezeNode, TermNode, KillEngine, HangEngine, BadStreams, FailingEngine, CutCentres,
+var allKinds = []Kind{KillNode, FreezeNode, TermNode, KillEngine, HangEngine, BadStreams, FailingEngine, CutCentres,
 	CutNodes, CutPlatform, PlatformDown, PlatformSlow, LostAnswers, StaleVMs, OperatorRace, TargetLeaves}
 
 // Fault is one fault of the plan.
@@ -49,18 +49,18 @@
 	return fmt.Sprintf("%s at %.1fs for %.1fs dc%d n%d other%d", f.Kind, f.Start.Seconds(), f.Length.Seconds(), f.DC, f.N, f.Other)
 }
 
-// calm is the pause between faults.
-const calm = 2500 * time.Millisecond
+// faultPause is the pause between faults.
+const faultPause = 2500 * time.Millisecond
 
 // NewPlan returns the faults of a seed: one at a time or two together. The
 // same seed gives the same plan.
 func NewPlan(seed uint64, length time.Duration, centres, nodes, engines int) []Fault {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	var plan []Fault
-	for at := calm; ; {
+	for at := faultPause; ; {
 		longest := time.Duration(0)
 		for range 1 + rng.IntN(2) {
-			f := Fault{Kind: kinds[rng.IntN(len(kinds))], Start: at, DC: rng.IntN(centres), N: rng.IntN(nodes)}
+			f := Fault{Kind: allKinds[rng.IntN(len(allKinds))], Start: at, DC: rng.IntN(centres), N: rng.IntN(nodes)}
 			f.Length = time.Second + time.Duration(rng.IntN(7000))*time.Millisecond
 			f.Other = (f.DC + 1 + rng.IntN(centres-1)) % centres
 			switch f.Kind {
@@ -72,7 +72,7 @@
 			plan = append(plan, f)
 			longest = max(longest, f.Length)
 		}
-		at += longest + calm
+		at += longest + faultPause
 		if at > length {
 			return plan
 		}
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// settleLimit is how long everything accepted may take after the last fault.
-const settleLimit = 90 * time.Second
+// settleTimeout is how long everything accepted may take after the last fault.
+const settleTimeout = 90 * time.Second
 
 // Run soaks a fleet and checks what it did.
 func Run(o Options) (Report, error) {
@@ -100,35 +100,35 @@
 		return report, err
 	}
 	defer f.Stop()
-	h := &history{leaving: map[string]span{}}
+	h := &history{leaving: map[string]faultSpan{}}
 	logf := func(format string, args ...any) {
 		fmt.Fprintf(o.Out, "%s "+format+"\n", append([]any{time.Now().Format("15:04:05.000")}, args...)...)
 	}
-	in := &injector{fleet: f, history: h, log: logf, left: map[string]bool{}, accepted: map[uint64]string{1: l.Intent}}
-	callers := &load{fleet: f, history: h, caller: client.New(callerKey), healthy: map[string]bool{},
+	in := &injector{fleet: f, history: h, log: logf, leaving: map[string]bool{}, accepted: map[uint64]string{1: l.Intent}}
+	callers := &loadGenerator{fleet: f, history: h, caller: client.New(callerKey), healthy: map[string]bool{},
 		rng: &lockedRand{rng: rand.New(rand.NewPCG(o.Seed, 1))}}
 	plan := NewPlan(o.Seed, o.Length, len(l.DataCentres), l.Nodes[0], l.Engines)
-	watch := &versions{fleet: f, history: h, seen: map[string]uint64{}}
+	monitor := &versionMonitor{fleet: f, history: h, seen: map[string]uint64{}}
 
 	ctx, cancel := context.WithTimeout(context.Background(), o.Length)
-	watching, stopWatching := context.WithCancel(context.Background())
-	go watch.run(watching)
-	loaded := make(chan struct{})
+	monitorCtx, stopMonitor := context.WithCancel(context.Background())
+	go monitor.run(monitorCtx)
+	loadDone := make(chan struct{})
 	go func() {
 		callers.run(ctx)
-		close(loaded)
+		close(loadDone)
 	}()
 	in.run(ctx, plan)
 	<-ctx.Done()
 	cancel()
 	in.mu.Lock()
 	in.platform = platform.Faults{}
-	in.must(f.SetFaults(in.platform))
+	in.logError(f.SetFaults(in.platform))
 	in.mu.Unlock()
-	<-loaded
+	<-loadDone
 	c := &checker{fleet: f, history: h, caller: callers.caller, injector: in, report: &report, log: logf}
 	c.check()
-	stopWatching()
+	stopMonitor()
 	report.Faults = len(plan)
 	report.Violations = h.violations
 	return report, nil
