--- a/lab/soak/check.go
+++ b/lab/soak/check.go
@@ -26,7 +26,17 @@
 	"github.com/marblepond/marblepond/lab/procs"
 )
 
-// checker compares the history with what must always hold, point by point.
+// checker checks the history of a run against the requirements of the users' list "What must
+// always hold". Violations start with the number of the requirement, 0 if a node stopped:
+//
+//	1  accepted requests and jobs end with complete results, each item once
+//	2  no item starts after its job was shown as ended
+//	4  answers are complete and those of their own request
+//	5  a refusal states truthfully whether the work ran
+//	6  a non-idempotent operation runs at most once
+//	7  a leaving target gets no new work
+//	8  a node that is not killed or frozen breaks no connection and stops cleanly
+//	9  configuration versions only increase, and one operator wins each
 type checker struct {
 	fleet    *procs.Fleet
 	history  *history
@@ -53,20 +63,21 @@
 	c.history.addViolation(fmt.Sprintf("%d: ", requirement) + fmt.Sprintf(format, args...))
 }
 
-// checkProcesses finds nodes that stopped themselves over an invariant.
+// checkProcesses reports nodes that have ended, as on an invariant violation, and restarts
+// them.
 func (c *checker) checkProcesses() {
 	for d := range c.fleet.DataCentres {
 		for n := range c.fleet.Nodes[d] {
 			p := c.fleet.Proc(c.fleet.NodeID(d, n))
 			if p.Ended() {
-				c.violate(0, "%s has ended: %v (see its log)", p.Name, p.Wait(0))
+				c.violate(0, "%s ended unexpectedly: %v (see its log)", p.Name, p.Wait(0))
 				c.fleet.StartNode(d, n)
 			}
 		}
 	}
 }
 
-// checkOnline checks points 1, 4, 5 and 8.
+// checkOnline checks requirements 1, 4, 5 and 8.
 func (c *checker) checkOnline(ctx context.Context) {
 	for _, o := range c.history.online {
 		out := o.outcome
@@ -89,7 +100,8 @@
 	}
 }
 
-// checkAccepted: the answer was whole, or is found whole by its ID.
+// checkAccepted checks that the answer of an accepted request was received complete or, if
+// its node was killed or frozen, can be read by its ID.
 func (c *checker) checkAccepted(ctx context.Context, o online) {
 	if o.outcome.Correct {
 		c.report.Answered++
@@ -98,16 +110,16 @@
 	id := o.outcome.RequestID
 	broken := o.outcome.Err != nil || c.history.faultDuring(o.start, o.end, c.breaksConnections(o.node))
 	if !broken {
-		c.violate(4, "%s at %s: the answer is not whole (%s)", id, o.node, o.outcome.Kind)
+		c.violate(4, "%s at %s: the answer is not complete (%s)", id, o.node, o.outcome.Kind)
 		return
 	}
 	if !c.history.faultDuring(o.start, o.end, c.breaksConnections(o.node)) {
-		c.violate(8, "%s at %s: the connection was cut (%v)", id, o.node, o.outcome.Err)
+		c.violate(8, "%s at %s: the connection broke (%v)", id, o.node, o.outcome.Err)
 	}
 	if text, err := c.readStored(ctx, id); err != nil {
-		c.violate(1, "%s at %s was accepted and can't be read: %v", id, o.node, err)
+		c.violate(1, "%s at %s was accepted but cannot be read: %v", id, o.node, err)
 	} else if text != lab.Answer(prompt(o.text), o.tokens) {
-		c.violate(4, "%s: the stored answer is not the right one: %q", id, text)
+		c.violate(4, "%s: the stored answer is wrong: %q", id, text)
 	} else {
 		c.report.Answered++
 	}
@@ -117,10 +129,11 @@
 	return (&openai.Request{Messages: []openai.Message{{Role: "user", Content: text}}}).Text()
 }
 
-// storedTimeout is how long an accepted answer may take to be found.
+// storedTimeout is the time within which the answer of an accepted request must become
+// readable by its ID.
 const storedTimeout = 40 * time.Second
 
-// readStored reads an answer by its ID until it is there.
+// readStored polls the answer of a request by its ID until it exists or storedTimeout ends.
 func (c *checker) readStored(ctx context.Context, id string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, storedTimeout)
 	defer cancel()
@@ -139,29 +152,32 @@
 	}
 }
 
-// checkLost: a connection may break only when its node was killed or frozen.
+// checkLost checks that a request failed without a response only because its connection was
+// refused, or because its node was killed or frozen.
 func (c *checker) checkLost(o online) {
 	if errors.Is(o.outcome.Err, syscall.ECONNREFUSED) || c.history.faultDuring(o.start, o.end, c.breaksConnections(o.node)) {
 		return
 	}
-	c.violate(8, "a request at %s was cut without its node being killed: %v", o.node, o.outcome.Err)
+	c.violate(8, "a request at %s lost its connection although its node was not killed or frozen: %v", o.node, o.outcome.Err)
 }
 
-// breaksConnections matches the faults that break connections to a node.
+// breaksConnections returns a function that matches the faults that break connections to the
+// node at addr.
 func (c *checker) breaksConnections(addr string) func(Fault) bool {
 	return func(f Fault) bool {
 		return (f.Kind == KillNode || f.Kind == FreezeNode) && c.fleet.CallerAddr(f.DC, f.N) == addr
 	}
 }
 
-// checkJobs checks points 1 and 2: every accepted job ends with every item once.
+// checkJobs checks requirements 1, 2 and 4: every accepted job ends, with one correct result
+// for each item.
 func (c *checker) checkJobs(ctx context.Context) {
 	starts := c.batchStarts()
 	for _, j := range c.history.jobs {
 		c.report.Jobs++
 		b, err := c.caller.WaitBatch(ctx, c.fleet.CallerAddr(0, 0), j.id)
 		if err != nil {
-			c.violate(1, "job %s does not end: %v", j.id, err)
+			c.violate(1, "job %s did not end: %v", j.id, err)
 			continue
 		}
 		if j.cancelled {
@@ -180,7 +196,7 @@
 			switch {
 			case r.Error != nil:
 				if j.plain || r.Error.Code == "target_failed" {
-					continue // an unknown outcome, or an item that was given up
+					continue // a non-idempotent item of unknown outcome, or an item given up after failures of targets
 				}
 				c.violate(1, "item %s of %s ended with %s: %s", id, j.id, r.Error.Code, r.Error.Message)
 			case !j.plain && !client.ItemCorrect(r, j.items[id], itemTokens):
@@ -190,25 +206,27 @@
 	}
 }
 
-// checkCancelled: nothing of the job starts after "checkCancelled" was shown.
+// checkCancelled checks that no item of a cancelled job started after the job was shown as
+// ended. starts are the start times of its items.
 func (c *checker) checkCancelled(j *job, starts []time.Time) {
 	if j.shownAt.IsZero() {
-		c.violate(2, "job %s was asked to stop and never shown as ended", j.id)
+		c.violate(2, "job %s was cancelled but never shown as ended", j.id)
 		return
 	}
 	for _, at := range starts {
 		if at.After(j.shownAt) {
-			c.violate(2, "an item of %s started %v after it was shown as %s", j.id, at.Sub(j.shownAt), j.finalStatus)
+			c.violate(2, "an item of job %s started %v after the job was shown as %s", j.id, at.Sub(j.shownAt), j.finalStatus)
 		}
 	}
 }
 
-// startRecord is one start at a target.
+// startRecord is a line of a target's ledger file: the start of a request or operation.
 type startRecord struct {
 	at time.Time
 	id string
 }
 
+// readLedger returns the starts of a target's process, none if it has no ledger file.
 func (c *checker) readLedger(name string) []startRecord {
 	file, err := os.Open(c.fleet.LedgerPath(name))
 	if err != nil {
@@ -226,7 +244,7 @@
 	return lines
 }
 
-// batchStarts returns when items of each job started at engines.
+// batchStarts returns the start times of items at the engines, by job.
 func (c *checker) batchStarts() map[string][]time.Time {
 	starts := map[string][]time.Time{}
 	for d := range c.fleet.DataCentres {
@@ -241,7 +259,7 @@
 	return starts
 }
 
-// checkOperations checks points 5 and 6 against the plain services' ledgers.
+// checkOperations checks requirements 5 and 6 against the ledgers of the plain services.
 func (c *checker) checkOperations() {
 	ran := map[string]int{}
 	for _, dc := range c.fleet.DataCentres {
@@ -260,18 +278,19 @@
 		c.report.Operations++
 		switch {
 		case op.answered > 0 && ran[op.id] != 1:
-			c.violate(6, "operation %s was answered and ran %d times", op.id, ran[op.id])
+			c.violate(6, "operation %s was answered but ran %d times", op.id, ran[op.id])
 		case op.answered == 0 && op.unknown == 0 && ran[op.id] != 0:
-			c.violate(5, "operation %s was refused as not run (%v) and ran", op.id, op.results)
+			c.violate(5, "operation %s was refused as not run (%v) but ran", op.id, op.results)
 		}
 	}
 }
 
-// leaveTimeout is how long a leaving target may still get new work.
+// leaveTimeout is how long a target may still get new work after the VM list shows it as
+// leaving.
 const leaveTimeout = 3 * time.Second
 
-// checkLeaving checks point 7. While the list is shown late or not at all, the
-// time counts from when the fault was over.
+// checkLeaving checks requirement 7. If a fault delays or hides the VM list, the time counts
+// from the end of the fault.
 func (c *checker) checkLeaving() {
 	for name, s := range c.history.leaving {
 		shown := s.from
@@ -284,14 +303,15 @@
 		}
 		for _, line := range c.readLedger(name) {
 			if late := line.at.Sub(shown); late > leaveTimeout {
-				c.violate(7, "%s got new work (%s) %v after it was shown as leaving", name, line.id, late)
+				c.violate(7, "%s got new work (%s) %v after the VM list showed it as leaving", name, line.id, late)
 				break
 			}
 		}
 	}
 }
 
-// checkConfiguration checks that the fleet ends equal to the last accepted intent.
+// checkConfiguration checks that the newest accepted intent, or a later one of unknown
+// outcome, comes into force at all nodes and engines.
 func (c *checker) checkConfiguration(ctx context.Context) {
 	in := c.injector
 	var newest uint64
@@ -305,13 +325,14 @@
 			return
 		}
 		if !sleep(ctx, 300*time.Millisecond) {
-			c.violate(9, "the fleet does not end as last accepted: %s", mismatch)
+			c.violate(9, "the last accepted configuration is not in force: %s", mismatch)
 			return
 		}
 	}
 }
 
-// configurationMismatch returns what is not yet as it should be, empty when all is.
+// configurationMismatch returns why none of the candidates is in force everywhere, empty if
+// one is.
 func (c *checker) configurationMismatch(ctx context.Context, candidates []string, newest uint64) string {
 	operator := peer.NewOperatorClient(http.DefaultClient, c.fleet.PeerAddr(1, 0), deployment.OperatorKey)
 	status, err := operator.Status(ctx, &v1.StatusRequest{})
@@ -328,11 +349,13 @@
 		}
 	}
 	if inForce == "" {
-		return "the configuration in force is none that was accepted last"
+		return "the configuration in force is not the one that was accepted last"
 	}
 	return c.loadedMismatch(inForce)
 }
 
+// loadedMismatch returns which engine has not loaded exactly the models that the intent
+// wants, empty if all have.
 func (c *checker) loadedMismatch(intent string) string {
 	config, err := fleet.Parse([]byte(intent))
 	if err != nil {
@@ -348,19 +371,19 @@
 			}
 			slices.Sort(report.Loaded)
 			if !slices.Equal(report.Loaded, want) {
-				return fmt.Sprintf("%s has %v loaded, wanted %v", c.fleet.EngineProc(d, n), report.Loaded, want)
+				return fmt.Sprintf("%s has loaded %v, want %v", c.fleet.EngineProc(d, n), report.Loaded, want)
 			}
 		}
 	}
 	return ""
 }
 
-// versionMonitor watches that no node's configuration goes back, over restarts too.
+// versionMonitor checks that no node's configuration version decreases, also over restarts.
 type versionMonitor struct {
 	fleet   *procs.Fleet
 	history *history
 	mu      sync.Mutex
-	seen    map[string]uint64
+	seen    map[string]uint64 // highest version by node
 }
 
 func (v *versionMonitor) run(ctx context.Context) {
@@ -394,14 +417,14 @@
 		}
 		v.mu.Lock()
 		if s.Node.ConfigVersion < before {
-			v.history.addViolation(fmt.Sprintf("9: %s went from version %d back to %d", id, before, s.Node.ConfigVersion))
+			v.history.addViolation(fmt.Sprintf("9: the configuration of %s went back from version %d to %d", id, before, s.Node.ConfigVersion))
 		}
 		v.seen[id] = max(v.seen[id], s.Node.ConfigVersion)
 		v.mu.Unlock()
 	}
 }
 
-// ready reports whether a node serves; one that does not may have no version.
+// ready reports whether a node is ready. A node that is not may have no version yet.
 func (v *versionMonitor) ready(ctx context.Context, d, n int) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+v.fleet.CallerAddr(d, n)+"/readyz", nil)
 	if err != nil {
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -15,10 +15,10 @@
 	"github.com/marblepond/marblepond/lab/procs"
 )
 
-// drainTimeout is how long a node asked to stop may take.
+// drainTimeout is the time within which a node must end after SIGTERM.
 const drainTimeout = 60 * time.Second
 
-// injector carries out the plan.
+// injector injects the faults of a plan into a fleet.
 type injector struct {
 	fleet   *procs.Fleet
 	history *history
@@ -28,11 +28,11 @@
 	platform  platform.Faults
 	leaving   map[string]bool // engines marked as leaving
 	races     int
-	accepted  map[uint64]string // intents by the version they became
-	uncertain []string          // intents whose confirmation had no clear answer
+	accepted  map[uint64]string // accepted intents by configuration version
+	uncertain []string          // intents whose application failed with an unknown outcome
 }
 
-// run carries out the plan until it ends.
+// run injects the faults of the plan at their times and returns when the last is undone.
 func (i *injector) run(ctx context.Context, plan []Fault) {
 	start := time.Now()
 	var wg sync.WaitGroup
@@ -46,6 +46,7 @@
 	wg.Wait()
 }
 
+// sleep waits for d; false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -55,7 +56,7 @@
 	}
 }
 
-// inject brings a fault about, waits its length, and takes it back.
+// inject starts a fault, waits for its length and undoes it.
 func (i *injector) inject(ctx context.Context, f Fault) {
 	i.log("fault %v", f)
 	i.history.mu.Lock()
@@ -70,9 +71,10 @@
 	i.history.mu.Unlock()
 }
 
-// afterEffectTime is how long after a fault its effects on connections may still show.
+// afterEffectTime is how long after its end a fault may still affect connections.
 const afterEffectTime = 2 * time.Second
 
+// begin starts a fault and returns a function that undoes it.
 func (i *injector) begin(f Fault) (undo func()) {
 	l := i.fleet
 	node := l.Proc(l.NodeID(f.DC, f.N))
@@ -123,14 +125,15 @@
 	return func() {}
 }
 
-// stoppedByOther reports whether the node was also stoppedByOther during the fault, or could
-// not finish because its work was held up by another fault.
+// stoppedByOther reports whether another fault killed or terminated the node within the last
+// drainTimeout.
 func (i *injector) stoppedByOther(f Fault) bool {
 	return i.history.faultDuring(time.Now().Add(-drainTimeout), time.Now(), func(o Fault) bool {
 		return (o.Kind == KillNode || o.Kind == TermNode) && o != f && o.DC == f.DC && o.N == f.N
 	})
 }
 
+// valueIf returns v if on is set, else the zero value.
 func valueIf[T any](on bool, v T) T {
 	var zero T
 	if on {
@@ -139,6 +142,7 @@
 	return zero
 }
 
+// setEntry returns the list with the entry if on is set, else without it.
 func setEntry(list []string, entry string, on bool) []string {
 	var out []string
 	for _, e := range list {
@@ -152,12 +156,14 @@
 	return out
 }
 
+// logError logs an error of the test driver itself.
 func (i *injector) logError(err error) {
 	if err != nil {
-		i.log("driver: %v", err)
+		i.log("driver error: %v", err)
 	}
 }
 
+// addressPrefix returns the address prefix of a data centre.
 func (i *injector) addressPrefix(dc int) string { return fmt.Sprintf("127.%d.%d.", i.fleet.Net, dc+1) }
 
 func (i *injector) engineFaults(f Fault, faults engine.Faults) (undo func()) {
@@ -182,7 +188,8 @@
 	return func() { set(false) }
 }
 
-// maxLeaving bounds the engines that leave in a run, for they do not come back.
+// maxLeaving is the maximum number of engines marked as leaving in a run; the mark is never
+// removed.
 const maxLeaving = 2
 
 // markLeaving marks an engine's VM as leaving.
@@ -201,7 +208,7 @@
 	return func() {}
 }
 
-// setVMs shows the VM list as it should be. The caller holds i.mu.
+// setVMs sets the platform's VM list with the marks of leaving engines. The caller holds i.mu.
 func (i *injector) setVMs() {
 	vms := i.fleet.VMs()
 	for n := range vms {
@@ -210,8 +217,8 @@
 	i.logError(i.fleet.SetVMs(vms))
 }
 
-// raceOperators lets two operators confirm different intents at the same time, at
-// different nodes.
+// raceOperators lets two operators apply different intents at the same time, at nodes of
+// different data centres.
 func (i *injector) raceOperators() {
 	i.mu.Lock()
 	i.races++
@@ -224,7 +231,7 @@
 	wg.Wait()
 }
 
-// applyIntent confirms an intent and notes what came of it.
+// applyIntent applies an intent and records its outcome.
 func (i *injector) applyIntent(addr, intent string) {
 	version, err := deployment.Apply(addr, intent)
 	i.mu.Lock()
@@ -232,7 +239,7 @@
 	switch {
 	case err == nil:
 		if other, twice := i.accepted[version]; twice && other != intent {
-			i.history.addViolation(fmt.Sprintf("9: version %d was accepted from two operators", version))
+			i.history.addViolation(fmt.Sprintf("9: two operators were told that their intent became version %d", version))
 		}
 		i.accepted[version] = intent
 	case !errors.Is(err, deployment.ErrStale):
@@ -241,7 +248,8 @@
 	i.log("operator at %s: version %d, %v", addr, version, err)
 }
 
-// intentVariant returns the intent with an adapter that names this race and operator.
+// intentVariant returns the first intent with an adapter whose name identifies the current
+// race and the operator.
 func (i *injector) intentVariant(operator string) string {
 	return strings.Replace(i.fleet.Layout.Intent, "version = 1\n", fmt.Sprintf("version = 1\nadapters = a%d%s\n", i.races, operator), 1)
 }
--- a/lab/soak/history.go
+++ b/lab/soak/history.go
@@ -17,12 +17,12 @@
 	outcome    client.Outcome
 }
 
-// operation is one non-idempotent call, with all its tries.
+// operation is one non-idempotent call, with all its attempts.
 type operation struct {
 	id       string
-	answered int // tries answered with 200
-	notRun   int // tries refused as not run
-	unknown  int // tries with an unknown outcome or a lost connection
+	answered int // attempts answered with 200
+	notRun   int // attempts refused as not run
+	unknown  int // attempts with an unknown outcome or a lost connection
 	results  []string
 }
 
@@ -30,20 +30,20 @@
 type job struct {
 	id          string
 	output      string
-	plain       bool              // items are operations on the plain service
+	plain       bool              // whether the items are operations of the plain service
 	items       map[string]string // item ID to text or operation
-	cancelled   bool              // cancellation was asked for
-	shownAt     time.Time         // when "cancelled" was first shown
+	cancelled   bool              // whether a cancellation was requested
+	shownAt     time.Time         // when it was first shown as ended
 	finalStatus string
 }
 
-// faultSpan is a time in which something was wrong with a process or a place.
+// faultSpan is the time during which a fault was active; to is zero while it is.
 type faultSpan struct {
 	fault    Fault
 	from, to time.Time
 }
 
-// history is what happened in a run.
+// history records what callers saw and which faults were active in a run.
 type history struct {
 	mu         sync.Mutex
 	online     []online
@@ -51,7 +51,7 @@
 	jobs       []*job
 	spans      []faultSpan
 	violations []string
-	leaving    map[string]faultSpan // by engine
+	leaving    map[string]faultSpan // since when an engine is marked as leaving, by engine
 }
 
 func (h *history) addViolation(text string) {
@@ -78,7 +78,7 @@
 	h.jobs = append(h.jobs, j)
 }
 
-// faultDuring reports whether one of the kinds was in force between two times.
+// faultDuring reports whether a fault that matches was active between two times.
 func (h *history) faultDuring(from, to time.Time, match func(Fault) bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/lab/soak/load.go
+++ b/lab/soak/load.go
@@ -22,7 +22,7 @@
 	plainName = "orders"
 )
 
-// loadGenerator plays the callers.
+// loadGenerator sends the load of simulated callers.
 type loadGenerator struct {
 	fleet   *procs.Fleet
 	history *history
@@ -30,10 +30,10 @@
 	rng     *lockedRand
 
 	mu      sync.Mutex
-	healthy map[string]bool // nodes, as the balancer sees them
+	healthy map[string]bool // by caller address of the node, as a load balancer sees it
 }
 
-// lockedRand is a seeded source for many goroutines.
+// lockedRand is a seeded random source that is safe for concurrent use.
 type lockedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -53,7 +53,7 @@
 	batchItems        = 150
 )
 
-// run makes load until ctx ends, then waits for what is in progress.
+// run generates load until ctx ends, then waits for the requests in progress.
 func (l *loadGenerator) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { l.checkHealth(ctx) })
@@ -63,7 +63,8 @@
 	wg.Wait()
 }
 
-// runEvery calls f at a steady rate, each call in its own goroutine.
+// runEvery calls f after each pause until ctx ends, each call in its own goroutine, and waits
+// for the calls.
 func (l *loadGenerator) runEvery(ctx context.Context, pause time.Duration, f func(n int)) {
 	var wg sync.WaitGroup
 	for n := 0; sleep(ctx, pause); n++ {
@@ -72,7 +73,8 @@
 	wg.Wait()
 }
 
-// checkHealth is the platform's balancer: it keeps to nodes whose health answers.
+// checkHealth simulates the health checks of the platform's load balancer: it records which
+// nodes respond that they are ready.
 func (l *loadGenerator) checkHealth(ctx context.Context) {
 	prober := &http.Client{Timeout: 500 * time.Millisecond}
 	for sleep(ctx, healthInterval) {
@@ -94,7 +96,8 @@
 	}
 }
 
-// pickNode returns a healthy pickNode, of the data centre if that is not negative.
+// pickNode returns the address of a random healthy node of a data centre, or of any if dc is
+// negative.
 func (l *loadGenerator) pickNode(dc int) string {
 	var addrs []string
 	l.mu.Lock()
@@ -112,10 +115,11 @@
 	return addrs[l.rng.intN(len(addrs))]
 }
 
-// callTimeout bounds one call of a caller.
+// callTimeout is the timeout of an online request with its resends, of one send of an
+// operation, and of the submission of a job.
 const callTimeout = 40 * time.Second
 
-// maxSends is how often a caller sends a keyed request again.
+// maxSends is how often a caller sends a request with a key in total.
 const maxSends = 4
 
 func (l *loadGenerator) online(n int) {
@@ -139,8 +143,8 @@
 	}
 }
 
-// operation plays a call that must run at most once: some are sent to several
-// nodes at once; a true refusal is tried again until it runs.
+// operation sends a call that must run at most once. Every fifth is sent to three nodes at
+// once. A call that was refused as not run is sent again.
 func (l *loadGenerator) operation(n int) {
 	op := &operation{id: fmt.Sprintf("cut-%d", n)}
 	defer l.history.addOperation(op)
@@ -176,6 +180,8 @@
 	}
 }
 
+// sendOperation sends the call of an operation and returns its result: "answered", "not_run",
+// "unknown" or, if the connection broke, "lost".
 func (l *loadGenerator) sendOperation(id string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -195,8 +201,8 @@
 	return "unknown"
 }
 
-// batch submits a job; every third is cancelled, every fourth is made of
-// operations on the plain service.
+// batch submits a job. Every third is cancelled; the items of every fourth are operations of
+// the plain service.
 func (l *loadGenerator) batch(n int) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -227,10 +233,11 @@
 	}
 }
 
+// itemTokens is the number of tokens that an item asks for.
 const itemTokens = 12
 
-// submit uploads and creates a batch, again with the same key and file until
-// it is accepted.
+// submit uploads a file and creates a batch of it, and retries with the same file and key
+// until the batch is accepted.
 func (l *loadGenerator) submit(ctx context.Context, lines []byte, key, options string) (client.Batch, bool) {
 	fileID := ""
 	for ctx.Err() == nil {
@@ -247,6 +254,7 @@
 	return client.Batch{}, false
 }
 
+// upload returns the ID of the uploaded file, empty if the upload failed.
 func (l *loadGenerator) upload(ctx context.Context, lines []byte) string {
 	id, err := l.caller.Upload(ctx, l.pickNode(-1), lines)
 	if err != nil {
@@ -255,9 +263,10 @@
 	return id
 }
 
-// cancelAfter is how long a job that is to be cancelled runs.
+// cancelAfter is the time between the creation of a job and its cancellation.
 const cancelAfter = 700 * time.Millisecond
 
+// cancel cancels a job and records when it is first shown as ended.
 func (l *loadGenerator) cancel(j *job) {
 	time.Sleep(cancelAfter)
 	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -1,5 +1,5 @@
-// Package soak drives a fleet of processes through random faults under load,
-// writes down what callers saw, and checks it against what must always hold.
+// Package soak injects random faults into a fleet of processes under load, records what
+// callers saw, and checks the record against what must always hold.
 package soak
 
 import (
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Kind is a fault.
+// Kind is the kind of a fault.
 type Kind string
 
-// The faults, those of the brief's "What fails" and what leads to them.
+// The kinds of faults: those of the users' list "What fails", and what causes them.
 const (
 	KillNode      Kind = "kill-node"
 	FreezeNode    Kind = "freeze-node"
@@ -40,8 +40,8 @@
 	Start  time.Duration // since the start of the run
 	Length time.Duration
 	DC     int
-	N      int // node or engine within the data centre
-	Other  int // the other data centre or node of a cut
+	N      int // index of the node or engine in the data centre
+	Other  int // the other data centre or node of a network partition
 }
 
 // String describes the fault.
@@ -49,11 +49,11 @@
 	return fmt.Sprintf("%s at %.1fs for %.1fs dc%d n%d other%d", f.Kind, f.Start.Seconds(), f.Length.Seconds(), f.DC, f.N, f.Other)
 }
 
-// faultPause is the pause between faults.
+// faultPause is the time between the end of a fault and the start of the next.
 const faultPause = 2500 * time.Millisecond
 
-// NewPlan returns the faults of a seed: one at a time or two together. The
-// same seed gives the same plan.
+// NewPlan returns the faults of a seed, one or two at a time. The same seed always gives the
+// same plan.
 func NewPlan(seed uint64, length time.Duration, centres, nodes, engines int) []Fault {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	var plan []Fault
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -16,22 +16,22 @@
 	"github.com/marblepond/marblepond/lab/procs"
 )
 
-// Options of a run.
+// Options are the parameters of a run.
 type Options struct {
 	Seed   uint64
 	Length time.Duration
-	Dir    string // for logs and ledgers; kept when something was violated
-	Bin    string // folder of the binaries; empty: build them
+	Dir    string // for logs and ledgers; kept if there are violations
+	Bin    string // folder of the binaries; empty: Run builds them into Dir
 	Net    int    // second byte of the loopback addresses
 	Out    io.Writer
 }
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64
 	Faults     int
-	Accepted   int // online
-	Answered   int
+	Accepted   int // online requests accepted
+	Answered   int // of the accepted ones, those with a correct answer
 	Refused    int
 	Lost       int // connections lost before or after acceptance
 	Unknown    int // refusals with an unknown outcome
@@ -41,13 +41,14 @@
 	Violations []string
 }
 
-// String returns the report as a row.
+// String returns the report in one line.
 func (r Report) String() string {
 	return fmt.Sprintf("seed %d: %d faults, online: %d accepted, %d answered, %d refused (%d unknown), %d lost; %d operations; %d jobs with %d items; %d violations",
 		r.Seed, r.Faults, r.Accepted, r.Answered, r.Refused, r.Unknown, r.Lost, r.Operations, r.Jobs, r.Items, len(r.Violations))
 }
 
-// nodeSettings are short times, so that leases and silences end within a run.
+// nodeSettings are settings with short intervals and timeouts, so that leases expire and
+// unresponsive nodes are detected within a run.
 const nodeSettings = `[membership]
 heartbeat = 200ms
 suspect_after = 700ms
@@ -73,7 +74,7 @@
 
 func layout(net int) deployment.Layout {
 	model := engine.DefaultModel()
-	model.ChecksFence = net%2 == 0 // some deployments' engines ignore fencing numbers
+	model.ChecksFence = net%2 == 0 // engines of some deployments ignore fencing tokens
 	return deployment.Layout{
 		Net: net, DataCentres: []string{"hall-a", "hall-b", "hall-c"}, Nodes: []int{2, 2, 2}, Engines: 2, Services: 1,
 		EngineName: modelName, PlainName: plainName, Model: model, Loaded: []string{modelName + "@1"}, ExtraSettings: nodeSettings,
@@ -82,10 +83,11 @@
 	}
 }
 
-// settleTimeout is how long everything accepted may take after the last fault.
+// settleTimeout is the time within which a cancelled job should be shown as ended. Each check
+// after the last fault waits up to twice as long for accepted work.
 const settleTimeout = 90 * time.Second
 
-// Run soaks a fleet and checks what it did.
+// Run starts a fleet, puts it under load and faults, and checks what happened.
 func Run(o Options) (Report, error) {
 	report := Report{Seed: o.Seed}
 	if o.Bin == "" {
@@ -134,7 +136,7 @@
 	return report, nil
 }
 
-// Main runs a soak for the command line.
+// Main runs a soak for the command line and prints its violations and report.
 func Main(o Options) error {
 	dir, err := os.MkdirTemp(o.Dir, "soak")
 	if err != nil {
