--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -132,18 +132,18 @@
 	Services [][]*service.Service
 	Nodes    [][]*node.Node
 
-	servers []*http.Server
-	stops   map[string]func() // of nodes: ask to stop and wait
-	done    chan struct{}
-	wg      sync.WaitGroup
-	mu      sync.Mutex
-	errs    []error
+	servers   []*http.Server
+	stopFuncs map[string]func() // of nodes: ask to stop and wait
+	done      chan struct{}
+	wg        sync.WaitGroup
+	mu        sync.Mutex
+	errs      []error
 }
 
 // Start runs the deployment and applies its first intent. It returns when
 // every node is ready and every target can be chosen.
 func Start(l Layout) (*Embedded, error) {
-	e := &Embedded{Layout: l, Platform: platform.New(), stops: map[string]func(){}, done: make(chan struct{})}
+	e := &Embedded{Layout: l, Platform: platform.New(), stopFuncs: map[string]func(){}, done: make(chan struct{})}
 	if err := e.serve(l.PlatformAddr(), e.Platform); err != nil {
 		return nil, err
 	}
@@ -162,10 +162,10 @@
 	if err := e.apply(l.Intent); err != nil {
 		return nil, err
 	}
-	return e, e.waitReady(readyTimeout)
+	return e, e.waitReady(targetsTimeout)
 }
 
-const readyTimeout = 20 * time.Second
+const targetsTimeout = 20 * time.Second
 
 func (e *Embedded) startTargets() error {
 	for d := range e.DataCentres {
@@ -212,7 +212,7 @@
 	stopped := make(chan struct{})
 	e.mu.Lock()
 	e.Nodes[dc][n] = nd
-	e.stops[s.NodeID] = func() { stop(); <-stopped }
+	e.stopFuncs[s.NodeID] = func() { stop(); <-stopped }
 	e.mu.Unlock()
 	e.wg.Go(func() {
 		defer close(stopped)
@@ -226,12 +226,12 @@
 }
 
 // StopNode asks a node to drain and waits until it has ended.
-func (e *Embedded) StopNode(dc, n int) { e.stops[e.NodeID(dc, n)]() }
+func (e *Embedded) StopNode(dc, n int) { e.stopFuncs[e.NodeID(dc, n)]() }
 
 // Stop ends the deployment and returns the errors of its nodes.
 func (e *Embedded) Stop() error {
 	var stopping sync.WaitGroup
-	for _, stop := range e.stops {
+	for _, stop := range e.stopFuncs {
 		stopping.Go(stop)
 	}
 	stopping.Wait()
--- a/lab/platform/server.go
+++ b/lab/platform/server.go
@@ -32,13 +32,13 @@
 	store *store
 	mux   *http.ServeMux
 
-	mu     sync.Mutex
-	faults Faults
-	vms    []client.VM
-	past   []vmList
-	counts map[string]int // by caller and method
-	writes meter
-	reads  meter
+	mu      sync.Mutex
+	faults  Faults
+	vms     []client.VM
+	pastVMs []vmList
+	counts  map[string]int // by caller and method
+	writes  rateMeter
+	reads   rateMeter
 }
 
 type vmList struct {
@@ -46,13 +46,13 @@
 	vms []client.VM
 }
 
-// meter counts calls within one second.
-type meter struct {
+// rateMeter counts calls within one second.
+type rateMeter struct {
 	second int64
 	calls  int
 }
 
-func (m *meter) over(limit int, now time.Time) bool {
+func (m *rateMeter) exceeds(limit int, now time.Time) bool {
 	if m.second != now.Unix() {
 		m.second, m.calls = now.Unix(), 0
 	}
@@ -63,10 +63,10 @@
 // New returns a server with no objects, VMs or faults.
 func New() *Server {
 	s := &Server{store: newStore(), mux: http.NewServeMux(), counts: map[string]int{}}
-	s.mux.HandleFunc("GET /objects/", s.guard(s.read))
-	s.mux.HandleFunc("PUT /objects/", s.guard(s.write))
-	s.mux.HandleFunc("DELETE /objects/", s.guard(s.remove))
-	s.mux.HandleFunc("GET /vms", s.guard(s.listVMs))
+	s.mux.HandleFunc("GET /objects/", s.withFaults(s.read))
+	s.mux.HandleFunc("PUT /objects/", s.withFaults(s.write))
+	s.mux.HandleFunc("DELETE /objects/", s.withFaults(s.remove))
+	s.mux.HandleFunc("GET /vms", s.withFaults(s.listVMs))
 	s.mux.HandleFunc("PUT /control/faults", s.setFaults)
 	s.mux.HandleFunc("PUT /control/vms", s.setVMs)
 	s.mux.HandleFunc("GET /control/counts", s.showCounts)
@@ -87,7 +87,7 @@
 func (s *Server) SetVMs(vms []client.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.past = append(s.past, vmList{time.Now(), s.vms})
+	s.pastVMs = append(s.pastVMs, vmList{time.Now(), s.vms})
 	s.vms = vms
 }
 
@@ -102,8 +102,8 @@
 	return out
 }
 
-// guard counts the call and applies the faults around it.
-func (s *Server) guard(h http.HandlerFunc) http.HandlerFunc {
+// withFaults counts the call and applies the faults around it.
+func (s *Server) withFaults(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		f := s.faults
@@ -112,11 +112,11 @@
 		if r.Method != http.MethodGet {
 			meter, limit = &s.writes, f.WritesPerSec
 		}
-		over := meter.over(limit, time.Now())
+		over := meter.exceeds(limit, time.Now())
 		s.mu.Unlock()
 		time.Sleep(time.Duration(f.SlowMS)*time.Millisecond + time.Duration(f.LatencyUS)*time.Microsecond)
 		switch {
-		case cut(f.CutPrefixes, r.RemoteAddr):
+		case hasPrefix(f.CutPrefixes, r.RemoteAddr):
 			<-r.Context().Done() // no answer at all
 		case f.Down:
 			http.Error(w, "down", http.StatusServiceUnavailable)
@@ -125,7 +125,7 @@
 		case r.Method != http.MethodGet && rand.Float64() < f.RefuseShare:
 			http.Error(w, "refused", http.StatusServiceUnavailable)
 		case r.Method != http.MethodGet && rand.Float64() < f.LostShare:
-			h(&lostAnswer{header: http.Header{}}, r)
+			h(&discardWriter{header: http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		default:
 			h(w, r)
@@ -133,7 +133,7 @@
 	}
 }
 
-func cut(prefixes []string, addr string) bool {
+func hasPrefix(prefixes []string, addr string) bool {
 	host, _, _ := net.SplitHostPort(addr)
 	for _, p := range prefixes {
 		if strings.HasPrefix(host, p) {
@@ -143,21 +143,21 @@
 	return false
 }
 
-// lostAnswer swallows an answer.
-type lostAnswer struct{ header http.Header }
+// discardWriter swallows an answer.
+type discardWriter struct{ header http.Header }
 
-func (l *lostAnswer) Header() http.Header         { return l.header }
-func (l *lostAnswer) Write(b []byte) (int, error) { return len(b), nil }
-func (l *lostAnswer) WriteHeader(int)             {}
+func (l *discardWriter) Header() http.Header         { return l.header }
+func (l *discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (l *discardWriter) WriteHeader(int)             {}
 
-func name(r *http.Request) string { return strings.TrimPrefix(r.URL.Path, "/objects/") }
+func objectName(r *http.Request) string { return strings.TrimPrefix(r.URL.Path, "/objects/") }
 
 func (s *Server) read(w http.ResponseWriter, r *http.Request) {
-	if name(r) == "" {
+	if objectName(r) == "" {
 		s.query(w, r)
 		return
 	}
-	o, ok := s.store.get(name(r))
+	o, ok := s.store.get(objectName(r))
 	if !ok {
 		http.Error(w, "no such object", http.StatusNotFound)
 		return
@@ -187,7 +187,7 @@
 		http.Error(w, "value too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	version, ok := s.store.put(name(r), value, condition(r))
+	version, ok := s.store.put(objectName(r), value, condition(r))
 	if !ok {
 		http.Error(w, "version does not match", http.StatusPreconditionFailed)
 		return
@@ -197,7 +197,7 @@
 }
 
 func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
-	if !s.store.delete(name(r), condition(r)) {
+	if !s.store.delete(objectName(r), condition(r)) {
 		http.Error(w, "version does not match", http.StatusPreconditionFailed)
 		return
 	}
@@ -232,7 +232,7 @@
 
 // listAt returns the VM list as it was at a time.
 func (s *Server) listAt(at time.Time) []client.VM {
-	for _, p := range s.past {
+	for _, p := range s.pastVMs {
 		if p.at.After(at) {
 			return p.vms
 		}
--- a/lab/procs/procs.go
+++ b/lab/procs/procs.go
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// relayPort is added to a port to get that of the relay before it.
-const relayPort = 1000
+// relayPortOffset is added to a port to get that of the relay before it.
+const relayPortOffset = 1000
 
 // Start starts every process of the layout and applies its intent.
 func Start(l deployment.Layout, dir, bin string) (*Fleet, error) {
@@ -77,7 +77,7 @@
 			if err := f.StartEngine(d, n); err != nil {
 				return err
 			}
-			if err := f.relay(f.EngineAddr(d, n)); err != nil {
+			if err := f.startRelay(f.EngineAddr(d, n)); err != nil {
 				return err
 			}
 		}
@@ -85,33 +85,33 @@
 			if err := f.StartService(d, n); err != nil {
 				return err
 			}
-			if err := f.relay(f.PlainAddr(d, n)); err != nil {
+			if err := f.startRelay(f.PlainAddr(d, n)); err != nil {
 				return err
 			}
 		}
 	}
-	if err := retry(func() error { return f.SetVMs(f.VMs()) }); err != nil {
+	if err := retryWithPauses(func() error { return f.SetVMs(f.VMs()) }); err != nil {
 		return err
 	}
 	for d := range f.DataCentres {
 		for n := range f.Nodes[d] {
-			if err := errors.Join(f.relay(f.Layout.PeerAddr(d, n)), f.relay(f.Layout.CallerAddr(d, n)), f.StartNode(d, n)); err != nil {
+			if err := errors.Join(f.startRelay(f.Layout.PeerAddr(d, n)), f.startRelay(f.Layout.CallerAddr(d, n)), f.StartNode(d, n)); err != nil {
 				return err
 			}
 		}
 	}
-	if err := retry(f.applyFirst); err != nil {
+	if err := retryWithPauses(f.applyIntent); err != nil {
 		return err
 	}
 	return f.WaitReady()
 }
 
-func (f *Fleet) applyFirst() error {
+func (f *Fleet) applyIntent() error {
 	_, err := deployment.Apply(f.Layout.PeerAddr(0, 0), f.Layout.Intent)
 	return err
 }
 
-func retry(try func() error) (err error) {
+func retryWithPauses(try func() error) (err error) {
 	for range 100 {
 		if err = try(); err == nil {
 			return nil
@@ -125,7 +125,7 @@
 func (f *Fleet) WaitReady() error {
 	for d := range f.DataCentres {
 		for n := range f.Nodes[d] {
-			if err := deployment.WaitTargets(f.Layout.PeerAddr(d, n), f.Engines+f.Services, readyTimeout); err != nil {
+			if err := deployment.WaitTargets(f.Layout.PeerAddr(d, n), f.Engines+f.Services, targetsTimeout); err != nil {
 				return fmt.Errorf("%s: %w", f.NodeID(d, n), err)
 			}
 		}
@@ -133,20 +133,20 @@
 	return nil
 }
 
-const readyTimeout = 20 * time.Second
+const targetsTimeout = 20 * time.Second
 
-// relayOf returns the address of the relay before addr.
-func relayOf(addr string) string {
+// relayAddr returns the address of the relay before addr.
+func relayAddr(addr string) string {
 	a, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		panic(err)
 	}
-	a.Port += relayPort
+	a.Port += relayPortOffset
 	return a.String()
 }
 
-func (f *Fleet) relay(addr string) error {
-	c, err := f.Links.Relay(relayOf(addr), addr)
+func (f *Fleet) startRelay(addr string) error {
+	c, err := f.Links.Relay(relayAddr(addr), addr)
 	if err == nil {
 		f.closers = append(f.closers, c)
 	}
@@ -157,18 +157,18 @@
 func (f *Fleet) VMs() []client.VM {
 	vms := f.Layout.VMs()
 	for i := range vms {
-		vms[i].Addr = relayOf(vms[i].Addr)
+		vms[i].Addr = relayAddr(vms[i].Addr)
 	}
 	return vms
 }
 
 // SetVMs replaces the platform's VM list.
-func (f *Fleet) SetVMs(vms []client.VM) error { return f.control("vms", vms) }
+func (f *Fleet) SetVMs(vms []client.VM) error { return f.sendControl("vms", vms) }
 
 // SetFaults switches the platform's faults.
-func (f *Fleet) SetFaults(faults platform.Faults) error { return f.control("faults", faults) }
+func (f *Fleet) SetFaults(faults platform.Faults) error { return f.sendControl("faults", faults) }
 
-func (f *Fleet) control(what string, v any) error { return SendControl(f.PlatformAddr(), what, v) }
+func (f *Fleet) sendControl(what string, v any) error { return SendControl(f.PlatformAddr(), what, v) }
 
 // SendControl sends a control message to a stand-in.
 func SendControl(addr, what string, v any) error {
@@ -195,7 +195,7 @@
 func (f *Fleet) StartNode(dc, n int) error {
 	id := f.NodeID(dc, n)
 	path := filepath.Join(f.Dir, id+".ini")
-	advertise := fmt.Sprintf("[node]\npeer_advertise = %s\ncaller_advertise = %s\n", relayOf(f.Layout.PeerAddr(dc, n)), relayOf(f.Layout.CallerAddr(dc, n)))
+	advertise := fmt.Sprintf("[node]\npeer_advertise = %s\ncaller_advertise = %s\n", relayAddr(f.Layout.PeerAddr(dc, n)), relayAddr(f.Layout.CallerAddr(dc, n)))
 	if err := os.WriteFile(path, []byte(f.Settings(dc, n)+"\n"+advertise), 0o600); err != nil {
 		return err
 	}
--- a/lab/procs/relay.go
+++ b/lab/procs/relay.go
@@ -12,31 +12,31 @@
 // connection comes from and the one it goes to.
 type Links struct {
 	mu    sync.Mutex
-	cuts  map[cutPair]bool
-	conns map[*link]bool
+	cuts  map[prefixPair]bool
+	conns map[*relayedConn]bool
 	Delay time.Duration // one way, between data centres
 }
 
-type cutPair struct{ from, to string } // address prefixes
+type prefixPair struct{ from, to string } // address prefixes
 
-type link struct {
-	from, to string
-	a, b     net.Conn
+type relayedConn struct {
+	from, to          string
+	inbound, outbound net.Conn
 }
 
 // NewLinks returns links with nothing cut.
-func NewLinks() *Links { return &Links{cuts: map[cutPair]bool{}, conns: map[*link]bool{}} }
+func NewLinks() *Links { return &Links{cuts: map[prefixPair]bool{}, conns: map[*relayedConn]bool{}} }
 
 // Cut breaks connections between two address prefixes, both ways, and keeps
 // new ones from being made.
 func (l *Links) Cut(a, b string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cuts[cutPair{a, b}], l.cuts[cutPair{b, a}] = true, true
+	l.cuts[prefixPair{a, b}], l.cuts[prefixPair{b, a}] = true, true
 	for c := range l.conns {
-		if l.cut(c.from, c.to) {
-			c.a.Close()
-			c.b.Close()
+		if l.isCut(c.from, c.to) {
+			c.inbound.Close()
+			c.outbound.Close()
 		}
 	}
 }
@@ -45,11 +45,11 @@
 func (l *Links) Heal(a, b string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.cuts, cutPair{a, b})
-	delete(l.cuts, cutPair{b, a})
+	delete(l.cuts, prefixPair{a, b})
+	delete(l.cuts, prefixPair{b, a})
 }
 
-func (l *Links) cut(from, to string) bool {
+func (l *Links) isCut(from, to string) bool {
 	for c := range l.cuts {
 		if strings.HasPrefix(from, c.from) && strings.HasPrefix(to, c.to) {
 			return true
@@ -78,12 +78,12 @@
 
 func (l *Links) forward(conn net.Conn, target string) {
 	defer conn.Close()
-	c := &link{from: conn.RemoteAddr().String(), to: target, a: conn}
+	c := &relayedConn{from: conn.RemoteAddr().String(), to: target, inbound: conn}
 	l.mu.Lock()
-	cut := l.cut(c.from, c.to)
+	cut := l.isCut(c.from, c.to)
 	l.mu.Unlock()
 	if cut {
-		time.Sleep(cutSilence) // as lost packets would look
+		time.Sleep(cutConnDelay) // as lost packets would look
 		return
 	}
 	out, err := net.Dial("tcp", target)
@@ -91,7 +91,7 @@
 		return
 	}
 	defer out.Close()
-	c.b = out
+	c.outbound = out
 	l.mu.Lock()
 	l.conns[c] = true
 	l.mu.Unlock()
@@ -112,5 +112,5 @@
 	<-done
 }
 
-// cutSilence is how long a new connection over a cut link hangs.
-const cutSilence = time.Second
+// cutConnDelay is how long a new connection over a cut link hangs.
+const cutConnDelay = time.Second
--- a/lab/service/service.go
+++ b/lab/service/service.go
@@ -33,8 +33,8 @@
 	// AbortAfterCall breaks the connection after a call was carried out.
 	AbortAfterCall atomic.Bool
 
-	mu     sync.Mutex
-	ledger []Call
+	mu    sync.Mutex
+	calls []Call
 }
 
 // maxRunning is the capacity shown in load reports.
@@ -60,8 +60,8 @@
 	json.Unmarshal(body, &c)
 	time.Sleep(s.Delay)
 	s.mu.Lock()
-	s.ledger = append(s.ledger, Call{c.Operation, r.Header.Get("X-Request-Id")})
-	n := len(s.ledger)
+	s.calls = append(s.calls, Call{c.Operation, r.Header.Get("X-Request-Id")})
+	n := len(s.calls)
 	if s.Log != nil {
 		fmt.Fprintf(s.Log, "%d %s\n", time.Now().UnixMilli(), c.Operation)
 	}
@@ -77,5 +77,5 @@
 func (s *Service) Calls() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Call{}, s.ledger...)
+	return append([]Call{}, s.calls...)
 }
