--- a/lab/deployment/deployment.go
+++ b/lab/deployment/deployment.go
@@ -1,6 +1,5 @@
-// Package deployment lays out a small fleet on loopback addresses and runs it
-// inside one process: the stand-ins of platform, engines and plain services,
-// and nodes of the product.
+// Package deployment describes a small fleet on loopback addresses and runs it inside one
+// process: nodes of the product, and stand-ins for the platform, engines and plain services.
 package deployment
 
 import (
@@ -31,23 +30,23 @@
 	OperatorKey = "operator-secret"
 )
 
-// Layout says what a deployment consists of.
+// Layout describes a deployment.
 type Layout struct {
-	Net           int // second byte of the addresses 127.Net.x.y, so that deployments don't meet
+	Net           int // second byte of the addresses 127.Net.x.y; unique for each deployment
 	DataCentres   []string
-	Nodes         []int  // by data centre
+	Nodes         []int  // number of nodes by data centre
 	Engines       int    // per data centre
 	Services      int    // plain targets per data centre
 	EngineName    string // service that the engines run
 	PlainName     string // service that the plain targets run
 	Model         engine.Model
-	Loaded        []string // names the engines have loaded from the start
-	ExtraSettings string   // settings of every node, INI text with whole sections
-	Intent        string   // the first intent
+	Loaded        []string // models that the engines have loaded from the start
+	ExtraSettings string   // further settings of every node, INI text of complete sections
+	Intent        string   // the first intent, INI text
 	Variant       node.Variant
 }
 
-// Ports used on every address.
+// Ports of all addresses, and the last bytes of the targets' addresses.
 const (
 	callerPort   = 7070
 	peerPort     = 7071
@@ -57,15 +56,15 @@
 	firstPlain   = 200
 )
 
-// NodeAddr returns the address of a node's callers' or peers' port.
+// nodeIP returns the IP address of a node.
 func (l Layout) nodeIP(dc, n int) string { return fmt.Sprintf("127.%d.%d.%d", l.Net, dc+1, n+1) }
 
-// CallerAddr returns where a node's callers connect.
+// CallerAddr returns the address at which a node serves callers.
 func (l Layout) CallerAddr(dc, n int) string {
 	return fmt.Sprintf("%s:%d", l.nodeIP(dc, n), callerPort)
 }
 
-// PeerAddr returns where a node's peers and operators connect.
+// PeerAddr returns the address at which a node serves its peers and operators.
 func (l Layout) PeerAddr(dc, n int) string { return fmt.Sprintf("%s:%d", l.nodeIP(dc, n), peerPort) }
 
 // EngineAddr returns the address of an engine.
@@ -81,7 +80,7 @@
 // PlatformAddr returns the address of the platform.
 func (l Layout) PlatformAddr() string { return fmt.Sprintf("127.%d.0.1:%d", l.Net, platformPort) }
 
-// NodeID returns the name of a node.
+// NodeID returns the ID of a node.
 func (l Layout) NodeID(dc, n int) string { return fmt.Sprintf("%s-n%d", l.DataCentres[dc], n) }
 
 // Settings returns the INI text of a node's settings.
@@ -133,15 +132,15 @@
 	Nodes    [][]*node.Node
 
 	servers   []*http.Server
-	stopFuncs map[string]func() // of nodes: ask to stop and wait
+	stopFuncs map[string]func() // by node ID: drains a node and waits until it has ended
 	done      chan struct{}
 	wg        sync.WaitGroup
 	mu        sync.Mutex
 	errs      []error
 }
 
-// Start runs the deployment and applies its first intent. It returns when
-// every node is ready and every target can be chosen.
+// Start runs the deployment, applies its first intent and waits until every node can use as
+// many targets as a data centre has.
 func Start(l Layout) (*Embedded, error) {
 	e := &Embedded{Layout: l, Platform: platform.New(), stopFuncs: map[string]func(){}, done: make(chan struct{})}
 	if err := e.serve(l.PlatformAddr(), e.Platform); err != nil {
@@ -165,6 +164,7 @@
 	return e, e.waitReady(targetsTimeout)
 }
 
+// targetsTimeout is how long a node may take to use all targets of its data centre.
 const targetsTimeout = 20 * time.Second
 
 func (e *Embedded) startTargets() error {
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// StartNode starts a node, or starts it again after StopNode.
+// StartNode starts a node. It also restarts one after StopNode.
 func (e *Embedded) StartNode(dc, n int) error {
 	s, err := settings.Parse(e.NodeID(dc, n), []byte(e.Settings(dc, n)))
 	if err != nil {
@@ -225,7 +225,7 @@
 	return nil
 }
 
-// StopNode asks a node to drain and waits until it has ended.
+// StopNode drains a node and waits until it has ended.
 func (e *Embedded) StopNode(dc, n int) { e.stopFuncs[e.NodeID(dc, n)]() }
 
 // Stop ends the deployment and returns the errors of its nodes.
@@ -243,7 +243,7 @@
 	return errors.Join(e.errs...)
 }
 
-// Violations sums up the invariant violations of the nodes.
+// Violations returns the number of invariant violations of all nodes.
 func (e *Embedded) Violations() int64 {
 	var total int64
 	for _, row := range e.Nodes {
@@ -254,6 +254,7 @@
 	return total
 }
 
+// apply applies an intent at the first node, with retries while that starts.
 func (e *Embedded) apply(intent string) error {
 	var last error
 	for range 100 {
@@ -265,10 +266,10 @@
 	return last
 }
 
-// ErrStale says that another operator's plan was confirmed first.
+// ErrStale is returned if another change was applied since the plan was made.
 var ErrStale = errors.New("stale plan")
 
-// Apply plans and confirms an intent at a node; it returns the version.
+// Apply plans and applies an intent at a node and returns the new configuration version.
 func Apply(addr, intent string) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -287,7 +288,7 @@
 	return resp.Version, nil
 }
 
-// waitReady waits until every node knows its data centre's usable targets.
+// waitReady waits until every node can use as many targets as a data centre has.
 func (e *Embedded) waitReady(limit time.Duration) error {
 	for d := range e.DataCentres {
 		for n := range e.Layout.Nodes[d] {
@@ -320,5 +321,5 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("not %d usable targets within %v", want, limit)
+	return fmt.Errorf("fewer than %d usable targets after %v", want, limit)
 }
--- a/lab/platform/server.go
+++ b/lab/platform/server.go
@@ -14,20 +14,20 @@
 	client "github.com/marblepond/marblepond/internal/connection/platform"
 )
 
-// Faults are the failures that can be switched on at /control/faults.
+// Faults are the failures to simulate, set at /control/faults.
 type Faults struct {
-	Down         bool     `json:"down"`         // every call is refused
-	SlowMS       int      `json:"slow_ms"`      // added to every call
-	LostShare    float64  `json:"lost_share"`   // writes whose answer is lost after the effect
-	RefuseShare  float64  `json:"refuse_share"` // writes refused before any effect
-	StaleVMsMS   int      `json:"stale_vms_ms"` // age of the VM list that is shown
-	CutPrefixes  []string `json:"cut_prefixes"` // source address prefixes that get no answer
-	LatencyUS    int      `json:"latency_us"`   // of every call when nothing is wrong
+	Down         bool     `json:"down"`         // every call fails with 503
+	SlowMS       int      `json:"slow_ms"`      // delay added to every call
+	LostShare    float64  `json:"lost_share"`   // share of writes that take effect but whose answer is lost
+	RefuseShare  float64  `json:"refuse_share"` // share of writes refused without effect
+	StaleVMsMS   int      `json:"stale_vms_ms"` // age of the VM list that is returned
+	CutPrefixes  []string `json:"cut_prefixes"` // prefixes of client addresses that get no answer
+	LatencyUS    int      `json:"latency_us"`   // delay of every call, also without a fault
 	WritesPerSec int      `json:"writes_per_s"` // 0: no limit
 	ReadsPerSec  int      `json:"reads_per_s"`  // 0: no limit
 }
 
-// Server is the stand-in.
+// Server simulates the platform.
 type Server struct {
 	store *store
 	mux   *http.ServeMux
@@ -36,22 +36,24 @@
 	faults  Faults
 	vms     []client.VM
 	pastVMs []vmList
-	counts  map[string]int // by caller and method
+	counts  map[string]int // by user agent and method
 	writes  rateMeter
 	reads   rateMeter
 }
 
+// vmList is a VM list that was replaced at a time.
 type vmList struct {
 	at  time.Time
 	vms []client.VM
 }
 
-// rateMeter counts calls within one second.
+// rateMeter counts the calls of the current second.
 type rateMeter struct {
 	second int64
 	calls  int
 }
 
+// exceeds counts a call and reports whether it is over the limit; 0 is no limit.
 func (m *rateMeter) exceeds(limit int, now time.Time) bool {
 	if m.second != now.Unix() {
 		m.second, m.calls = now.Unix(), 0
@@ -76,7 +78,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// SetFaults switches faults.
+// SetFaults replaces the faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +93,7 @@
 	s.vms = vms
 }
 
-// Counts returns the number of calls by caller and method.
+// Counts returns the number of calls by user agent and method.
 func (s *Server) Counts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +104,7 @@
 	return out
 }
 
-// withFaults counts the call and applies the faults around it.
+// withFaults counts calls and applies the faults to a handler.
 func (s *Server) withFaults(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
@@ -117,7 +119,7 @@
 		time.Sleep(time.Duration(f.SlowMS)*time.Millisecond + time.Duration(f.LatencyUS)*time.Microsecond)
 		switch {
 		case hasPrefix(f.CutPrefixes, r.RemoteAddr):
-			<-r.Context().Done() // no answer at all
+			<-r.Context().Done() // never answers
 		case f.Down:
 			http.Error(w, "down", http.StatusServiceUnavailable)
 		case over:
@@ -143,7 +145,7 @@
 	return false
 }
 
-// discardWriter swallows an answer.
+// discardWriter is a ResponseWriter that discards the response.
 type discardWriter struct{ header http.Header }
 
 func (l *discardWriter) Header() http.Header         { return l.header }
@@ -166,6 +168,7 @@
 	w.Write(o.Value)
 }
 
+// query lists the objects under a prefix, or waits for changes.
 func (s *Server) query(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	if !q.Has("watch") {
@@ -204,7 +207,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// condition reads If-Match and If-None-Match (RFC 9110, section 13.1).
+// condition returns the condition of If-Match or If-None-Match (RFC 9110, section 13.1) on
+// the version of an object; 0 means that it does not exist.
 func condition(r *http.Request) func(int64) bool {
 	if r.Header.Get("If-None-Match") == "*" {
 		return func(version int64) bool { return version == 0 }
--- a/lab/platform/store.go
+++ b/lab/platform/store.go
@@ -1,6 +1,5 @@
-// Package platform is the stand-in of the platform: its object API with
-// versions, conditional writes and watches, and its VM list, with faults that
-// can be switched on.
+// Package platform simulates the platform: its object API with versions, conditional writes
+// and watches, and its VM list. It can be set to fail in several ways.
 package platform
 
 import (
@@ -12,7 +11,7 @@
 	client "github.com/marblepond/marblepond/internal/connection/platform"
 )
 
-// store keeps the objects by folder, so that prefix reads touch few of them.
+// store holds the objects by folder, so that reads of a prefix visit few of them.
 type store struct {
 	mu       sync.Mutex
 	version  int64
@@ -20,6 +19,7 @@
 	watchers map[*watcher]bool
 }
 
+// watcher is a call that waits for writes under a prefix.
 type watcher struct {
 	prefix string
 	wake   chan struct{}
@@ -38,7 +38,8 @@
 	return o, ok
 }
 
-// put writes if match holds for the object's present version (0: absent).
+// put writes an object if match holds for its current version (0: absent), and returns the
+// new version.
 func (s *store) put(name string, value []byte, match func(version int64) bool) (int64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,6 +56,7 @@
 	return s.version, true
 }
 
+// delete deletes an object if match holds for its current version (0: absent).
 func (s *store) delete(name string, match func(version int64) bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,6 +69,7 @@
 	return true
 }
 
+// wake notifies the watchers of an object.
 func (s *store) wake(name string) {
 	for w := range s.watchers {
 		if strings.HasPrefix(name, w.prefix) {
@@ -97,7 +100,8 @@
 	return change
 }
 
-// watch waits until something under prefix is newer than since.
+// watch returns the objects under prefix with a version above since. It waits until there is
+// one, at most for wait.
 func (s *store) watch(done <-chan struct{}, prefix string, since int64, wait time.Duration) client.Change {
 	w := &watcher{prefix, make(chan struct{}, 1)}
 	s.mu.Lock()
--- a/lab/procs/procs.go
+++ b/lab/procs/procs.go
@@ -1,5 +1,5 @@
-// Package procs runs a fleet of separate processes on loopback addresses and
-// lets a driver kill, freeze and cut them.
+// Package procs runs a fleet of separate processes on loopback addresses, with functions to
+// kill and suspend them and to cut the connections between them.
 package procs
 
 import (
@@ -24,7 +24,7 @@
 // Fleet is a running fleet of processes.
 type Fleet struct {
 	deployment.Layout
-	Dir   string // settings, logs and ledgers
+	Dir   string // folder of settings, logs and ledgers
 	Bin   string // folder of the binaries
 	Links *Links
 
@@ -33,7 +33,7 @@
 	closers []interface{ Close() error }
 }
 
-// Proc is one process.
+// Proc is a process of the fleet.
 type Proc struct {
 	Name string
 	args []string
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// relayPortOffset is added to a port to get that of the relay before it.
+// relayPortOffset is added to the port of a process to get that of its relay.
 const relayPortOffset = 1000
 
 // Start starts every process of the layout and applies its intent.
@@ -111,6 +111,7 @@
 	return err
 }
 
+// retryWithPauses calls try until it succeeds, up to 100 times, and returns its last error.
 func retryWithPauses(try func() error) (err error) {
 	for range 100 {
 		if err = try(); err == nil {
@@ -121,7 +122,7 @@
 	return err
 }
 
-// WaitReady waits until every node has all its targets.
+// WaitReady waits until every node can use as many targets as a data centre has.
 func (f *Fleet) WaitReady() error {
 	for d := range f.DataCentres {
 		for n := range f.Nodes[d] {
@@ -133,9 +134,10 @@
 	return nil
 }
 
+// targetsTimeout is how long a node may take to use all targets of its data centre.
 const targetsTimeout = 20 * time.Second
 
-// relayAddr returns the address of the relay before addr.
+// relayAddr returns the address of the relay of addr.
 func relayAddr(addr string) string {
 	a, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
@@ -145,6 +147,7 @@
 	return a.String()
 }
 
+// startRelay starts the relay of an address.
 func (f *Fleet) startRelay(addr string) error {
 	c, err := f.Links.Relay(relayAddr(addr), addr)
 	if err == nil {
@@ -153,7 +156,7 @@
 	return err
 }
 
-// VMs returns the VM list with the relays' addresses.
+// VMs returns the VM list with the addresses of the relays.
 func (f *Fleet) VMs() []client.VM {
 	vms := f.Layout.VMs()
 	for i := range vms {
@@ -165,12 +168,12 @@
 // SetVMs replaces the platform's VM list.
 func (f *Fleet) SetVMs(vms []client.VM) error { return f.sendControl("vms", vms) }
 
-// SetFaults switches the platform's faults.
+// SetFaults replaces the platform's faults.
 func (f *Fleet) SetFaults(faults platform.Faults) error { return f.sendControl("faults", faults) }
 
 func (f *Fleet) sendControl(what string, v any) error { return SendControl(f.PlatformAddr(), what, v) }
 
-// SendControl sends a control message to a stand-in.
+// SendControl sends a control message to the stand-in at addr.
 func SendControl(addr, what string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -191,7 +194,7 @@
 	return nil
 }
 
-// StartNode starts a node's process, again after it ended.
+// StartNode starts a node's process. It also restarts one that has ended.
 func (f *Fleet) StartNode(dc, n int) error {
 	id := f.NodeID(dc, n)
 	path := filepath.Join(f.Dir, id+".ini")
@@ -202,10 +205,10 @@
 	return f.run(id, "marblepond", "agent", "--settings", path)
 }
 
-// EngineProc returns the process name of an engine.
+// EngineProc returns the name of an engine's process.
 func (f *Fleet) EngineProc(dc, n int) string { return fmt.Sprintf("%s-e%d", f.DataCentres[dc], n) }
 
-// StartEngine starts an engine's process, again after it ended.
+// StartEngine starts an engine's process. It also restarts one that has ended.
 func (f *Fleet) StartEngine(dc, n int) error {
 	name := f.EngineProc(dc, n)
 	args := []string{"engine", "--listen", f.EngineAddr(dc, n), "--ledger", f.LedgerPath(name),
@@ -228,7 +231,8 @@
 	return f.run(name, "marblelab", "service", "--listen", f.PlainAddr(dc, n), "--ledger", f.LedgerPath(name))
 }
 
-// LedgerPath returns the path of a target's ledger.
+// LedgerPath returns the path of a target's ledger, the file to which the target appends a
+// line at each start of a request or operation.
 func (f *Fleet) LedgerPath(name string) string { return filepath.Join(f.Dir, name+".ledger") }
 
 func (f *Fleet) run(name, binary string, args ...string) error {
@@ -249,7 +253,7 @@
 	}
 	p.cmd = exec.Command(p.args[0], p.args[1:]...)
 	p.cmd.Stdout, p.cmd.Stderr = out, out
-	// The children must not outlive a driver that is killed.
+	// The process must not outlive a test driver that is killed.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		return errors.Join(err, out.Close())
@@ -273,13 +277,13 @@
 // Signal sends a signal to the process.
 func (p *Proc) Signal(s syscall.Signal) { p.cmd.Process.Signal(s) }
 
-// Kill ends the process at once.
+// Kill kills the process and waits until it has ended.
 func (p *Proc) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Wait waits until the process ended; the error is that of its exit.
+// Wait waits until the process has ended and returns the error of its exit.
 func (p *Proc) Wait(limit time.Duration) error {
 	select {
 	case <-p.done:
--- a/lab/procs/relay.go
+++ b/lab/procs/relay.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// Links decides which connections are cut. Relays ask it by the address a
-// connection comes from and the one it goes to.
+// Links holds the relayed connections and which of them are cut, by the prefixes of their
+// source and destination addresses.
 type Links struct {
 	mu    sync.Mutex
 	cuts  map[prefixPair]bool
 	conns map[*relayedConn]bool
-	Delay time.Duration // one way, between data centres
+	Delay time.Duration // one-way delay between data centres
 }
 
 type prefixPair struct{ from, to string } // address prefixes
 
+// relayedConn is a connection through a relay.
 type relayedConn struct {
 	from, to          string
 	inbound, outbound net.Conn
 }
 
-// NewLinks returns links with nothing cut.
+// NewLinks returns links without cuts.
 func NewLinks() *Links { return &Links{cuts: map[prefixPair]bool{}, conns: map[*relayedConn]bool{}} }
 
-// Cut breaks connections between two address prefixes, both ways, and keeps
-// new ones from being made.
+// Cut closes the connections between two address prefixes, in both directions, and prevents
+// new ones.
 func (l *Links) Cut(a, b string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +42,7 @@
 	}
 }
 
-// Heal restores connections between two address prefixes.
+// Heal allows connections between two address prefixes again.
 func (l *Links) Heal(a, b string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +59,7 @@
 	return false
 }
 
-// Relay forwards connections from listen to target while the link is whole.
+// Relay forwards connections from listen to target unless they are cut.
 func (l *Links) Relay(listen, target string) (io.Closer, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -83,7 +84,7 @@
 	cut := l.isCut(c.from, c.to)
 	l.mu.Unlock()
 	if cut {
-		time.Sleep(cutConnDelay) // as lost packets would look
+		time.Sleep(cutConnDelay) // looks like lost packets
 		return
 	}
 	out, err := net.Dial("tcp", target)
@@ -112,5 +113,5 @@
 	<-done
 }
 
-// cutConnDelay is how long a new connection over a cut link hangs.
+// cutConnDelay is how long a new connection that is cut hangs before it is closed.
 const cutConnDelay = time.Second
--- a/lab/service/service.go
+++ b/lab/service/service.go
@@ -1,5 +1,5 @@
-// Package service is the stand-in of a plain service, some of whose calls
-// must not be repeated. It keeps a ledger of what it ran.
+// Package service simulates a plain HTTP service, some of whose calls must not be repeated,
+// and records the calls that it ran.
 package service
 
 import (
@@ -14,30 +14,30 @@
 	"github.com/marblepond/marblepond/internal/connection/engine"
 )
 
-// Call is one call that the service carried out.
+// Call is a call that the service ran.
 type Call struct {
-	Operation string `json:"operation"` // from the body: what the caller wants done once
+	Operation string `json:"operation"` // from the body: identifies what is to run once
 	RequestID string `json:"request_id"`
 }
 
-// callBody is the body of a callBody.
+// callBody is the body of a call.
 type callBody struct {
 	Operation string `json:"operation"`
 }
 
-// Service is the stand-in.
+// Service is a simulated service.
 type Service struct {
-	Delay time.Duration // before a call is carried out
+	Delay time.Duration // before a call runs
 	Log   io.Writer     // gets a line for each call: Unix milliseconds, operation; may be nil
 
-	// AbortAfterCall breaks the connection after a call was carried out.
+	// AbortAfterCall, if set, aborts the connection after a call has run, without a response.
 	AbortAfterCall atomic.Bool
 
 	mu    sync.Mutex
 	calls []Call
 }
 
-// maxRunning is the capacity shown in load reports.
+// maxRunning is the capacity stated in load reports.
 const maxRunning = 64
 
 // Handler returns the service's HTTP interface.
@@ -73,7 +73,7 @@
 	fmt.Fprintf(w, `{"operation":%q,"entry":%d}`+"\n", c.Operation, n)
 }
 
-// Calls returns the calls carried out, in order.
+// Calls returns the calls that ran, in order.
 func (s *Service) Calls() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
