--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -75,14 +75,14 @@
 	defer resp.Body.Close()
 	o := Outcome{Status: resp.StatusCode, RequestID: resp.Header.Get(openai.HeaderRequestID)}
 	if resp.StatusCode != http.StatusOK {
-		o.refusal(resp)
+		o.readRefusal(resp)
 		return o
 	}
 	o.Accepted = true
 	if p.Stream {
 		o.readStream(resp.Body, start)
 	} else {
-		o.readWhole(resp.Body)
+		o.readResponse(resp.Body)
 		o.TimeToFirstToken = time.Since(start)
 	}
 	o.Total = time.Since(start)
@@ -91,13 +91,13 @@
 	return o
 }
 
-func (o *Outcome) refusal(resp *http.Response) {
+func (o *Outcome) readRefusal(resp *http.Response) {
 	var e openai.ErrorBody
 	json.NewDecoder(resp.Body).Decode(&e)
 	o.Kind, o.NotRun, o.RetryAfter = e.Error.Type, resp.Header.Get(openai.HeaderNotRun), resp.Header.Get("Retry-After")
 }
 
-func (o *Outcome) readWhole(r io.Reader) {
+func (o *Outcome) readResponse(r io.Reader) {
 	var chunk openai.Chunk
 	if o.Err = json.NewDecoder(r).Decode(&chunk); o.Err != nil {
 		return
--- a/lab/cmd/marblelab/model.go
+++ b/lab/cmd/marblelab/model.go
@@ -28,11 +28,11 @@
 			}
 			d := model.Small
 			d.DataCentres, d.NodesPerDataCentre, d.TargetsPerDataCentre = c.Int("centres"), c.Int("nodes"), c.Int("targets")
-			return playModel(d, names, c.Uint64("seed"), c.String("plots"))
+			return runModel(d, names, c.Uint64("seed"), c.String("plots"))
 		}}
 }
 
-func playModel(d model.Deployment, names []string, seed uint64, plots string) error {
+func runModel(d model.Deployment, names []string, seed uint64, plots string) error {
 	var results []model.Result
 	for _, name := range names {
 		load, err := model.LoadByName(name)
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -29,14 +29,14 @@
 var attestations string
 
 const (
-	model      = "signdesk-llm"
-	callerKey  = "demo-key"
-	onlineRate = 20 // requests a second
-	onlineFor  = 12 * time.Second
-	answerSize = 24 // tokens
-	limit      = 50 * time.Second
-	// progressEvery is the time between lines of progress.
-	progressEvery = 500 * time.Millisecond
+	model        = "signdesk-llm"
+	callerKey    = "demo-key"
+	onlineRate   = 20 // requests a second
+	onlineTime   = 12 * time.Second
+	answerTokens = 24 // tokens
+	timeout      = 50 * time.Second
+	// progressInterval is the time between lines of progress.
+	progressInterval = 500 * time.Millisecond
 )
 
 // layout is three nodes in two data centres before four engines.
@@ -49,8 +49,8 @@
 	}
 }
 
-// run is the demo's state.
-type run struct {
+// demoRun is the demo's state.
+type demoRun struct {
 	fleet    *deployment.Embedded
 	caller   *client.Caller
 	mu       sync.Mutex
@@ -63,7 +63,7 @@
 // Run runs the demo and writes progress and a table to out. It returns an
 // error unless every accepted request and item got exactly one whole answer.
 func Run(out io.Writer) error {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	start := time.Now()
 	fmt.Fprintln(out, "starting three nodes in two data centres, four engines and a platform, all embedded")
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	r := &run{fleet: f, caller: client.New(callerKey)}
+	r := &demoRun{fleet: f, caller: client.New(callerKey)}
 	fmt.Fprintf(out, "ready after %.1f s; %d order notes a second online, %d attestations as a batch\n", time.Since(start).Seconds(), onlineRate, strings.Count(attestations, "\n"))
 	job, err := r.caller.Submit(ctx, f.CallerAddr(0, 0), []byte(attestations), "demo-batch", "")
 	if err != nil {
@@ -79,8 +79,8 @@
 	}
 	progress, stopProgress := context.WithCancel(ctx)
 	r.submitted = time.Now()
-	go r.progress(progress, out, job.ID, start)
-	r.online(ctx)
+	go r.showProgress(progress, out, job.ID, start)
+	r.sendOnline(ctx)
 	done, err := r.caller.WaitBatch(ctx, f.CallerAddr(1, 0), job.ID)
 	stopProgress()
 	if r.finished.IsZero() {
@@ -89,34 +89,34 @@
 	if err != nil {
 		return err
 	}
-	faults := r.check(ctx, done)
+	failures := r.check(ctx, done)
 	stopErr := f.Stop()
-	r.table(out, done)
+	r.printTable(out, done)
 	if f.Violations() > 0 {
-		faults = append(faults, fmt.Sprintf("%d invariant violations", f.Violations()))
+		failures = append(failures, fmt.Sprintf("%d invariant violations", f.Violations()))
 	}
 	if stopErr != nil {
-		faults = append(faults, stopErr.Error())
+		failures = append(failures, stopErr.Error())
 	}
-	if len(faults) > 0 {
-		return fmt.Errorf("not every accepted one got exactly one whole answer:\n%s", strings.Join(faults, "\n"))
+	if len(failures) > 0 {
+		return fmt.Errorf("not every accepted one got exactly one whole answer:\n%s", strings.Join(failures, "\n"))
 	}
 	fmt.Fprintln(out, "every accepted request and item got exactly one whole answer")
 	return nil
 }
 
-// online sends the order notes at a steady rate to all nodes in turn.
-func (r *run) online(ctx context.Context) {
+// sendOnline sends the order notes at a steady rate to all nodes in turn.
+func (r *demoRun) sendOnline(ctx context.Context) {
 	notes := strings.Split(strings.TrimSpace(orderNotes), "\n")
 	addrs := []string{r.fleet.CallerAddr(0, 0), r.fleet.CallerAddr(0, 1), r.fleet.CallerAddr(1, 0)}
 	ticker := time.NewTicker(time.Second / onlineRate)
 	defer ticker.Stop()
 	var wg sync.WaitGroup
-	for n := range int(onlineFor.Seconds() * onlineRate) {
+	for n := range int(onlineTime.Seconds() * onlineRate) {
 		<-ticker.C
 		addr := addrs[n%len(addrs)]
 		wg.Go(func() {
-			o := r.caller.Complete(ctx, addr, client.Prompt{Model: model, Text: notes[n%len(notes)], MaxTokens: answerSize, Stream: true})
+			o := r.caller.Complete(ctx, addr, client.Prompt{Model: model, Text: notes[n%len(notes)], MaxTokens: answerTokens, Stream: true})
 			r.mu.Lock()
 			r.outcomes = append(r.outcomes, o)
 			r.mu.Unlock()
@@ -125,8 +125,8 @@
 	wg.Wait()
 }
 
-func (r *run) progress(ctx context.Context, out io.Writer, jobID string, start time.Time) {
-	ticker := time.NewTicker(progressEvery)
+func (r *demoRun) showProgress(ctx context.Context, out io.Writer, jobID string, start time.Time) {
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -150,19 +150,19 @@
 }
 
 // check compares every answer with what the engines must have said.
-func (r *run) check(ctx context.Context, job client.Batch) []string {
-	var faults []string
+func (r *demoRun) check(ctx context.Context, job client.Batch) []string {
+	var failures []string
 	for _, o := range r.outcomes {
 		if o.Accepted && !o.Correct {
-			faults = append(faults, "broken answer: "+o.RequestID)
+			failures = append(failures, "broken answer: "+o.RequestID)
 		}
 		if o.Err != nil {
-			faults = append(faults, "connection: "+o.Err.Error())
+			failures = append(failures, "connection: "+o.Err.Error())
 		}
 	}
 	results, err := r.caller.Results(ctx, r.fleet.CallerAddr(1, 0), job.OutputFileID)
 	if err != nil {
-		return append(faults, "results: "+err.Error())
+		return append(failures, "results: "+err.Error())
 	}
 	lines := bufio.NewScanner(strings.NewReader(attestations))
 	items := 0
@@ -173,25 +173,25 @@
 		json.Unmarshal(lines.Bytes(), &line)
 		json.Unmarshal(line.Body, &body)
 		if !client.ItemCorrect(results[line.CustomID], body.Messages[0].Content, body.MaxTokens) {
-			faults = append(faults, "broken item: "+line.CustomID)
+			failures = append(failures, "broken item: "+line.CustomID)
 		}
 	}
 	if len(results) != items {
-		faults = append(faults, fmt.Sprintf("%d results for %d items", len(results), items))
+		failures = append(failures, fmt.Sprintf("%d results for %d items", len(results), items))
 	}
-	return faults
+	return failures
 }
 
-func (r *run) table(out io.Writer, job client.Batch) {
+func (r *demoRun) printTable(out io.Writer, job client.Batch) {
 	var first []time.Duration
-	accepted, whole := 0, 0
+	accepted, correct := 0, 0
 	refused := map[string]int{}
 	for _, o := range r.outcomes {
 		switch {
 		case o.Accepted:
 			accepted++
 			if o.Correct {
-				whole++
+				correct++
 			}
 			first = append(first, o.TimeToFirstToken)
 		default:
@@ -200,15 +200,15 @@
 	}
 	slices.Sort(first)
 	fmt.Fprintf(out, "\n%-28s %8s\n", "online", "")
-	fmt.Fprintf(out, "  %-26s %8d\n  %-26s %8d\n", "accepted", accepted, "answered whole", whole)
+	fmt.Fprintf(out, "  %-26s %8d\n  %-26s %8d\n", "accepted", accepted, "answered whole", correct)
 	for kind, n := range refused {
 		fmt.Fprintf(out, "  refused: %-17s %8d\n", kind, n)
 	}
 	if len(first) > 0 {
-		fmt.Fprintf(out, "  %-26s %8.1f ms\n  %-26s %8.1f ms\n", "first token p50", ms(first[len(first)/2]), "first token p99", ms(first[len(first)*99/100]))
+		fmt.Fprintf(out, "  %-26s %8.1f ms\n  %-26s %8.1f ms\n", "first token p50", milliseconds(first[len(first)/2]), "first token p99", milliseconds(first[len(first)*99/100]))
 	}
 	fmt.Fprintf(out, "%-28s\n  %-26s %8d\n  %-26s %8d\n", "batch", "items", job.Counts.Total, "completed", job.Counts.Completed)
 	fmt.Fprintf(out, "  %-26s %8.1f\n", "items a second", float64(job.Counts.Completed)/r.finished.Sub(r.submitted).Seconds())
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/lab/engine/cache.go
+++ b/lab/engine/cache.go
@@ -18,17 +18,17 @@
 	return &prefixCache{limit: limit, blocks: map[uint64]*list.Element{}, order: list.New()}
 }
 
-// miss returns the prompt tokens that are not cached and caches them.
-func (c *prefixCache) miss(prompt string) int {
+// insert returns the prompt tokens that are not cached and caches them.
+func (c *prefixCache) insert(prompt string) int {
 	blockChars := blockTokens * charsPerToken
 	hit := true
 	missed := 0
 	for end := blockChars; end <= len(prompt); end += blockChars {
 		key := Seed(prompt[:end])
-		place, ok := c.blocks[key]
+		element, ok := c.blocks[key]
 		hit = hit && ok
 		if ok {
-			c.order.MoveToFront(place)
+			c.order.MoveToFront(element)
 		} else {
 			c.blocks[key] = c.order.PushFront(key)
 		}
@@ -64,18 +64,18 @@
 }
 
 const (
-	eventsKept = 200
+	maxEvents  = 200
 	eventDelay = 300 * time.Millisecond
 )
 
 func newEventLog() *eventLog { return &eventLog{} }
 
-func (l *eventLog) stored(prompt string) {
+func (l *eventLog) add(prompt string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seq++
 	l.events = append(l.events, loggedEvent{CacheEvent{l.seq, Seed(prompt)}, time.Now()})
-	if len(l.events) > eventsKept {
+	if len(l.events) > maxEvents {
 		l.events = l.events[1:]
 	}
 }
--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -53,25 +53,25 @@
 	charsPerToken    = 4
 	blockTokens      = 16
 	defaultMaxTokens = 16
-	// keepEnded is how long an ended stream can be resumed.
-	keepEnded = 10 * time.Second
+	// resumeTime is how long an ended stream can be resumed.
+	resumeTime = 10 * time.Second
 	// CrashMarker in a prompt crashes the engine: an item that can never be done.
 	CrashMarker = "<crash-engine>"
 )
 
 // sequence is one request inside the engine.
 type sequence struct {
-	id        string
-	path      string
-	seed      uint64
-	first     int // index of the first token to make
-	total     int // tokens of the whole answer
-	prefill   int // prompt tokens still to be prefilled
-	prompt    string
-	made      int // index of the next token
-	cancelled bool
-	ended     time.Time
-	changed   chan struct{}
+	id          string
+	path        string
+	seed        uint64
+	firstToken  int // index of the first token to make
+	totalTokens int // tokens of the whole answer
+	prefillLeft int // prompt tokens still to be prefilled
+	prompt      string
+	nextToken   int // index of the next token
+	cancelled   bool
+	ended       time.Time
+	changed     chan struct{}
 }
 
 // Engine is the stand-in.
@@ -80,31 +80,31 @@
 	Log   io.Writer
 	model Model
 
-	mu       sync.Mutex
-	faults   Faults
-	running  []*sequence
-	waiting  []*sequence
-	streams  map[string]*sequence
-	cache    *prefixCache
-	loaded   []string
-	loading  map[string]time.Time
-	fence    int64
-	started  time.Time
-	crashes  int
-	reported engine.Report
-	ledger   map[string]int // starts by request ID
-	tokens   Tokens
-	orders   []engine.Order
-	wake     chan struct{}
-	events   *eventLog
+	mu          sync.Mutex
+	faults      Faults
+	running     []*sequence
+	waiting     []*sequence
+	streams     map[string]*sequence
+	cache       *prefixCache
+	loaded      []string
+	loading     map[string]time.Time
+	fence       int64
+	started     time.Time
+	crashes     int
+	lastReport  engine.Report
+	startCounts map[string]int // starts by request ID
+	tokens      Tokens
+	orders      []engine.Order
+	wake        chan struct{}
+	events      *eventLog
 }
 
 // New returns an engine; Run drives it.
 func New(model Model, loaded ...string) *Engine {
 	e := &Engine{Log: io.Discard, model: model, streams: map[string]*sequence{}, cache: newPrefixCache(model.CacheBlocks), loaded: loaded,
-		loading: map[string]time.Time{}, ledger: map[string]int{}, wake: make(chan struct{}, 1), events: newEventLog()}
+		loading: map[string]time.Time{}, startCounts: map[string]int{}, wake: make(chan struct{}, 1), events: newEventLog()}
 	e.started = time.Now()
-	e.reported = e.report()
+	e.lastReport = e.report()
 	return e
 }
 
@@ -160,7 +160,7 @@
 		} else if wait < -time.Second {
 			next = time.Now()
 		}
-		e.emit()
+		e.emitTokens()
 	}
 }
 
@@ -174,8 +174,8 @@
 		case <-ticker.C:
 			e.mu.Lock()
 			e.finishLoads()
-			e.reported = e.report()
-			e.forgetEnded()
+			e.lastReport = e.report()
+			e.removeEnded()
 			e.mu.Unlock()
 		}
 	}
@@ -199,9 +199,9 @@
 	}
 }
 
-func (e *Engine) forgetEnded() {
+func (e *Engine) removeEnded() {
 	for id, s := range e.streams {
-		if !s.ended.IsZero() && time.Since(s.ended) > keepEnded {
+		if !s.ended.IsZero() && time.Since(s.ended) > resumeTime {
 			delete(e.streams, id)
 		}
 	}
@@ -215,7 +215,7 @@
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		if !e.model.Instant {
-			s.prefill = e.cache.miss(s.prompt)
+			s.prefillLeft = e.cache.insert(s.prompt)
 		}
 		e.running = append(e.running, s)
 	}
@@ -227,28 +227,28 @@
 	}
 	budget := e.model.PrefillChunk
 	for _, s := range e.running {
-		n := min(s.prefill, budget)
-		s.prefill -= n
+		n := min(s.prefillLeft, budget)
+		s.prefillLeft -= n
 		budget -= n
 	}
 	prefilled := e.model.PrefillChunk - budget
 	return e.model.StepBase + time.Duration(len(e.running))*e.model.StepPerSeq + time.Duration(prefilled)*e.model.PrefillPerToken, true
 }
 
-// emit gives every prefilled running sequence its next token.
-func (e *Engine) emit() {
+// emitTokens gives every prefilled running sequence its next token.
+func (e *Engine) emitTokens() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var still []*sequence
 	for _, s := range e.running {
-		if s.prefill == 0 && !s.cancelled {
-			s.made++
+		if s.prefillLeft == 0 && !s.cancelled {
+			s.nextToken++
 			s.notify()
 			e.tokens.count(s.id)
 		}
-		if s.made >= s.total || s.cancelled {
+		if s.nextToken >= s.totalTokens || s.cancelled {
 			s.ended = time.Now()
-			e.events.stored(s.prompt)
+			e.events.add(s.prompt)
 			continue
 		}
 		still = append(still, s)
@@ -268,19 +268,19 @@
 	if total == 0 {
 		total = defaultMaxTokens
 	}
-	s := &sequence{id: id, path: path, seed: Seed(prompt), first: from.Tokens, made: from.Tokens, total: max(total, from.Tokens+1),
+	s := &sequence{id: id, path: path, seed: Seed(prompt), firstToken: from.Tokens, nextToken: from.Tokens, totalTokens: max(total, from.Tokens+1),
 		prompt: prompt + from.Text, changed: make(chan struct{})}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.ledger[requestID]++
+	e.startCounts[requestID]++
 	fmt.Fprintf(e.Log, "%d %s\n", time.Now().UnixMilli(), requestID)
 	e.streams[id] = s
 	e.waiting = append(e.waiting, s)
-	e.kick()
+	e.notifyRun()
 	return s
 }
 
-func (e *Engine) kick() {
+func (e *Engine) notifyRun() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -298,7 +298,7 @@
 	s.cancelled = true
 	s.notify()
 	e.waiting = slices.DeleteFunc(e.waiting, func(w *sequence) bool { return w == s })
-	e.kick()
+	e.notifyRun()
 }
 
 // Crash loses every stream and the cache, as a restart would.
@@ -328,14 +328,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := map[string]int{}
-	for id, n := range e.ledger {
+	for id, n := range e.startCounts {
 		out[id] = n
 	}
 	return out
 }
 
-// order takes an instruction; false when its fencing number is old.
-func (e *Engine) order(o engine.Order) bool {
+// applyOrder takes an instruction; false when its fencing number is old.
+func (e *Engine) applyOrder(o engine.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.model.ChecksFence && o.Fence < e.fence {
--- a/lab/engine/http.go
+++ b/lab/engine/http.go
@@ -20,10 +20,10 @@
 	mux.HandleFunc("GET /v1/streams/{id}", e.resume)
 	mux.HandleFunc("DELETE /v1/streams/{id}", func(_ http.ResponseWriter, r *http.Request) { e.cancel(r.PathValue("id")) })
 	mux.HandleFunc("GET /load", e.load)
-	mux.HandleFunc("POST /orders", e.takeOrder)
+	mux.HandleFunc("POST /orders", e.handleOrder)
 	mux.HandleFunc("GET /events", e.showEvents)
 	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(e.StartCounts()) })
-	mux.HandleFunc("PUT /control/faults", e.control)
+	mux.HandleFunc("PUT /control/faults", e.handleFaults)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.currentFaults().Down && !strings.HasPrefix(r.URL.Path, "/control") {
 			panic(http.ErrAbortHandler)
@@ -52,7 +52,7 @@
 		http.Error(w, "internal error", http.StatusInternalServerError)
 		return
 	}
-	if !e.has(req.Model) {
+	if !e.isLoaded(req.Model) {
 		http.Error(w, "model not loaded: "+req.Model, http.StatusServiceUnavailable)
 		return
 	}
@@ -62,10 +62,10 @@
 	}
 	id := r.Header.Get(openai.HeaderRequestID)
 	s := e.submit(id+"."+r.Header.Get(openai.HeaderAttempt), id, r.URL.Path, &req, req.Continuation)
-	e.send(w, r, s, s.first)
+	e.send(w, r, s, s.firstToken)
 }
 
-func (e *Engine) has(model string) bool {
+func (e *Engine) isLoaded(model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.loaded) == 0 || slices.Contains(e.loaded, model)
@@ -80,23 +80,23 @@
 		return
 	}
 	offset, _ := strconv.Atoi(r.URL.Query().Get("offset"))
-	e.send(w, r, s, max(offset, s.first))
+	e.send(w, r, s, max(offset, s.firstToken))
 }
 
 // send streams a sequence's tokens from the given one on.
 func (e *Engine) send(w http.ResponseWriter, r *http.Request, s *sequence, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	out := &writer{w: w, answer: openai.Answer{ID: s.id, Path: s.path}, faults: e.currentFaults()}
+	out := &streamWriter{w: w, answer: openai.Answer{ID: s.id, Path: s.path}, faults: e.currentFaults()}
 	for next := from; ; {
 		e.mu.Lock()
-		made, cancelled, changed := s.made, s.cancelled, s.changed
+		made, cancelled, changed := s.nextToken, s.cancelled, s.changed
 		e.mu.Unlock()
 		for ; next < made; next++ {
 			out.token(s, next)
 		}
 		out.flush()
 		switch {
-		case made >= s.total:
+		case made >= s.totalTokens:
 			out.end()
 			return
 		case cancelled:
@@ -110,55 +110,55 @@
 	}
 }
 
-// writer sends tokens with the faults that concern them.
-type writer struct {
-	w      http.ResponseWriter
-	answer openai.Answer
-	faults Faults
-	late   []byte // a piece that is sent after the next
+// streamWriter sends tokens with the faults that concern them.
+type streamWriter struct {
+	w       http.ResponseWriter
+	answer  openai.Answer
+	faults  Faults
+	delayed []byte // a piece that is sent after the next
 }
 
-func (o *writer) token(s *sequence, i int) {
+func (o *streamWriter) token(s *sequence, i int) {
 	finish := ""
-	if i == s.total-1 {
+	if i == s.totalTokens-1 {
 		finish = "length"
 	}
 	piece := o.answer.Chunk(Token(s.seed, i), finish, i, 1)
 	if chance(o.faults.CutShare) {
 		panic(http.ErrAbortHandler)
 	}
-	if chance(o.faults.ReorderShare) && o.late == nil && finish == "" {
-		o.late = piece
+	if chance(o.faults.ReorderShare) && o.delayed == nil && finish == "" {
+		o.delayed = piece
 		return
 	}
 	o.w.Write(piece)
 	if chance(o.faults.RepeatShare) {
 		o.w.Write(piece)
 	}
-	if o.late != nil {
-		o.w.Write(o.late)
-		o.late = nil
+	if o.delayed != nil {
+		o.w.Write(o.delayed)
+		o.delayed = nil
 	}
 }
 
-func (o *writer) flush() { http.NewResponseController(o.w).Flush() }
+func (o *streamWriter) flush() { http.NewResponseController(o.w).Flush() }
 
-func (o *writer) end() { o.w.Write(openai.DoneEvent()) }
+func (o *streamWriter) end() { o.w.Write(openai.DoneEvent()) }
 
 func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	report := e.reported
+	report := e.lastReport
 	e.mu.Unlock()
 	json.NewEncoder(w).Encode(report)
 }
 
-func (e *Engine) takeOrder(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !e.order(o) {
+	if !e.applyOrder(o) {
 		http.Error(w, "old fencing number", http.StatusConflict)
 	}
 }
@@ -168,12 +168,12 @@
 	json.NewEncoder(w).Encode(e.events.since(since))
 }
 
-func (e *Engine) control(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.SetFaults(f)
-	e.kick()
+	e.notifyRun()
 }
