--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -1,5 +1,4 @@
-// Package client calls the callers' API as a user would and checks what comes
-// back.
+// Package client is a client of the callers' API that checks the answers.
 package client
 
 import (
@@ -19,18 +18,18 @@
 	"github.com/marblepond/marblepond/lab/engine"
 )
 
-// Caller is one workspace's access to the fleet.
+// Caller sends requests with the key of one workspace.
 type Caller struct {
 	HTTP *http.Client
 	Key  string
 }
 
-// New returns a caller with its own connections.
+// New returns a caller with its own connection pool.
 func New(key string) *Caller {
 	return &Caller{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, DisableCompression: true}}, Key: key}
 }
 
-// Prompt is one completion request.
+// Prompt is a completion request.
 type Prompt struct {
 	Model     string
 	Text      string
@@ -40,23 +39,23 @@
 	Timeout   time.Duration
 }
 
-// Outcome is what a request came to.
+// Outcome is the outcome of a completion request.
 type Outcome struct {
 	Status           int
 	RequestID        string
-	Kind             string // of a refusal
-	NotRun           string // of a refusal
+	Kind             string // error type of a refusal; "error_in_stream" if a stream ended in an error
+	NotRun           string // not-run header of a refusal
 	RetryAfter       string
 	Text             string
-	Accepted         bool // the first byte of a 200 arrived
-	Correct          bool // the answer ended properly and is the right one
+	Accepted         bool // the status was 200
+	Correct          bool // the answer is complete and the expected one
 	TimeToFirstToken time.Duration
 	Total            time.Duration
-	Gaps             []time.Duration // between tokens
-	Err              error           // of the connection
+	Gaps             []time.Duration // between events of the stream
+	Err              error           // error of the connection
 }
 
-// body is the completion request's JSON.
+// body is the JSON body of a completion request.
 type body struct {
 	Model     string           `json:"model"`
 	Messages  []openai.Message `json:"messages"`
@@ -154,7 +153,7 @@
 	return c.HTTP.Do(req)
 }
 
-// Call sends any call and returns status, header and body.
+// Call sends a request and returns status, header and body of the response.
 func (c *Caller) Call(ctx context.Context, method, addr, path string, data []byte, header map[string]string) (int, http.Header, []byte, error) {
 	resp, err := c.send(ctx, method, addr, path, data, header)
 	if err != nil {
@@ -165,7 +164,7 @@
 	return resp.StatusCode, resp.Header, out, err
 }
 
-// Batch is a batch as the API shows it.
+// Batch is a batch as returned by the API.
 type Batch struct {
 	ID           string       `json:"id"`
 	Status       string       `json:"status"`
@@ -173,7 +172,7 @@
 	Counts       batch.Counts `json:"request_counts"`
 }
 
-// Submit uploads a file and makes a batch of it.
+// Submit uploads a file and creates a batch of it.
 func (c *Caller) Submit(ctx context.Context, addr string, jsonl []byte, key string, options string) (Batch, error) {
 	file, err := c.Upload(ctx, addr, jsonl)
 	if err != nil {
@@ -191,7 +190,8 @@
 	return file.ID, err
 }
 
-// Create makes a batch of an uploaded file. options are further JSON fields.
+// Create creates a batch of an uploaded file. options holds further JSON fields, with a
+// leading comma.
 func (c *Caller) Create(ctx context.Context, addr, fileID, key, options string) (Batch, error) {
 	var b Batch
 	header := map[string]string{}
@@ -209,15 +209,14 @@
 	return b, err
 }
 
-// Cancel asks a batch to stop.
+// Cancel requests the cancellation of a batch.
 func (c *Caller) Cancel(ctx context.Context, addr, id string) (Batch, error) {
 	var b Batch
 	err := c.json(ctx, http.MethodPost, addr, "/v1/batches/"+id+"/cancel", nil, nil, &b)
 	return b, err
 }
 
-// Results reads a batch's results by item ID; an item that stands twice is an
-// error.
+// Results returns the results of a batch by item ID. It fails if an item occurs twice.
 func (c *Caller) Results(ctx context.Context, addr, outputFile string) (map[string]batch.Result, error) {
 	resp, err := c.send(ctx, http.MethodGet, addr, "/v1/files/"+outputFile+"/content", nil, nil)
 	if err != nil {
@@ -225,7 +224,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("results answered %d", resp.StatusCode)
+		return nil, fmt.Errorf("read results of %s: status %d", outputFile, resp.StatusCode)
 	}
 	out := map[string]batch.Result{}
 	decoder := json.NewDecoder(resp.Body)
@@ -239,13 +238,13 @@
 			return nil, err
 		}
 		if _, twice := out[r.CustomID]; twice {
-			return nil, fmt.Errorf("item %s stands twice in the results", r.CustomID)
+			return nil, fmt.Errorf("item %s occurs twice in the results", r.CustomID)
 		}
 		out[r.CustomID] = r
 	}
 }
 
-// WaitBatch polls a batch until it is final.
+// WaitBatch polls a batch until it is completed or cancelled.
 func (c *Caller) WaitBatch(ctx context.Context, addr, id string) (Batch, error) {
 	for {
 		b, err := c.Batch(ctx, addr, id)
@@ -266,18 +265,18 @@
 		return err
 	}
 	if status >= http.StatusMultipleChoices {
-		return fmt.Errorf("%s %s answered %d: %s", method, path, status, bytes.TrimSpace(out))
+		return fmt.Errorf("%s %s: status %d: %s", method, path, status, bytes.TrimSpace(out))
 	}
 	return json.Unmarshal(out, into)
 }
 
-// Item returns a JSONL line of a chat item.
+// Item returns the JSONL line of a chat completion item.
 func Item(id, model, text string, maxTokens int) string {
 	b, _ := json.Marshal(body{Model: model, Messages: []openai.Message{{Role: "user", Content: text}}, MaxTokens: maxTokens})
 	return fmt.Sprintf(`{"custom_id":%q,"method":"POST","url":%q,"body":%s}`+"\n", id, openai.ChatPath, b)
 }
 
-// ItemCorrect reports whether an item's result is the right answer.
+// ItemCorrect reports whether the result of an item is the expected answer.
 func ItemCorrect(r batch.Result, text string, maxTokens int) bool {
 	if r.Response == nil {
 		return false
--- a/lab/cmd/marblelab/explain.go
+++ b/lab/cmd/marblelab/explain.go
@@ -13,14 +13,14 @@
 )
 
 func explainCommand() *cli.Command {
-	return &cli.Command{Name: "explain", Usage: "tell from the logs of nodes where the time of late requests and items went", ArgsUsage: "LOG...",
+	return &cli.Command{Name: "explain", Usage: "show from the logs of nodes in which phase late requests and items spent their time", ArgsUsage: "LOG...",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "first", Value: 300 * time.Millisecond, Usage: "objective of the first event"},
-			&cli.DurationFlag{Name: "pause", Value: 250 * time.Millisecond, Usage: "longest pause between events"},
-			&cli.DurationFlag{Name: "due", Value: 18 * time.Second, Usage: "time after which a job is due"}},
+			&cli.DurationFlag{Name: "first", Value: 300 * time.Millisecond, Usage: "maximum time to the first event"},
+			&cli.DurationFlag{Name: "pause", Value: 250 * time.Millisecond, Usage: "maximum pause between events"},
+			&cli.DurationFlag{Name: "due", Value: 18 * time.Second, Usage: "time from the submission of a job to its due time"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.NArg() == 0 {
-				return errors.New("name at least one log")
+				return errors.New("no log file given")
 			}
 			return explainLogs(c.Args().Slice(), explain.Limits{FirstEvent: c.Duration("first"), Pause: c.Duration("pause")}, c.Duration("due"))
 		}}
--- a/lab/cmd/marblelab/main.go
+++ b/lab/cmd/marblelab/main.go
@@ -1,5 +1,5 @@
-// Command marblelab holds the stand-ins of the outside systems and the tools
-// that try the product out.
+// Command marblelab runs the stand-ins for external systems, the demo, and the tools that test
+// and measure the product.
 package main
 
 import (
@@ -35,7 +35,7 @@
 		Commands: []*cli.Command{
 			platformCommand(), engineCommand(), serviceCommand(),
 			soakCommand(), hostedSoakCommand(), modelCommand(), explainCommand(), loadCommand(), overheadCommand(), reportCommand(),
-			{Name: "capacity", Usage: "measure the slopes of docs/CAPACITY.md", Action: func(context.Context, *cli.Command) error {
+			{Name: "capacity", Usage: "measure how costs grow with the size of the fleet, for docs/CAPACITY.md", Action: func(context.Context, *cli.Command) error {
 				capacity.Run(os.Stdout)
 				return nil
 			}},
@@ -51,9 +51,9 @@
 }
 
 func soakCommand() *cli.Command {
-	return &cli.Command{Name: "soak", Usage: "random faults over separate processes, checked",
+	return &cli.Command{Name: "soak", Usage: "inject random faults into a fleet of processes and check what callers saw",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`N` that gives the plan of faults"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed `N` of the plan of faults"},
 			&cli.DurationFlag{Name: "for", Value: time.Minute, Usage: "`TIME` under load and faults"},
 			&cli.StringFlag{Name: "dir", Usage: "`FOLDER` for logs and ledgers"},
 			&cli.IntFlag{Name: "net", Value: 40, Usage: "second byte of the addresses, 127.`N`.x.y"}},
@@ -63,12 +63,12 @@
 }
 
 func hostedSoakCommand() *cli.Command {
-	return &cli.Command{Name: "hostedsoak", Usage: "random faults over processes of hosted nodes, checked",
+	return &cli.Command{Name: "hostedsoak", Usage: "inject random faults into processes of hosted nodes and check what callers saw",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`N` that gives the plan of faults; 0: drawn now"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed `N` of the plan of faults; 0: derived from the time"},
 			&cli.DurationFlag{Name: "for", Value: 30 * time.Second, Usage: "`TIME` under load and faults"},
 			&cli.StringFlag{Name: "dir", Usage: "`FOLDER` for settings and logs"},
-			&cli.StringFlag{Name: "bin", Usage: "`FOLDER` of the binaries; built when it is not given"},
+			&cli.StringFlag{Name: "bin", Usage: "`FOLDER` of the binaries; without it they are built"},
 			&cli.IntFlag{Name: "net", Value: 90, Usage: "second byte of the addresses, 127.`N`.x.y"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			seed := c.Uint64("seed")
@@ -98,7 +98,7 @@
 }
 
 func overheadCommand() *cli.Command {
-	return &cli.Command{Name: "overhead", Usage: "measure what a node adds to calling an engine straight",
+	return &cli.Command{Name: "overhead", Usage: "measure the cost of a node compared with direct calls of an engine",
 		Flags: []cli.Flag{&cli.IntFlag{Name: "net", Value: 70, Usage: "second byte of the addresses, 127.`N`.x.y"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			dir, err := os.MkdirTemp("", "overhead")
@@ -135,7 +135,7 @@
 	return &cli.StringFlag{Name: "listen", Required: true, Usage: "`IP:PORT`"}
 }
 
-// serve answers until ctx ends.
+// serve runs an HTTP server until ctx ends.
 func serve(ctx context.Context, addr string, h http.Handler) error {
 	server := &http.Server{Addr: addr, Handler: h}
 	go func() {
@@ -149,10 +149,10 @@
 }
 
 func ledgerFlag() cli.Flag {
-	return &cli.StringFlag{Name: "ledger", Usage: "`FILE` that every start is appended to"}
+	return &cli.StringFlag{Name: "ledger", Usage: "`FILE` to which a line is appended for each start of a request or operation"}
 }
 
-// openLedger opens the ledger named by the flags; without one it discards.
+// openLedger opens the file of the flag --ledger; without it lines are discarded.
 func openLedger(c *cli.Command) (io.Writer, error) {
 	if c.String("ledger") == "" {
 		return io.Discard, nil
@@ -161,21 +161,21 @@
 }
 
 func platformCommand() *cli.Command {
-	return &cli.Command{Name: "platform", Usage: "stand-in of the platform", Flags: []cli.Flag{listenFlag()},
+	return &cli.Command{Name: "platform", Usage: "run a stand-in for the platform", Flags: []cli.Flag{listenFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return serve(ctx, c.String("listen"), platform.New())
 		}}
 }
 
 func engineCommand() *cli.Command {
-	return &cli.Command{Name: "engine", Usage: "stand-in of a model engine",
+	return &cli.Command{Name: "engine", Usage: "run a stand-in for a model engine",
 		Flags: []cli.Flag{listenFlag(),
-			&cli.StringSliceFlag{Name: "loaded", Usage: "`NAMES` loaded from the start"},
-			&cli.IntFlag{Name: "max-running", Value: engine.DefaultModel().MaxRunning, Usage: "sequences run together"},
-			&cli.DurationFlag{Name: "step", Value: engine.DefaultModel().StepBase, Usage: "base time of a step"},
-			&cli.BoolFlag{Name: "instant", Usage: "no cost: to measure what is before the engine"},
+			&cli.StringSliceFlag{Name: "loaded", Usage: "`NAMES` of the models that are loaded from the start"},
+			&cli.IntFlag{Name: "max-running", Value: engine.DefaultModel().MaxRunning, Usage: "maximum number of running sequences"},
+			&cli.DurationFlag{Name: "step", Value: engine.DefaultModel().StepBase, Usage: "base duration of a step"},
+			&cli.BoolFlag{Name: "instant", Usage: "steps take no time, to measure what is in front of the engine"},
 			ledgerFlag(),
-			&cli.BoolFlag{Name: "ignore-fence", Usage: "take orders with an old fencing number"}},
+			&cli.BoolFlag{Name: "ignore-fence", Usage: "accept orders with a stale fencing token"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			model := engine.DefaultModel()
 			model.MaxRunning, model.StepBase = c.Int("max-running"), c.Duration("step")
@@ -192,8 +192,8 @@
 }
 
 func serviceCommand() *cli.Command {
-	return &cli.Command{Name: "service", Usage: "stand-in of a plain service",
-		Flags: []cli.Flag{listenFlag(), ledgerFlag(), &cli.DurationFlag{Name: "delay", Value: 5 * time.Millisecond, Usage: "before a call is carried out"}},
+	return &cli.Command{Name: "service", Usage: "run a stand-in for a plain service",
+		Flags: []cli.Flag{listenFlag(), ledgerFlag(), &cli.DurationFlag{Name: "delay", Value: 5 * time.Millisecond, Usage: "delay before a call runs"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			ledger, err := openLedger(c)
 			if err != nil {
--- a/lab/cmd/marblelab/model.go
+++ b/lab/cmd/marblelab/model.go
@@ -13,14 +13,14 @@
 )
 
 func modelCommand() *cli.Command {
-	return &cli.Command{Name: "model", Usage: "play loads over modelled engines in virtual time, with the product's decisions",
+	return &cli.Command{Name: "model", Usage: "simulate loads on modelled engines in virtual time, with the product's scheduling code",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "load", Usage: "`NAME` of a load, may be given again; all when none is: " + strings.Join(model.Loads(), ", ")},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`N` that gives the course of events"},
+			&cli.StringSliceFlag{Name: "load", Usage: "`NAME` of a load, may be repeated; all loads if none is given: " + strings.Join(model.Loads(), ", ")},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed `N` of the random events"},
 			&cli.IntFlag{Name: "centres", Value: model.Small.DataCentres, Usage: "`N` data centres"},
 			&cli.IntFlag{Name: "nodes", Value: model.Small.NodesPerDataCentre, Usage: "`N` nodes in each"},
 			&cli.IntFlag{Name: "targets", Value: model.Small.TargetsPerDataCentre, Usage: "`N` targets in each"},
-			&cli.StringFlag{Name: "plots", Usage: "draw what slots do over time into this `FOLDER`"}},
+			&cli.StringFlag{Name: "plots", Usage: "write plots of the use of slots over time into this `FOLDER`"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			names := c.StringSlice("load")
 			if len(names) == 0 {
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs a small fleet in one process on files of order notes and
-// attestations, online and batch together, and checks every answer.
+// Package demo runs a small fleet in one process. It sends order notes as online requests and
+// attestations as a batch at the same time, and checks every answer.
 package demo
 
 import (
@@ -35,11 +35,11 @@
 	onlineTime   = 12 * time.Second
 	answerTokens = 24 // tokens
 	timeout      = 50 * time.Second
-	// progressInterval is the time between lines of progress.
+	// progressInterval is the time between updates of the progress line.
 	progressInterval = 500 * time.Millisecond
 )
 
-// layout is three nodes in two data centres before four engines.
+// layout returns three nodes and four engines in two data centres.
 func layout() deployment.Layout {
 	return deployment.Layout{
 		Net: 20, DataCentres: []string{"hall-a", "hall-b"}, Nodes: []int{2, 1}, Engines: 2, EngineName: model,
@@ -49,24 +49,24 @@
 	}
 }
 
-// demoRun is the demo's state.
+// demoRun is the state of a run of the demo.
 type demoRun struct {
 	fleet    *deployment.Embedded
 	caller   *client.Caller
 	mu       sync.Mutex
 	outcomes []client.Outcome
 
-	submitted time.Time // the batch
-	finished  time.Time // first seen with all items completed
+	submitted time.Time // when the batch was submitted
+	finished  time.Time // when all its items were first seen completed
 }
 
-// Run runs the demo and writes progress and a table to out. It returns an
-// error unless every accepted request and item got exactly one whole answer.
+// Run runs the demo and writes progress and a table to out. It fails unless every accepted
+// request and item got exactly one complete answer.
 func Run(out io.Writer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	start := time.Now()
-	fmt.Fprintln(out, "starting three nodes in two data centres, four engines and a platform, all embedded")
+	fmt.Fprintln(out, "starting three nodes in two data centres, four engines and a platform, all in this process")
 	f, err := deployment.Start(layout())
 	if err != nil {
 		return err
@@ -99,13 +99,13 @@
 		failures = append(failures, stopErr.Error())
 	}
 	if len(failures) > 0 {
-		return fmt.Errorf("not every accepted one got exactly one whole answer:\n%s", strings.Join(failures, "\n"))
+		return fmt.Errorf("not every accepted request and item got exactly one complete answer:\n%s", strings.Join(failures, "\n"))
 	}
-	fmt.Fprintln(out, "every accepted request and item got exactly one whole answer")
+	fmt.Fprintln(out, "every accepted request and item got exactly one complete answer")
 	return nil
 }
 
-// sendOnline sends the order notes at a steady rate to all nodes in turn.
+// sendOnline sends the order notes at a constant rate to all nodes in turn.
 func (r *demoRun) sendOnline(ctx context.Context) {
 	notes := strings.Split(strings.TrimSpace(orderNotes), "\n")
 	addrs := []string{r.fleet.CallerAddr(0, 0), r.fleet.CallerAddr(0, 1), r.fleet.CallerAddr(1, 0)}
@@ -125,6 +125,7 @@
 	wg.Wait()
 }
 
+// showProgress prints the progress until ctx ends, and records when the batch is completed.
 func (r *demoRun) showProgress(ctx context.Context, out io.Writer, jobID string, start time.Time) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
@@ -149,15 +150,15 @@
 	}
 }
 
-// check compares every answer with what the engines must have said.
+// check compares every answer with the expected one and returns the failures.
 func (r *demoRun) check(ctx context.Context, job client.Batch) []string {
 	var failures []string
 	for _, o := range r.outcomes {
 		if o.Accepted && !o.Correct {
-			failures = append(failures, "broken answer: "+o.RequestID)
+			failures = append(failures, "incomplete or wrong answer: "+o.RequestID)
 		}
 		if o.Err != nil {
-			failures = append(failures, "connection: "+o.Err.Error())
+			failures = append(failures, "connection failed: "+o.Err.Error())
 		}
 	}
 	results, err := r.caller.Results(ctx, r.fleet.CallerAddr(1, 0), job.OutputFileID)
@@ -173,7 +174,7 @@
 		json.Unmarshal(lines.Bytes(), &line)
 		json.Unmarshal(line.Body, &body)
 		if !client.ItemCorrect(results[line.CustomID], body.Messages[0].Content, body.MaxTokens) {
-			failures = append(failures, "broken item: "+line.CustomID)
+			failures = append(failures, "incomplete or wrong result of item: "+line.CustomID)
 		}
 	}
 	if len(results) != items {
@@ -200,7 +201,7 @@
 	}
 	slices.Sort(first)
 	fmt.Fprintf(out, "\n%-28s %8s\n", "online", "")
-	fmt.Fprintf(out, "  %-26s %8d\n  %-26s %8d\n", "accepted", accepted, "answered whole", correct)
+	fmt.Fprintf(out, "  %-26s %8d\n  %-26s %8d\n", "accepted", accepted, "answered completely", correct)
 	for kind, n := range refused {
 		fmt.Fprintf(out, "  refused: %-17s %8d\n", kind, n)
 	}
--- a/lab/engine/cache.go
+++ b/lab/engine/cache.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// prefixCache keeps the newest blocks of prompts, by the hash of the prompt
-// up to the block's end.
+// prefixCache is a least-recently-used cache of prompt blocks. The key of a block is the hash
+// of the prompt up to its end.
 type prefixCache struct {
 	limit  int
 	blocks map[uint64]*list.Element
-	order  *list.List // most recent first
+	order  *list.List // most recently used first
 }
 
 func newPrefixCache(limit int) *prefixCache {
@@ -44,14 +44,14 @@
 	return missed + len(prompt)%blockChars/charsPerToken + 1
 }
 
-// CacheEvent says that a prompt's blocks are cached.
+// CacheEvent reports that the blocks of a prompt were cached.
 type CacheEvent struct {
 	Seq    int64  `json:"seq"`
 	Prefix uint64 `json:"prefix"`
 }
 
-// eventLog keeps the last cache events. They are shown late, and those that
-// were overwritten are missing.
+// eventLog holds the last maxEvents cache events; older ones are lost. An event is returned
+// only after eventDelay.
 type eventLog struct {
 	mu     sync.Mutex
 	seq    int64
--- a/lab/engine/engine.go
+++ b/lab/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the stand-in of a model engine: an OpenAI-style interface
-// over a model of continuous batching. Its answers are a function of the
-// prompt, so that a checker can tell a whole answer from a broken one.
+// Package engine simulates a model engine: an OpenAI-style interface over a model of
+// continuous batching. Its answers are a function of the prompt, so that a test can check that
+// an answer is complete and correct.
 package engine
 
 import (
@@ -17,35 +17,35 @@
 	"github.com/marblepond/marblepond/internal/connection/openai"
 )
 
-// Model is the cost model. The time of a step is the sum of a base, a part
-// for each running sequence, and a part for each prompt token prefilled in it.
+// Model is the cost model. The time of a step is StepBase, plus StepPerSeq for each running
+// sequence, plus PrefillPerToken for each prompt token prefilled in the step.
 type Model struct {
 	MaxRunning         int
 	StepBase           time.Duration
 	StepPerSeq         time.Duration
 	PrefillPerToken    time.Duration
-	PrefillChunk       int // prompt tokens prefilled in one step at most
-	CacheBlocks        int // blocks of blockTokens kept of earlier prompts
+	PrefillChunk       int // maximum number of prompt tokens prefilled in a step
+	CacheBlocks        int // size of the prefix cache, in blocks of blockTokens
 	LoadReportInterval time.Duration
 	ModelLoadTime      time.Duration
 	ChecksFence        bool
-	Instant            bool // no cost at all: to measure what is before the engine
+	Instant            bool // steps take no time, to measure what is in front of the engine
 }
 
-// DefaultModel is a memory-bound decoder: a step of 15 ms that grows by a
-// fifth when full.
+// DefaultModel returns the model of a memory-bound decoder: a step takes 15 ms, and a fifth
+// more when the engine is full.
 func DefaultModel() Model {
 	return Model{MaxRunning: 32, StepBase: 15 * time.Millisecond, StepPerSeq: 100 * time.Microsecond, PrefillPerToken: 40 * time.Microsecond,
 		PrefillChunk: 512, CacheBlocks: 2000, LoadReportInterval: 200 * time.Millisecond, ModelLoadTime: 300 * time.Millisecond, ChecksFence: true}
 }
 
-// Faults can be switched on while the engine runs.
+// Faults are the failures to simulate.
 type Faults struct {
-	Hang         bool    `json:"hang"`          // takes requests, answers health, makes no progress
-	FailShare    float64 `json:"fail_share"`    // requests answered with 500
-	CutShare     float64 `json:"cut_share"`     // chance per token that the connection breaks
-	RepeatShare  float64 `json:"repeat_share"`  // chance per piece that it is sent twice
-	ReorderShare float64 `json:"reorder_share"` // chance per piece that it is sent after the next
+	Hang         bool    `json:"hang"`          // accepts requests and reports load, but makes no progress
+	FailShare    float64 `json:"fail_share"`    // share of requests answered with 500
+	CutShare     float64 `json:"cut_share"`     // probability, per token, that the connection breaks
+	RepeatShare  float64 `json:"repeat_share"`  // probability, per chunk, that it is sent twice
+	ReorderShare float64 `json:"reorder_share"` // probability, per chunk, that it is sent after the next one
 	Down         bool    `json:"down"`          // every connection is closed
 }
 
@@ -53,19 +53,19 @@
 	charsPerToken    = 4
 	blockTokens      = 16
 	defaultMaxTokens = 16
-	// resumeTime is how long an ended stream can be resumed.
+	// resumeTime is how long a stream can be resumed after its end.
 	resumeTime = 10 * time.Second
-	// CrashMarker in a prompt crashes the engine: an item that can never be done.
+	// CrashMarker in a prompt crashes the engine; such a request can never be completed.
 	CrashMarker = "<crash-engine>"
 )
 
-// sequence is one request inside the engine.
+// sequence is a request in the engine.
 type sequence struct {
 	id          string
 	path        string
 	seed        uint64
-	firstToken  int // index of the first token to make
-	totalTokens int // tokens of the whole answer
+	firstToken  int // index of the first token to generate
+	totalTokens int // tokens of the complete answer
 	prefillLeft int // prompt tokens still to be prefilled
 	prompt      string
 	nextToken   int // index of the next token
@@ -74,7 +74,7 @@
 	changed     chan struct{}
 }
 
-// Engine is the stand-in.
+// Engine is a simulated engine.
 type Engine struct {
 	// Log gets a line for each start: Unix milliseconds, request ID.
 	Log   io.Writer
@@ -99,7 +99,7 @@
 	events      *eventLog
 }
 
-// New returns an engine; Run drives it.
+// New returns an engine that has loaded the given models. Run runs it.
 func New(model Model, loaded ...string) *Engine {
 	e := &Engine{Log: io.Discard, model: model, streams: map[string]*sequence{}, cache: newPrefixCache(model.CacheBlocks), loaded: loaded,
 		loading: map[string]time.Time{}, startCounts: map[string]int{}, wake: make(chan struct{}, 1), events: newEventLog()}
@@ -108,28 +108,28 @@
 	return e
 }
 
-// SetFaults switches faults.
+// SetFaults replaces the faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// Token returns the i-th token of the answer to a prompt.
+// Token returns the i-th token of the answer to the prompt with the given seed.
 func Token(seed uint64, i int) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d.%d", seed, i)
 	return fmt.Sprintf("%04x ", h.Sum64()&0xffff)
 }
 
-// Seed returns what the answer to a prompt is made from.
+// Seed returns the hash of a prompt, from which its answer is derived.
 func Seed(prompt string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(prompt))
 	return h.Sum64()
 }
 
-// Answer returns the whole answer to a prompt.
+// Answer returns the complete answer to a prompt.
 func Answer(prompt string, tokens int) string {
 	var b strings.Builder
 	seed := Seed(prompt)
@@ -139,7 +139,7 @@
 	return b.String()
 }
 
-// Run makes steps until done is closed.
+// Run runs steps. It returns if done is closed while the engine is idle.
 func (e *Engine) Run(done <-chan struct{}) {
 	go e.reportLoop(done)
 	next := time.Now()
@@ -207,7 +207,8 @@
 	}
 }
 
-// step admits waiting sequences and returns the time of the next step.
+// step admits waiting sequences, prefills the running ones and returns the duration of the
+// step. It returns false if there is nothing to run.
 func (e *Engine) step() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -235,7 +236,8 @@
 	return e.model.StepBase + time.Duration(len(e.running))*e.model.StepPerSeq + time.Duration(prefilled)*e.model.PrefillPerToken, true
 }
 
-// emitTokens gives every prefilled running sequence its next token.
+// emitTokens generates the next token of each running sequence whose prompt is prefilled, and
+// removes the sequences that have ended.
 func (e *Engine) emitTokens() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -261,7 +263,7 @@
 	s.changed = make(chan struct{})
 }
 
-// submit starts a sequence.
+// submit queues a sequence for a request, after the tokens of the continuation.
 func (e *Engine) submit(id, requestID, path string, req *openai.Request, from openai.Continuation) *sequence {
 	prompt := req.Text()
 	total := req.MaxTokens
@@ -280,6 +282,7 @@
 	return s
 }
 
+// notifyRun wakes Run if it is idle.
 func (e *Engine) notifyRun() {
 	select {
 	case e.wake <- struct{}{}:
@@ -301,7 +304,7 @@
 	e.notifyRun()
 }
 
-// Crash loses every stream and the cache, as a restart would.
+// Crash simulates a crash and restart: it drops all streams and the cache.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -316,7 +319,7 @@
 	e.cache = newPrefixCache(e.model.CacheBlocks)
 }
 
-// Crashes returns how often the engine has crashed.
+// Crashes returns the number of crashes.
 func (e *Engine) Crashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -334,7 +337,8 @@
 	return out
 }
 
-// applyOrder takes an instruction; false when its fencing number is old.
+// applyOrder applies an order to load or unload a model. It returns false if the fencing token
+// is stale.
 func (e *Engine) applyOrder(o engine.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -352,13 +356,13 @@
 	return true
 }
 
-// Tokens counts the tokens made, by what asked for them.
+// Tokens holds the numbers of tokens generated for online requests and for batch items.
 type Tokens struct {
 	Online int64
 	Batch  int64
 }
 
-// batchPrefix starts the request IDs of batch items.
+// batchPrefix is the prefix of the request IDs of batch items.
 const batchPrefix = "batch_"
 
 func (t *Tokens) count(id string) {
@@ -369,17 +373,18 @@
 	}
 }
 
-// Tokens returns the tokens made so far.
+// Tokens returns the numbers of tokens generated so far.
 func (e *Engine) Tokens() Tokens {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.tokens
 }
 
-// MaxTokenRate returns the tokens a second of an engine that is full.
+// MaxTokenRate returns the tokens per second of a full engine, without prefill.
 func (m Model) MaxTokenRate() float64 {
 	step := m.StepBase + time.Duration(m.MaxRunning)*m.StepPerSeq
 	return float64(m.MaxRunning) / step.Seconds()
 }
 
+// chance returns true with the given probability.
 func chance(share float64) bool { return share > 0 && rand.Float64() < share }
--- a/lab/engine/http.go
+++ b/lab/engine/http.go
@@ -83,7 +83,7 @@
 	e.send(w, r, s, max(offset, s.firstToken))
 }
 
-// send streams a sequence's tokens from the given one on.
+// send streams the tokens of a sequence, starting at index from.
 func (e *Engine) send(w http.ResponseWriter, r *http.Request, s *sequence, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	out := &streamWriter{w: w, answer: openai.Answer{ID: s.id, Path: s.path}, faults: e.currentFaults()}
@@ -105,17 +105,17 @@
 		select {
 		case <-changed:
 		case <-r.Context().Done():
-			return // the sequence goes on and can be resumed
+			return // the sequence keeps running, and its stream can be resumed
 		}
 	}
 }
 
-// streamWriter sends tokens with the faults that concern them.
+// streamWriter writes the chunks of a stream and applies the faults to them.
 type streamWriter struct {
 	w       http.ResponseWriter
 	answer  openai.Answer
 	faults  Faults
-	delayed []byte // a piece that is sent after the next
+	delayed []byte // a chunk to be sent after the next one
 }
 
 func (o *streamWriter) token(s *sequence, i int) {
@@ -159,7 +159,7 @@
 		return
 	}
 	if !e.applyOrder(o) {
-		http.Error(w, "old fencing number", http.StatusConflict)
+		http.Error(w, "stale fencing token", http.StatusConflict)
 	}
 }
 
--- a/lab/procs/procs.go
+++ b/lab/procs/procs.go
@@ -189,7 +189,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("control %s answered %d", what, resp.StatusCode)
+		return fmt.Errorf("control %s: status %d", what, resp.StatusCode)
 	}
 	return nil
 }
