--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Breaks one mechanism at a time in a scratch copy and runs the test that is to
-# notice. A test that passes over a broken mechanism fails this check.
+# Mutation test: breaks one mechanism at a time in a scratch copy and runs the test that must
+# fail then. A test that still passes fails this check. The point of a mutant is the number of
+# the users' requirement that the mechanism serves.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 copy=$(mktemp -d)
--- a/scripts/first-steps.sh
+++ b/scripts/first-steps.sh
@@ -1,35 +1,36 @@
 #!/usr/bin/env bash
-# A new user's first steps against a running fleet, by curl.
+# Runs a new user's first steps against a fleet with curl, and checks the answers. Settings
+# come from the environment:
 #
-#   A, B        callers' addresses of two nodes of one data centre (IP:port)
-#   C           the same of a node of another data centre
-#   KEY         a workspace's key
+#   A, B        caller addresses of two nodes of one data centre (IP:port)
+#   C           caller address of a node of another data centre
+#   KEY         the key of a workspace
 #   MODEL       a model service of the fleet
-#   MARBLEPOND  the marblepond program; MARBLEPOND_NODE and
-#               MARBLEPOND_OPERATOR_KEY name a node for operators
-#   INTENT      an intent that differs from the one in force
+#   MARBLEPOND  the marblepond program; it reads a node's peer address from MARBLEPOND_NODE
+#               and the operators' key from MARBLEPOND_OPERATOR_KEY
+#   INTENT      file of an intent that differs from the one in force
 set -euo pipefail
 auth=(-sS -H "Authorization: Bearer $KEY")
 say() { printf '\n== %s\n' "$*"; }
 field() { sed -n "s/.*\"$1\":\"\([^\"]*\)\".*/\1/p"; }
 expect() { grep -q -- "$1" <<<"$2" || { echo "expected $1 in: $2"; exit 1; }; }
 
-say "an answer in one piece"
+say "an answer without streaming"
 whole=$(curl "${auth[@]}" "http://$A/v1/chat/completions" -d "{\"model\":\"$MODEL\",\"max_tokens\":8,\"messages\":[{\"role\":\"user\",\"content\":\"Which slabs are in stock?\"}]}")
 echo "$whole"
 expect '"finish_reason":"length"' "$whole"
 id=$(field id <<<"$whole")
 
-say "the same answer again, from another data centre"
+say "the same answer, read by its ID in another data centre"
 again=$(curl "${auth[@]}" "http://$C/v1/responses/$id")
 [ "$again" = "$whole" ] || { echo "differs: $again"; exit 1; }
 
 say "a streamed answer"
 stream=$(curl "${auth[@]}" -N "http://$A/v1/chat/completions" -d "{\"model\":\"$MODEL\",\"stream\":true,\"max_tokens\":8,\"messages\":[{\"role\":\"user\",\"content\":\"Read this order note.\"}]}")
 expect 'data: \[DONE\]' "$stream"
-echo "$(grep -c '^data: {' <<<"$stream") pieces"
+echo "$(grep -c '^data: {' <<<"$stream") chunks"
 
-say "a resend with the same key joins, with another body is refused"
+say "a resend with the same key gets the same answer, one with another body is refused"
 body="{\"model\":\"$MODEL\",\"max_tokens\":4,\"messages\":[{\"role\":\"user\",\"content\":\"once\"}]}"
 first=$(curl "${auth[@]}" -H 'Idempotency-Key: k1' "http://$A/v1/chat/completions" -d "$body")
 second=$(curl "${auth[@]}" -H 'Idempotency-Key: k1' "http://$B/v1/chat/completions" -d "$body")
@@ -49,7 +50,7 @@
 file=$(printf '%s\n' "$items" | curl "${auth[@]}" "http://$A/v1/files" -F purpose=batch -F file=@- | field id)
 batch=$(curl "${auth[@]}" -H 'Idempotency-Key: b1' "http://$A/v1/batches" -d "{\"input_file_id\":\"$file\",\"endpoint\":\"/v1/chat/completions\",\"completion_window\":\"24h\"}" | field id)
 same=$(curl "${auth[@]}" -H 'Idempotency-Key: b1' "http://$B/v1/batches" -d "{\"input_file_id\":\"$file\",\"endpoint\":\"/v1/chat/completions\",\"completion_window\":\"24h\"}" | field id)
-[ "$batch" = "$same" ] || { echo "sent twice, two batches: $batch $same"; exit 1; }
+[ "$batch" = "$same" ] || { echo "two batches for one key: $batch $same"; exit 1; }
 for _ in $(seq 100); do
   shown=$(curl "${auth[@]}" "http://$C/v1/batches/$batch")
   grep -q '"status":"completed"' <<<"$shown" && break
@@ -74,16 +75,16 @@
 echo "$shown"
 expect '"status":"cancelled"' "$shown"
 
-say "operators: status, plan, confirm, and a second confirm of the same plan"
+say "operators: status, plan, apply, and a second apply of the same plan"
 "$MARBLEPOND" status
 planned=$("$MARBLEPOND" plan -f "$INTENT")
 echo "$planned"
 base=$(sed -n 's/^base version \([0-9]*\),.*/\1/p' <<<"$planned")
 "$MARBLEPOND" apply -f "$INTENT" --base "$base"
-if "$MARBLEPOND" apply -f "$INTENT" --base "$base"; then echo "a stale plan was confirmed"; exit 1; fi
+if "$MARBLEPOND" apply -f "$INTENT" --base "$base"; then echo "a stale plan was applied"; exit 1; fi
 "$MARBLEPOND" targets
 
-say "the time line of one request, over all nodes"
+say "the timeline of one request, over all nodes"
 line=$("$MARBLEPOND" timeline --request "$id")
 echo "$line"
 expect 'request_answered' "$line"
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Regenerates the Go code of api/ (protoc, protoc-gen-go, protoc-gen-connect-go on PATH).
+# Regenerates the Go code of api/. Needs protoc, protoc-gen-go and protoc-gen-connect-go on
+# PATH.
 set -e
 cd "$(dirname "$0")/../api"
 protoc --go_out=. --go_opt=paths=source_relative \
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,26 +1,27 @@
 /*
- * Claim and dispatch of a non-idempotent request with lost platform answers.
+ * Claim and dispatch of a non-idempotent request while answers of the
+ * platform are lost.
  *
- * Two nodes get the same key. A node sends a create that may take effect late
- * or lose its answer; it dispatches only once it knows that the claim in
- * force carries its token. A node that can't tell in time refuses with "not
- * run" and gives its claim up by a conditional tombstone; the key may then be
- * claimed again.
+ * Two nodes receive a request with the same key. A node sends a create of the
+ * claim, which may take effect late or lose its answer. The node dispatches
+ * the request only once it knows that the current claim has its token. A node
+ * that does not know in time refuses with "not run" and abandons its claim by
+ * writing a tombstone conditionally; then the key may be claimed again.
  *
  * Properties: at most one dispatch per key; a node that refused with "not
  * run" never dispatches.
  *
- * BROKEN: a node takes a lost answer for a success.
+ * BROKEN: a node treats a lost answer as a success.
  */
 #define NODES 2
 #define TRIES 2
 
-byte holder = 0;          /* token of the claim in force; 0: absent */
-bool abandoned = false;   /* the claim in force is a tombstone */
+byte holder = 0;          /* token of the current claim; 0: none */
+bool abandoned = false;   /* the current claim is a tombstone */
 byte dispatched = 0;
 byte tokens = 0;
 
-/* creates that are still on their way: token, 0 for none */
+/* creates in transit, by node: token; 0: none */
 byte wandering[NODES];
 
 inline create(t, effect) {   /* create if absent */
@@ -32,7 +33,7 @@
   }
 }
 
-/* A create whose sender gave up waiting arrives after all. */
+/* A create arrives after its sender has stopped waiting. */
 proctype Network() {
   bool effect;
 end:
@@ -57,13 +58,13 @@
 #ifdef BROKEN
         won = true
 #else
-        won = (holder == mine && !abandoned)       /* read back by token */
+        won = (holder == mine && !abandoned)       /* read the claim and compare the token */
 #endif
-     :: wandering[me] == 0 -> wandering[me] = mine /* late; outcome not known in time */
+     :: wandering[me] == 0 -> wandering[me] = mine /* delayed: outcome unknown in time */
      fi;
      if
      :: !won ->
-        /* a tombstone in force may be replaced, on its version */
+        /* a tombstone may be replaced, conditionally on its version */
         atomic {
           if
           :: abandoned && wandering[me] == 0 -> holder = mine; abandoned = false; won = true
@@ -76,17 +77,17 @@
      :: won ->
         if
         :: true -> dispatched++; assert(dispatched <= 1); break
-        :: true -> /* deadline passed: not dispatched, the claim is given up */
+        :: true -> /* deadline passed: not dispatched, the claim is abandoned */
            refused = true;
            atomic { if :: holder == mine -> abandoned = true :: else -> skip fi }
         fi
      :: else ->
-        /* another's claim, or not known: refused; own claim is given up */
+        /* claim of the other node, or unknown: refused; the own claim is abandoned */
         refused = true;
         atomic {
           if
           :: holder == mine -> abandoned = true
-          :: holder == 0 -> holder = mine; abandoned = true   /* tombstone in its place */
+          :: holder == 0 -> holder = mine; abandoned = true   /* tombstone instead of the claim */
           :: else -> skip
           fi
         }
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,26 +1,28 @@
 /*
- * Plan, confirm and spread of configuration versions, with a data centre cut
- * off and nodes restarting.
+ * Planning, applying and distribution of configuration versions during an
+ * outage of the platform and restarts of nodes.
  *
- * Two operators plan from the version they read and confirm conditionally on
- * it. Nodes take versions from the platform or from one another. A node that
- * restarts has nothing and asks the platform or its peers before it serves.
+ * Two operators plan on the version they read and apply their plans
+ * conditionally on it. Nodes get versions from the platform or from one
+ * another. A restarted node has no version and queries the platform or its
+ * peers before it serves.
  *
- * Properties: of two operators with the same base one wins; what a node
- * serves with never goes back, over restarts too.
+ * Properties: of two operators with the same base version at most one
+ * succeeds; the version that a node serves with never decreases, also over
+ * restarts.
  *
- * BROKEN: a node serves with a version that no other node holds yet.
+ * BROKEN: a node serves with a version that no other node has yet.
  */
 #define NODES 3
 #define VERSIONS 3
 
-byte stored = 1;             /* version in the platform */
-byte winners[VERSIONS + 2];  /* confirmations that became this version */
-byte known[NODES];           /* version held; 0: none */
+byte stored = 1;             /* version stored by the platform */
+byte winners[VERSIONS + 2];  /* number of plans that became this version */
+byte known[NODES];           /* version that a node has; 0: none */
 byte serving[NODES];         /* version in force; 0: not serving */
 byte served[NODES];          /* highest version a node ever served with */
-bool up = true;              /* the platform answers */
-byte restarts = 0;           /* of all nodes */
+bool up = true;              /* whether the platform answers */
+byte restarts = 0;           /* restarts of all nodes */
 
 inline hold(n, v) {
   if
@@ -37,7 +39,7 @@
 
 proctype Operator() {
   byte base = stored;                    /* plan */
-  atomic {                               /* confirm: conditional on the base */
+  atomic {                               /* apply: conditional on the base */
     if
     :: up && stored == base -> stored = base + 1; winners[base + 1]++; assert(winners[base + 1] == 1)
     :: else -> skip                      /* stale plan, or no answer */
@@ -52,10 +54,10 @@
 }
 
 /*
- * A node follows the platform and its peers, and may restart (one at a
- * time). A version that a node takes is held by a peer before it is served
- * with. A restart keeps nothing; before the node serves again it asks the
- * platform or, during an outage, every peer.
+ * A node gets versions from the platform and its peers, and may restart (one
+ * at a time). It gives a version to a peer before it serves with it. A
+ * restart loses all state; before the node serves again it queries the
+ * platform, if that is up, and every peer.
  */
 proctype Node(byte n) {
   byte steps = 0, best;
@@ -70,7 +72,7 @@
        fi
      };
 #ifndef BROKEN
-     atomic { hold((n + 1) % NODES, known[n]) }; /* offered to a peer first */
+     atomic { hold((n + 1) % NODES, known[n]) }; /* given to a peer first */
 #endif
      atomic { if :: known[n] > serving[n] -> serve(n) :: else -> skip fi }
   :: restarts < 2 && serving[n] != 0 ->
@@ -82,7 +84,7 @@
        if :: up && stored > best -> best = stored :: else -> skip fi;
        hold(n, best);
        best = 0
-     } /* served with after the next step's offer */
+     } /* served with after the next step has given it to a peer */
   :: else -> break
   od
 }
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,18 +1,20 @@
 /*
- * Lease of a chunk, pause, takeover and fenced commit.
+ * Lease of a chunk, with pauses and takeovers of its holder, and the fenced
+ * commit.
  *
- * Two holders contend for one chunk of one item. A holder may be paused at
- * any step (any interleaving), its lease may be judged expired while it is
- * still at work, and an answer of the object API may be lost after the write
- * took effect; the holder then reads back and looks for its writer token.
+ * Two holders contend for one chunk with one item. A holder may be paused at
+ * any step (any interleaving); its lease may be considered expired while it
+ * still works; and an answer of the object API may be lost after the write
+ * took effect. The holder then reads the state object and looks for its
+ * writer token.
  *
- * Property: the item's result becomes visible once, and a holder that was
- * told "committed" is the one whose result is visible.
+ * Property: the result of the item becomes visible once, and it is the result
+ * of the holder whose commit was confirmed.
  *
  * BROKEN: the commit is written without the condition on the version.
  */
 #define HOLDERS 2
-#define ROUNDS  2        /* leases each holder may take */
+#define ROUNDS  2        /* maximum number of leases of a holder */
 
 byte version = 0;        /* of the chunk state object; 0: absent */
 byte epoch = 0;
@@ -37,20 +39,20 @@
      next_token(mine);
      atomic {
        if
-       :: version == seen && !done -> /* takes effect; "expired" may be judged wrongly */
+       :: version == seen && !done -> /* takes effect, even if the other lease has not expired */
           version++; epoch = my_epoch; token = mine; leased = true; my_version = version; ok = true
        :: else -> ok = false
        fi
      };
      if
      :: ok -> skip
-     :: ok -> /* the answer is lost: read back by token */
+     :: ok -> /* the answer is lost: read the state and compare the token */
         atomic { ok = (token == mine); my_version = version }
      :: else -> goto again
      fi;
      if :: !ok -> goto again :: else fi;
 
-     /* the item runs here; the holder may be paused for any time */
+     /* the item runs here; the holder may be paused for any length of time */
 
      /* commit: conditional on the version of its own last write */
      next_token(mine);
@@ -68,9 +70,9 @@
      };
      if
      :: known -> skip
-     :: known -> /* answer lost: read back */
+     :: known -> /* the answer is lost: read the state */
         atomic { assert(token == mine || done) }
-     :: else -> skip          /* fenced: results are dropped */
+     :: else -> skip          /* fenced: the results are discarded */
      fi;
      assert(visible <= 1);
 again: skip
