--- a/lab/client/client.go
+++ b/lab/client/client.go
@@ -224,7 +224,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("read results of %s: status %d", outputFile, resp.StatusCode)
+		return nil, fmt.Errorf("read results: status %d", resp.StatusCode)
 	}
 	out := map[string]batch.Result{}
 	decoder := json.NewDecoder(resp.Body)
--- a/lab/soak/check.go
+++ b/lab/soak/check.go
@@ -36,7 +36,7 @@
 //	6  a non-idempotent operation runs at most once
 //	7  a leaving target gets no new work
 //	8  a node that is not killed or frozen breaks no connection and stops cleanly
-//	9  configuration versions only increase, and one operator wins each
+//	9  configuration versions only increase, and each comes from one operator
 type checker struct {
 	fleet    *procs.Fleet
 	history  *history
--- a/lab/soak/faults.go
+++ b/lab/soak/faults.go
@@ -239,7 +239,7 @@
 	switch {
 	case err == nil:
 		if other, twice := i.accepted[version]; twice && other != intent {
-			i.history.addViolation(fmt.Sprintf("9: two operators were told that their intent became version %d", version))
+			i.history.addViolation(fmt.Sprintf("9: version %d was assigned to intents of two operators", version))
 		}
 		i.accepted[version] = intent
 	case !errors.Is(err, deployment.ErrStale):
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -33,7 +33,7 @@
 	Accepted   int // online requests accepted
 	Answered   int // of the accepted ones, those with a correct answer
 	Refused    int
-	Lost       int // connections lost before or after acceptance
+	Lost       int // requests whose connection broke before they were accepted
 	Unknown    int // refusals with an unknown outcome
 	Operations int
 	Jobs       int
