--- a/internal/request/job/room_test.go
+++ b/internal/request/job/room_test.go
@@ -66,7 +66,7 @@
 // attempt that was still connecting ended before it was counted. The count then stayed one
 // too high, so that for each online request an item seemed to be yielding already. No
 // further item was stopped, and online requests were refused after 60 ms while items
-// occupied the target. TestRoomIsWaitedFor failed in this way: in its refused attempts
+// occupied the target. TestRequestsWaitForCapacity failed in this way: in its refused attempts
 // "yielding" was 1 and "items" 6 throughout.
 func TestEndedItemsAreNotCountedAsYielding(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/lab/hosted/client.go
+++ b/lab/hosted/client.go
@@ -106,10 +106,10 @@
 
 // ReadResults reads results from a position on.
 func ReadResults(node, job string, after int) (Results, int) {
-	return read(node, job, after, map[string]string{"X-Marblepond-Wait-Ms": "300"})
+	return readResults(node, job, after, map[string]string{"X-Marblepond-Wait-Ms": "300"})
 }
 
-func read(node, job string, after int, header map[string]string) (Results, int) {
+func readResults(node, job string, after int, header map[string]string) (Results, int) {
 	reply := Call(context.Background(), http.MethodGet, node, fmt.Sprintf("/v1/lots/%s?after=%d", job, after), "", header, nil)
 	var r Results
 	if reply.Err != nil || reply.Status != http.StatusOK || json.Unmarshal([]byte(reply.Body), &r) != nil {
@@ -120,10 +120,10 @@
 
 // ReadAllResults reads a job to its end, at the nodes in turn.
 func ReadAllResults(nodes []string, job string, within time.Duration) ([]Result, error) {
-	return readAll(nodes, job, within, func(node string, after int) (Results, int) { return ReadResults(node, job, after) })
+	return readAllResults(nodes, job, within, func(node string, after int) (Results, int) { return ReadResults(node, job, after) })
 }
 
-func readAll(nodes []string, job string, within time.Duration, read func(node string, after int) (Results, int)) ([]Result, error) {
+func readAllResults(nodes []string, job string, within time.Duration, read func(node string, after int) (Results, int)) ([]Result, error) {
 	var all []Result
 	until := time.Now().Add(within)
 	for n := 0; time.Now().Before(until); n++ {
--- a/lab/hosted/cold.go
+++ b/lab/hosted/cold.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// coldness is what a runner knows of the time for which it is cold.
-type coldness struct {
-	until time.Time
-	times []time.Time // of requests that came while it was cold
-	most  int         // of them in one second
+// warmUp is what a runner knows of the time for which it is cold.
+type warmUp struct {
+	until        time.Time
+	recent       []time.Time // of requests that came while it was cold
+	maxPerSecond int         // of them in one second
 }
 
-// left returns how long the runner stays cold.
-func (c *coldness) left(now time.Time) time.Duration { return max(0, c.until.Sub(now)) }
+// remaining returns how long the runner stays cold.
+func (w *warmUp) remaining(now time.Time) time.Duration { return max(0, w.until.Sub(now)) }
 
-func (c *coldness) arrived(now time.Time) {
-	if !now.Before(c.until) {
+func (w *warmUp) recordRequest(now time.Time) {
+	if !now.Before(w.until) {
 		return
 	}
-	c.times = append(c.times, now)
-	for c.times[0].Before(now.Add(-time.Second)) {
-		c.times = c.times[1:]
+	w.recent = append(w.recent, now)
+	for w.recent[0].Before(now.Add(-time.Second)) {
+		w.recent = w.recent[1:]
 	}
-	c.most = max(c.most, len(c.times))
+	w.maxPerSecond = max(w.maxPerSecond, len(w.recent))
 }
 
 // StartWarmUp makes the runner cold for a time, from now on.
 func (r *Runner) StartWarmUp(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cold = coldness{until: time.Now().Add(d)}
+	r.warmUp = warmUp{until: time.Now().Add(d)}
 }
 
 // MaxPerSecondInWarmUp returns the most requests that came in one second while the runner was
@@ -35,12 +35,12 @@
 func (r *Runner) MaxPerSecondInWarmUp() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cold.most
+	return r.warmUp.maxPerSecond
 }
 
 // LastArrival returns when a request last reached the runner, run or not.
 func (r *Runner) LastArrival() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.newest
+	return r.lastArrival
 }
--- a/lab/hosted/crash_test.go
+++ b/lab/hosted/crash_test.go
@@ -37,37 +37,37 @@
 // badPrefix begins the IDs of requests that end the runner that runs them.
 const badPrefix = "bad-"
 
-// knownWithin is how soon after the third crash no node may send the request on: the
+// refusedWithin is how soon after the third crash no node may send the request on: the
 // shortest time in which the platform counts nodes as in touch.
-const knownWithin = 3 * time.Second
+const refusedWithin = 3 * time.Second
 
-// allowedLate is how often a request may reach targets later than that: where several
+// maxLateArrivals is how often a request may reach targets later than that: where several
 // end targets at once, it takes some crashes more to tell them apart.
-const allowedLate = 3
+const maxLateArrivals = 3
 
-// mostAccused is how many proper requests of some 800 may be taken for one of five that
+// maxFalseRefusals is how many proper requests of some 800 may be taken for one of five that
 // end targets at once: 15 of 180,000 are in virtual time, beside six.
-const mostAccused = 2
+const maxFalseRefusals = 2
 
-// properPause is the time between two proper requests at a node: 100 a second in all,
+// loadInterval is the time between two proper requests at a node: 100 a second in all,
 // which hold some 40 of 96 slots, so that there is room also while half of the runners
 // are down. At 200 a second beside load 984 of 1,000 tries that failed were refused for
 // want of a slot.
-const properPause = 60 * time.Millisecond
+const loadInterval = 60 * time.Millisecond
 
 // crashFleet is a fleet of three data centres with a load of proper requests, in
 // which some requests end the runners.
 type crashFleet struct {
 	*Fleet
-	stop    context.CancelFunc
-	load    sync.WaitGroup
-	asked   atomic.Int64 // proper requests
-	whole   atomic.Int64 // those with a whole answer
-	accused atomic.Int64 // those refused because targets crash under them
+	stop      context.CancelFunc
+	load      sync.WaitGroup
+	sent      atomic.Int64 // proper requests
+	completed atomic.Int64 // those with a whole answer
+	refused   atomic.Int64 // those refused because targets crash under them
 }
 
 func startCrashFleet(t *testing.T, log io.Writer) *crashFleet {
-	c := &crashFleet{Fleet: fleet(t, Options{Nodes: 6, Runners: 12, Slots: 8, Events: 30, Gap: 10 * time.Millisecond,
+	c := &crashFleet{Fleet: startFleet(t, Options{Nodes: 6, Runners: 12, Slots: 8, Events: 30, Gap: 10 * time.Millisecond,
 		DataCentres: []string{"hall-a", "hall-b", "hall-c"}, Log: log})}
 	for _, r := range c.Runners {
 		r.SetBehaviour(func(id string, _ int) Behaviour {
@@ -80,63 +80,63 @@
 	ctx, stop := context.WithCancel(context.Background())
 	c.stop = stop
 	for n := range c.Nodes {
-		c.load.Go(func() { c.proper(ctx, n) })
+		c.load.Go(func() { c.sendLoad(ctx, n) })
 	}
-	t.Cleanup(c.end)
+	t.Cleanup(c.stopLoad)
 	return c
 }
 
-func (c *crashFleet) end() {
+func (c *crashFleet) stopLoad() {
 	c.stop()
 	c.load.Wait()
 }
 
-// proper sends proper requests to a node, each with a body of its own. One whose
+// sendLoad sends sendLoad requests to a node, each with a body of its own. One whose
 // answer breaks off is sent again twice, at other nodes, as a caller does.
-func (c *crashFleet) proper(ctx context.Context, n int) {
+func (c *crashFleet) sendLoad(ctx context.Context, n int) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	for i := 0; ctx.Err() == nil; i++ {
 		name := fmt.Sprintf("good-%d-%d", n, i)
-		requests.Go(func() { c.properRequest(n, name) })
-		time.Sleep(properPause)
+		requests.Go(func() { c.sendWithRetries(n, name) })
+		time.Sleep(loadInterval)
 	}
 }
 
-func (c *crashFleet) properRequest(n int, name string) {
-	c.asked.Add(1)
+func (c *crashFleet) sendWithRetries(n int, name string) {
+	c.sent.Add(1)
 	for try := range 3 {
 		at := c.Nodes[(n+try)%len(c.Nodes)].CallerAddress()
 		reply := Call(context.Background(), http.MethodPost, at, ResumePath+"x", fmt.Sprint(name, "-", try), nil, []byte(name))
-		if accused(reply) {
-			c.accused.Add(1)
+		if isCrashRefusal(reply) {
+			c.refused.Add(1)
 		}
 		if reply.Err == nil && reply.Status == http.StatusOK {
-			c.whole.Add(1)
+			c.completed.Add(1)
 			return
 		}
 	}
 }
 
-// accused reports whether a request was refused because targets crash under it.
-func accused(reply Reply) bool {
+// isCrashRefusal reports whether a request was refused because targets crash under it.
+func isCrashRefusal(reply Reply) bool {
 	return reply.Status == http.StatusInternalServerError && strings.Contains(reply.Body, "crashed")
 }
 
-// repeat sends a request that ends runners again and again, each time with a new
+// repeatCrasher sends a request that ends runners again and again, each time with a new
 // ID and at the next node, until the time is over. It returns the answers after it has
 // ended three runners and the time to know has passed.
-func (c *crashFleet) repeat(path, name string, pause, during time.Duration) (late []Reply) {
+func (c *crashFleet) repeatCrasher(path, name string, pause, during time.Duration) (late []Reply) {
 	var third time.Time
 	until := time.Now().Add(during)
 	for i := 0; time.Now().Before(until); i++ {
 		sent := time.Now()
 		reply := Call(context.Background(), http.MethodPost, c.Nodes[i%len(c.Nodes)].CallerAddress(), path, fmt.Sprintf("%s%s-%d", badPrefix, name, i),
 			map[string]string{"X-Marblepond-Deadline-Ms": "5000"}, []byte(name))
-		if third.IsZero() && c.begun(badPrefix+name+"-") >= 3 {
+		if third.IsZero() && c.startCount(badPrefix+name+"-") >= 3 {
 			third = time.Now()
 		}
-		if !third.IsZero() && sent.Sub(third) > knownWithin {
+		if !third.IsZero() && sent.Sub(third) > refusedWithin {
 			late = append(late, reply)
 		}
 		time.Sleep(pause)
@@ -144,8 +144,8 @@
 	return late
 }
 
-// crashes returns how often runners have ended.
-func (c *crashFleet) crashes() int {
+// crashCount returns how often runners have ended.
+func (c *crashFleet) crashCount() int {
 	n := 0
 	for _, r := range c.Runners {
 		n += r.ExitCount()
@@ -153,8 +153,8 @@
 	return n
 }
 
-// begun returns how often runners began to run requests whose IDs begin with a text.
-func (c *crashFleet) begun(prefix string) int {
+// startCount returns how often runners began to run requests whose IDs begin with a text.
+func (c *crashFleet) startCount(prefix string) int {
 	n := 0
 	for _, r := range c.Runners {
 		for _, s := range r.RunStarts() {
@@ -166,8 +166,8 @@
 	return n
 }
 
-// arrived returns how often bad requests have reached runners.
-func (c *crashFleet) arrived() int {
+// crasherArrivals returns how often bad requests have reached runners.
+func (c *crashFleet) crasherArrivals() int {
 	n := 0
 	for _, r := range c.Runners {
 		n += r.ArrivalCount(badPrefix)
@@ -184,26 +184,26 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := startCrashFleet(t, nil)
-			late := f.repeat(c.path+"x", "one", 100*time.Millisecond, 6*time.Second)
-			t.Logf("%d crashes, %d arrivals", f.crashes(), f.arrived())
-			is.True(f.crashes() >= 3)
-			is.True(f.crashes() <= 8) // three, and what was sent before all knew
+			late := f.repeatCrasher(c.path+"x", "one", 100*time.Millisecond, 6*time.Second)
+			t.Logf("%d crashes, %d arrivals", f.crashCount(), f.crasherArrivals())
+			is.True(f.crashCount() >= 3)
+			is.True(f.crashCount() <= 8) // three, and what was sent before all knew
 			is.True(len(late) > 10)
-			before := f.arrived()
+			before := f.crasherArrivals()
 			for n := range f.Nodes {
 				asked := time.Now()
 				reply := Call(context.Background(), http.MethodPost, f.Nodes[n].CallerAddress(), c.path+"x", fmt.Sprint(badPrefix, "last-", n), nil, []byte("one"))
-				is.True(accused(reply))
+				is.True(isCrashRefusal(reply))
 				is.Equal(reply.Header.Get("Retry-After"), "") // coming back does not help
 				is.True(time.Since(asked) < 100*time.Millisecond)
 			}
-			is.Equal(f.arrived(), before)
+			is.Equal(f.crasherArrivals(), before)
 			for _, reply := range late {
-				is.True(accused(reply))
+				is.True(isCrashRefusal(reply))
 			}
-			f.end()
-			is.Equal(f.accused.Load(), int64(0))
-			is.True(f.whole.Load() >= f.asked.Load()*99/100)
+			f.stopLoad()
+			is.Equal(f.refused.Load(), int64(0))
+			is.True(f.completed.Load() >= f.sent.Load()*99/100)
 		})
 	}
 }
@@ -218,7 +218,7 @@
 	late := make([][]Reply, 5)
 	for i := range late {
 		callers.Go(func() {
-			late[i] = f.repeat(StreamPath+"x", fmt.Sprint("several-", i), 150*time.Millisecond, 8*time.Second)
+			late[i] = f.repeatCrasher(StreamPath+"x", fmt.Sprint("several-", i), 150*time.Millisecond, 8*time.Second)
 		})
 	}
 	callers.Wait()
@@ -226,30 +226,30 @@
 		is.True(len(late[i]) > 10)
 		sentOn := 0
 		for _, reply := range late[i] {
-			if !accused(reply) {
+			if !isCrashRefusal(reply) {
 				sentOn++
 			}
 		}
 		t.Logf("request %d was sent on %d times after the time to know", i, sentOn)
-		is.True(sentOn <= allowedLate)
-		is.True(accused(late[i][len(late[i])-1]))
+		is.True(sentOn <= maxLateArrivals)
+		is.True(isCrashRefusal(late[i][len(late[i])-1]))
 	}
-	f.end()
-	t.Logf("%d of %d proper requests were accused", f.accused.Load(), f.asked.Load())
-	is.True(f.accused.Load() <= mostAccused)
+	f.stopLoad()
+	t.Logf("%d of %d proper requests were accused", f.refused.Load(), f.sent.Load())
+	is.True(f.refused.Load() <= maxFalseRefusals)
 }
 
 // refusedEverywhere reports whether every node refuses a request, at once.
 func (c *crashFleet) refusedEverywhere(path, name string) bool {
 	for n := range c.Nodes {
-		if !accused(Call(context.Background(), http.MethodPost, c.Nodes[n].CallerAddress(), path, fmt.Sprint(badPrefix, name, "-at-", n), nil, []byte(name))) {
+		if !isCrashRefusal(Call(context.Background(), http.MethodPost, c.Nodes[n].CallerAddress(), path, fmt.Sprint(badPrefix, name, "-at-", n), nil, []byte(name))) {
 			return false
 		}
 	}
 	return true
 }
 
-// TestTargetsKilledTogetherAccuseNobody: seven of twelve targets are killed at once,
+// TestTargetsKilledTogetherRefuseNoRequest: seven of twelve targets are killed at once,
 // three times in a row, under 60 streams that go on elsewhere each time. Many of them
 // lose three targets; all are answered whole, and none is refused.
 //
@@ -264,15 +264,15 @@
 // In another play the stream was written into kept connections of two targets that had
 // ended 1 to 3 ms before, whose end nobody had read yet ("write: broken pipe" 0.6 ms after
 // the request_dispatched): it counted as in flight at three of five ends.
-func TestTargetsKilledTogetherAccuseNobody(t *testing.T) {
+func TestTargetsKilledTogetherRefuseNoRequest(t *testing.T) {
 	is := is.New(t)
-	f := &crashFleet{Fleet: fleet(t, Options{Nodes: 6, Runners: 12, Slots: 12, Events: 200, Gap: 10 * time.Millisecond, DataCentres: []string{"hall-a", "hall-b", "hall-c"}})}
+	f := &crashFleet{Fleet: startFleet(t, Options{Nodes: 6, Runners: 12, Slots: 12, Events: 200, Gap: 10 * time.Millisecond, DataCentres: []string{"hall-a", "hall-b", "hall-c"}})}
 	f.Store.Put("config", "main", Config(2, func(c map[string]any) { c["routes"].([]any)[1].(map[string]any)["attempts"] = 8 }))
 	for _, n := range f.Nodes {
 		eventually(t, "version 2 is in force", 2*time.Second, func() bool { return n.Table().Version == 2 })
 	}
 	for i := range 60 {
-		f.load.Go(func() { f.properRequest(i%len(f.Nodes), fmt.Sprint("stream-", i)) })
+		f.load.Go(func() { f.sendWithRetries(i%len(f.Nodes), fmt.Sprint("stream-", i)) })
 	}
 	refused := map[string]bool{}
 	for kill := range 3 {
@@ -290,14 +290,14 @@
 	f.load.Wait()
 	lostThrice := 0
 	for i := range 60 {
-		if f.runs(fmt.Sprint("stream-", i, "-0")) >= 4 {
+		if f.runCount(fmt.Sprint("stream-", i, "-0")) >= 4 {
 			lostThrice++
 		}
 	}
 	t.Logf("%d streams lost three targets or more", lostThrice)
 	is.True(lostThrice >= 5) // otherwise the test shows nothing
 	is.Equal(len(refused), 0)
-	is.Equal(f.whole.Load(), int64(60))
+	is.Equal(f.completed.Load(), int64(60))
 }
 
 // operator returns the operators' client of a node.
@@ -324,8 +324,8 @@
 func TestWhatIsRefusedStaysSo(t *testing.T) {
 	is := is.New(t)
 	f := startCrashFleet(t, nil)
-	f.repeat(StreamPath+"x", "stays", 50*time.Millisecond, 2*time.Second)
-	f.end()
+	f.repeatCrasher(StreamPath+"x", "stays", 50*time.Millisecond, 2*time.Second)
+	f.stopLoad()
 	is.True(f.refusedEverywhere(StreamPath+"x", "stays"))
 	eventually(t, "it is in the store", 2*time.Second, func() bool { return len(f.Store.Names("marblepond-verdicts")) == 1 })
 
@@ -335,33 +335,33 @@
 	}
 	f.Nodes[0].Kill()
 	restart(f.Nodes[0])
-	eventually(t, "the node that started anew refuses it", knownWithin, func() bool { return f.refusedEverywhere(StreamPath+"x", "stays") })
+	eventually(t, "the node that started anew refuses it", refusedWithin, func() bool { return f.refusedEverywhere(StreamPath+"x", "stays") })
 
 	for _, n := range f.Nodes {
 		n.Kill()
 	}
-	before := f.arrived()
+	before := f.crasherArrivals()
 	for range f.Nodes {
 		restart(f.Nodes[0]) // it moves to the end of the list
 	}
-	eventually(t, "all refuse it", knownWithin, func() bool { return f.refusedEverywhere(StreamPath+"x", "stays") })
-	is.True(f.arrived() <= before+3) // those that a node sent before it had read what is refused
+	eventually(t, "all refuse it", refusedWithin, func() bool { return f.refusedEverywhere(StreamPath+"x", "stays") })
+	is.True(f.crasherArrivals() <= before+3) // those that a node sent before it had read what is refused
 }
 
-// TestOperatorLetsWorkGo: an operator sees at any node what is refused, and lets it
+// TestOperatorReleasesWork: an operator sees at any node what is refused, and lets it
 // go at all of them.
-func TestOperatorLetsWorkGo(t *testing.T) {
+func TestOperatorReleasesWork(t *testing.T) {
 	is := is.New(t)
 	f := startCrashFleet(t, nil)
-	f.repeat(StreamPath+"x", "go", 50*time.Millisecond, 2*time.Second)
-	f.end()
+	f.repeatCrasher(StreamPath+"x", "go", 50*time.Millisecond, 2*time.Second)
+	f.stopLoad()
 	for n := range f.Nodes {
 		is.Equal(len(f.refusedWork(t, n)), 1)
 	}
 	answer, err := f.operator(3).ReleaseWork(context.Background(), &v1.ReleaseWorkRequest{Work: f.refusedWork(t, 0)[0]})
 	is.NoErr(err)
 	is.True(answer.Known)
-	eventually(t, "no node refuses it", knownWithin, func() bool {
+	eventually(t, "no node refuses it", refusedWithin, func() bool {
 		for n := range f.Nodes {
 			if len(f.refusedWork(t, n)) > 0 {
 				return false
@@ -369,7 +369,7 @@
 		}
 		return true
 	})
-	eventually(t, "it is not in the store any more", knownWithin, func() bool { return len(f.Store.Names("marblepond-verdicts")) == 0 })
+	eventually(t, "it is not in the store any more", refusedWithin, func() bool { return len(f.Store.Names("marblepond-verdicts")) == 0 })
 	_, err = f.operator(0).ReleaseWork(context.Background(), &v1.ReleaseWorkRequest{Work: "no fingerprint"})
 	is.True(err != nil)
 }
@@ -379,7 +379,7 @@
 // the same body; the other items are done, and it is given up when its time is over.
 func TestItemThatEndsTargets(t *testing.T) {
 	is := is.New(t)
-	f := &crashFleet{Fleet: fleet(t, Options{Nodes: 4, Runners: 8, Slots: 8, Events: 20, Gap: 10 * time.Millisecond, Extra: quickJobs})}
+	f := &crashFleet{Fleet: startFleet(t, Options{Nodes: 4, Runners: 8, Slots: 8, Events: 20, Gap: 10 * time.Millisecond, Extra: shortJobTimeouts})}
 	f.Store.Put("config", "main", Config(2, func(c map[string]any) { c["routes"].([]any)[3].(map[string]any)["keep_s"] = 8.0 }))
 	for _, n := range f.Nodes {
 		eventually(t, "version 2 is in force", 2*time.Second, func() bool { return n.Table().Version == 2 })
@@ -406,10 +406,10 @@
 		}
 		return true
 	})
-	t.Logf("%d crashes", f.crashes())
-	is.True(f.crashes() >= 3 && f.crashes() <= 6)
+	t.Logf("%d crashes", f.crashCount())
+	is.True(f.crashCount() >= 3 && f.crashCount() <= 6)
 	is.Equal(len(f.refusedWork(t, 1)), 1) // and none of the items beside it
-	before := f.arrived()
+	before := f.crasherArrivals()
 	f.Nodes[0].Kill() // the others take its job over
 	is.Equal(SubmitJob(f.Nodes[1].CallerAddress(), "second", job("second")).Status, http.StatusAccepted)
 	for _, name := range []string{"first", "second"} {
@@ -424,5 +424,5 @@
 		}
 		is.Equal(dead, 1)
 	}
-	is.Equal(f.arrived(), before)
+	is.Equal(f.crasherArrivals(), before)
 }
--- a/lab/hosted/demo.go
+++ b/lab/hosted/demo.go
@@ -20,7 +20,7 @@
 	demoPause    = 25 * time.Millisecond // between requests
 	demoJobs     = 4
 	demoItems    = 12
-	demoWithin   = 30 * time.Second // for all results
+	demoTimeout  = 30 * time.Second // for all results
 )
 
 // Demo runs a hosted fleet against the stand-ins of the users' platform: online
@@ -40,12 +40,12 @@
 			return fmt.Errorf("job %s: status %d %v", demoJob(j), reply.Status, reply.Err)
 		}
 	}
-	whole, cut := f.demoOnline()
+	complete, cut := f.demoOnline()
 	done, err := f.demoResults()
 	fmt.Fprintf(w, "hosted: %d nodes, %d runners, one node killed: %d requests, %d whole, %d cut by the kill; %d items, %d with one whole answer; %.1f s\n",
-		demoNodes, demoRunners, demoRequests, whole, cut, demoJobs*demoItems, done, time.Since(started).Seconds())
-	if whole+cut != demoRequests {
-		err = errors.Join(err, fmt.Errorf("%d requests have neither a whole answer nor a connection that the kill closed", demoRequests-whole-cut))
+		demoNodes, demoRunners, demoRequests, complete, cut, demoJobs*demoItems, done, time.Since(started).Seconds())
+	if complete+cut != demoRequests {
+		err = errors.Join(err, fmt.Errorf("%d requests have neither a whole answer nor a connection that the kill closed", demoRequests-complete-cut))
 	}
 	return err
 }
@@ -54,7 +54,7 @@
 
 // demoOnline sends the requests, kills the last node half way, and returns how
 // many were answered whole and how many the kill cut.
-func (f *Fleet) demoOnline() (whole, cut int) {
+func (f *Fleet) demoOnline() (complete, cut int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	alive := demoNodes
@@ -71,7 +71,7 @@
 			defer mu.Unlock()
 			switch {
 			case reply.Err == nil && StreamText(reply.Body) == f.Runners[0].Text(id):
-				whole++
+				complete++
 			case reply.Err != nil && before:
 				cut++
 			}
@@ -79,14 +79,14 @@
 		time.Sleep(demoPause)
 	}
 	wg.Wait()
-	return whole, cut
+	return complete, cut
 }
 
 // demoResults reads all jobs at the nodes that are left.
 func (f *Fleet) demoResults() (done int, err error) {
 	nodes := []string{f.Nodes[0].CallerAddress(), f.Nodes[1].CallerAddress()}
 	for j := range demoJobs {
-		results, readErr := ReadAllResults(nodes, demoJob(j), demoWithin)
+		results, readErr := ReadAllResults(nodes, demoJob(j), demoTimeout)
 		err = errors.Join(err, readErr)
 		seen := map[string]bool{}
 		for _, r := range results {
--- a/lab/hosted/entries_test.go
+++ b/lab/hosted/entries_test.go
@@ -15,7 +15,7 @@
 // then, and does not hold its caller until its deadline.
 func TestRunnerStartsAgainUnderItsID(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 2, Runners: 1})
+	f := startFleet(t, Options{Nodes: 2, Runners: 1})
 	f.Runners[0].SetBehaviour(func(string, int) Behaviour { return Stall })
 	answered := make(chan Reply, 1)
 	go func() {
@@ -33,7 +33,7 @@
 	reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath+"x", "next", nil)
 	is.NoErr(reply.Err)
 	is.Equal(reply.Status, http.StatusOK)
-	is.Equal(f.runs("lost"), 1) // never again
+	is.Equal(f.runCount("lost"), 1) // never again
 }
 
 // TestEntriesOfAnotherWriter: entries that can't be read, or name a state that
@@ -41,7 +41,7 @@
 // overwritten gets no requests any more.
 func TestEntriesOfAnotherWriter(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 2, Runners: 2})
+	f := startFleet(t, Options{Nodes: 2, Runners: 2})
 	strange := f.Runners[0].Entry("hall-a", "sleeping")
 	f.Store.Put("servers", "a-state", strange)
 	f.Store.Put("servers", "b-text", "no entry at all")
--- a/lab/hosted/evacuation_test.go
+++ b/lab/hosted/evacuation_test.go
@@ -16,13 +16,13 @@
 // evacuatedWithin is the time in which an evacuation has to be in force in these tests.
 const evacuatedWithin = 2 * time.Second
 
-var evacuating = fmt.Sprintf("[follow]\nevacuated_within = %v\n", evacuatedWithin)
+var evacuationSettings = fmt.Sprintf("[follow]\nevacuated_within = %v\n", evacuatedWithin)
 
-var twoCentres = []string{"hall-a", "hall-b"}
+var twoDataCentres = []string{"hall-a", "hall-b"}
 
-// pressing asks all nodes for answers until the function returned is called, which tells
+// startLoad asks all nodes for answers until the function returned is called, which tells
 // how many were not served.
-func (f *Fleet) pressing(path string, callers int, pause time.Duration) (stop func() (failed []Reply)) {
+func (f *Fleet) startLoad(path string, callers int, pause time.Duration) (stop func() (failed []Reply)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -49,11 +49,11 @@
 	}
 }
 
-// in returns the runners of a data centre.
-func (f *Fleet) in(dataCentre string) []*Runner {
+// runnersIn returns the runners of a data centre.
+func (f *Fleet) runnersIn(dataCentre string) []*Runner {
 	var out []*Runner
 	for i, r := range f.Runners {
-		if f.centre(i) == dataCentre {
+		if f.dataCentreOf(i) == dataCentre {
 			out = append(out, r)
 		}
 	}
@@ -75,18 +75,18 @@
 // meanwhile neither; callers and jobs notice nothing. Its end brings the work back.
 func TestEvacuatedDataCentreGetsNothing(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 3, Runners: 6, Slots: 8, Events: 6, Gap: 5 * time.Millisecond, DataCentres: twoCentres, Extra: evacuating + quickJobs})
-	door := f.Store.NewEndpoint()
-	_, err := f.StartNode("edge-door", evacuating+quickJobs+door.Settings())
+	f := startFleet(t, Options{Nodes: 3, Runners: 6, Slots: 8, Events: 6, Gap: 5 * time.Millisecond, DataCentres: twoDataCentres, Extra: evacuationSettings + shortJobTimeouts})
+	endpoint := f.Store.NewEndpoint()
+	_, err := f.StartNode("edge-door", evacuationSettings+shortJobTimeouts+endpoint.Settings())
 	is.NoErr(err)
 	is.NoErr(f.waitReady(f.Nodes[3]))
-	stop := f.pressing(StreamPath+"x", 8, 5*time.Millisecond)
-	eventually(t, "both data centres serve", 2*time.Second, func() bool { return !lastArrival(f.in("hall-b")).IsZero() })
-	door.SetDown(true)
+	stop := f.startLoad(StreamPath+"x", 8, 5*time.Millisecond)
+	eventually(t, "both data centres serve", 2*time.Second, func() bool { return !lastArrival(f.runnersIn("hall-b")).IsZero() })
+	endpoint.SetDown(true)
 	is.Equal(SubmitJob(f.Nodes[1].CallerAddress(), "job", Items("job", 40)).Status, http.StatusAccepted)
 	f.Store.Put("evacuations", "hall-b", map[string]any{})
 	asked := time.Now()
-	late, err := f.StartNode("edge-late", evacuating+quickJobs)
+	late, err := f.StartNode("edge-late", evacuationSettings+shortJobTimeouts)
 	is.NoErr(err)
 	is.NoErr(f.waitReady(late))
 	time.Sleep(time.Until(asked.Add(evacuatedWithin)))
@@ -94,12 +94,12 @@
 		reply := SendRequest(context.Background(), late.CallerAddress(), StreamPath+"x", fmt.Sprint("late-", i), nil)
 		is.Equal(reply.Status, http.StatusOK)
 	}
-	is.True(lastArrival(f.in("hall-b")).Before(asked.Add(evacuatedWithin)))
+	is.True(lastArrival(f.runnersIn("hall-b")).Before(asked.Add(evacuatedWithin)))
 	results, err := ReadAllResults(f.callers(), "job", 10*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "job", 40, results)
 	f.Store.Delete("evacuations", "hall-b")
-	eventually(t, "hall-b serves again", evacuatedWithin, func() bool { return lastArrival(f.in("hall-b")).After(asked.Add(evacuatedWithin)) })
+	eventually(t, "hall-b serves again", evacuatedWithin, func() bool { return lastArrival(f.runnersIn("hall-b")).After(asked.Add(evacuatedWithin)) })
 	is.Equal(len(stop()), 0)
 }
 
@@ -107,10 +107,10 @@
 // before the bound, go on after the last event they hold, and do not end all at once.
 func TestItemsLeaveAnEvacuatedDataCentre(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 2, Runners: 2, Slots: 8, Events: 400, Gap: 10 * time.Millisecond, DataCentres: twoCentres, Extra: evacuating + quickJobs})
+	f := startFleet(t, Options{Nodes: 2, Runners: 2, Slots: 8, Events: 400, Gap: 10 * time.Millisecond, DataCentres: twoDataCentres, Extra: evacuationSettings + shortJobTimeouts})
 	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "long", Items("long", 6)).Status, http.StatusAccepted)
 	is.Equal(SubmitJob(f.Nodes[1].CallerAddress(), "far", Items("far", 6)).Status, http.StatusAccepted)
-	leaving := f.in("hall-b")[0]
+	leaving := f.runnersIn("hall-b")[0]
 	eventually(t, "items run there", 2*time.Second, func() bool { return leaving.Busy() >= 4 })
 	f.Store.Put("evacuations", "hall-b", map[string]any{})
 	asked := time.Now()
@@ -124,7 +124,7 @@
 	resumed := 0
 	for _, job := range []string{"long", "far"} {
 		for _, item := range Items(job, 6) {
-			for _, after := range f.in("hall-a")[0].ResumePositions(item.ID) {
+			for _, after := range f.runnersIn("hall-a")[0].ResumePositions(item.ID) {
 				if after != "" {
 					resumed++
 				}
@@ -139,7 +139,7 @@
 // centre that does not exist changes nothing.
 func TestAllDataCentresEvacuated(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 2, Runners: 4, DataCentres: twoCentres, Extra: evacuating + quickJobs})
+	f := startFleet(t, Options{Nodes: 2, Runners: 4, DataCentres: twoDataCentres, Extra: evacuationSettings + shortJobTimeouts})
 	f.Store.Put("evacuations", "hall-x", map[string]any{})
 	f.Store.Put("evacuations", "hall-a", map[string]any{})
 	f.Store.Put("evacuations", "hall-b", map[string]any{})
@@ -153,50 +153,50 @@
 	reply = SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath+"x", "at-once", nil)
 	is.True(time.Since(asked) < 50*time.Millisecond) // a sixth of its objective, on a busy machine
 	is.True(strings.Contains(reply.Body, "evacuated"))
-	is.Equal(f.runs("at-once"), 0)
+	is.Equal(f.runCount("at-once"), 0)
 	time.Sleep(time.Until(asked.Add(evacuatedWithin)))
 	is.Equal(SubmitJob(f.Nodes[1].CallerAddress(), "kept", Items("kept", 5)).Status, http.StatusAccepted)
 	f.Store.Delete("evacuations", "hall-a")
 	results, err := ReadAllResults(f.callers(), "kept", 10*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "kept", 5, results)
-	is.Equal(lastArrival(f.in("hall-b")).After(asked.Add(evacuatedWithin)), false)
+	is.Equal(lastArrival(f.runnersIn("hall-b")).After(asked.Add(evacuatedWithin)), false)
 }
 
 const (
-	// coldTime and coldRate are how runners of these tests warm up, and coldMost what
+	// warmUpTime and coldRate are how runners of these tests warm up, and coldMost what
 	// they bear in one second while they are cold.
-	coldTime = 2 * time.Second
-	coldRate = 10
-	coldMost = 15
+	warmUpTime    = 2 * time.Second
+	warmUpRate    = 10
+	maxWarmUpRate = 15
 )
 
-func warmsUp(config map[string]any) {
-	config["services"] = []any{map[string]any{"name": Service, "warmup_s": coldTime.Seconds(), "warmup_per_s": float64(coldRate)}}
+func withWarmUp(config map[string]any) {
+	config["services"] = []any{map[string]any{"name": Service, "warmup_s": warmUpTime.Seconds(), "warmup_per_s": float64(warmUpRate)}}
 }
 
-// TestColdTargetsGetWhatTheyBear: while the targets of a data centre come back cold from
+// TestTargetsInSlowStartAreRateLimited: while the targets of a data centre come back cold from
 // its evacuation, and those of the other are evacuated at that moment, all that callers
 // send would go to them. No target gets more than it bears; what there is no room for is
 // refused, and all is served again when they are warm.
-func TestColdTargetsGetWhatTheyBear(t *testing.T) {
+func TestTargetsInSlowStartAreRateLimited(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 6, Runners: 8, Slots: 8, Events: 3, Gap: 2 * time.Millisecond, DataCentres: twoCentres, Extra: evacuating + quickJobs})
-	f.Store.Put("config", "main", Config(2, warmsUp))
+	f := startFleet(t, Options{Nodes: 6, Runners: 8, Slots: 8, Events: 3, Gap: 2 * time.Millisecond, DataCentres: twoDataCentres, Extra: evacuationSettings + shortJobTimeouts})
+	f.Store.Put("config", "main", Config(2, withWarmUp))
 	f.Store.Put("evacuations", "hall-b", map[string]any{})
-	stop := f.pressing(StreamPath+"x", 24, 10*time.Millisecond)
+	stop := f.startLoad(StreamPath+"x", 24, 10*time.Millisecond)
 	time.Sleep(evacuatedWithin)
 	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "beside", Items("beside", 60)).Status, http.StatusAccepted)
-	cold := f.in("hall-b")
+	cold := f.runnersIn("hall-b")
 	for _, r := range cold {
-		r.StartWarmUp(coldTime) // no entry tells of it yet
+		r.StartWarmUp(warmUpTime) // no entry tells of it yet
 	}
 	f.Store.Delete("evacuations", "hall-b")
 	f.Store.Put("evacuations", "hall-a", map[string]any{})
-	time.Sleep(coldTime)
+	time.Sleep(warmUpTime)
 	served := 0
 	for _, r := range cold {
-		is.True(r.MaxPerSecondInWarmUp() <= coldMost)
+		is.True(r.MaxPerSecondInWarmUp() <= maxWarmUpRate)
 		served += r.MaxPerSecondInWarmUp()
 	}
 	is.True(served > 0) // they serve while they warm up
--- a/lab/hosted/fleet.go
+++ b/lab/hosted/fleet.go
@@ -52,11 +52,11 @@
 
 // Fleet is a store, runners and nodes in one process.
 type Fleet struct {
-	Store   *Store
-	Runners []*Runner
-	Nodes   []*Node
-	Log     io.Writer
-	centres []string
+	Store       *Store
+	Runners     []*Runner
+	Nodes       []*Node
+	Log         io.Writer
+	dataCentres []string
 }
 
 // Node is one node of a fleet.
@@ -90,7 +90,7 @@
 	if f.Log == nil {
 		f.Log = io.Discard
 	}
-	f.centres = o.DataCentres
+	f.dataCentres = o.DataCentres
 	f.Store.Put("config", "main", Config(1))
 	for i := range o.Runners {
 		f.addRunner(NewRunner(fmt.Sprintf("i-%d", i), Service, o.Slots, o.Events, o.Gap))
@@ -110,54 +110,54 @@
 	return f, nil
 }
 
-// centre returns the data centre of the nth node or runner.
-func (f *Fleet) centre(n int) string {
-	if len(f.centres) == 0 {
+// dataCentreOf returns the data dataCentreOf of the nth node or runner.
+func (f *Fleet) dataCentreOf(n int) string {
+	if len(f.dataCentres) == 0 {
 		return "hall-a"
 	}
-	return f.centres[n%len(f.centres)]
+	return f.dataCentres[n%len(f.dataCentres)]
 }
 
 // addRunner registers a runner, now and whenever it has started again.
 func (f *Fleet) addRunner(r *Runner) {
-	centre := f.centre(len(f.Runners))
-	r.restart = func() { f.Store.Put("servers", r.ID, r.Entry(centre, "ready")) }
+	dataCentre := f.dataCentreOf(len(f.Runners))
+	r.onRestart = func() { f.Store.Put("servers", r.ID, r.Entry(dataCentre, "ready")) }
 	f.Runners = append(f.Runners, r)
-	r.restart()
+	r.onRestart()
 }
 
-// hosts counts the loopback addresses given out by this process.
-var hosts atomic.Int32
+// hostCount counts the loopback addresses given out by this process.
+var hostCount atomic.Int32
 
-// freshHost returns a loopback address of its own for a node. Ports of
+// newHost returns a loopback address of its own for a node. Ports of
 // 127.0.0.1 are not used: connections that go out take them at any moment.
-func freshHost() string {
-	n := hosts.Add(1)
-	return fmt.Sprintf("127.%d.%d.%d", ownNet(), n/250, 1+n%250)
+func newHost() string {
+	n := hostCount.Add(1)
+	return fmt.Sprintf("127.%d.%d.%d", processNet(), n/250, 1+n%250)
 }
 
 const (
-	// firstNet and nets are the networks 127.x that processes with fleets choose from.
-	firstNet, nets = 64, 128
-	// claimPort is held in the network of a process, so that no other one takes it.
-	claimPort = 1099
+	// firstNet and netCount are the networks 127.x that processes with fleets choose from.
+	firstNet, netCount = 64, 128
+	// lockPort is held in the network of a process, so that no other one takes it.
+	lockPort = 1099
 )
 
-// ownNet returns the x of the network 127.x of this process.
-var ownNet = sync.OnceValue(func() int {
-	for i := range nets {
-		x := firstNet + (os.Getpid()+i)%nets
-		held, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", x, claimPort))
+// processNet returns the x of the network 127.x of this process.
+var processNet = sync.OnceValue(func() int {
+	for i := range netCount {
+		x := firstNet + (os.Getpid()+i)%netCount
+		lock, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", x, lockPort))
 		if err == nil {
-			go hold(held)
+			go keepListening(lock)
 			return x
 		}
 	}
 	panic("every network of the loopback range is taken")
 })
 
-// hold keeps a listener open until the process ends.
-func hold(l net.Listener) {
+// keepListening keeps a listener open until the process ends.
+func keepListening(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -169,12 +169,12 @@
 
 // StartNode starts a node; extra is added to its settings.
 func (f *Fleet) StartNode(id, extra string) (*Node, error) {
-	return f.startNode(id, freshHost(), "", extra)
+	return f.startNode(id, newHost(), "", extra)
 }
 
 // StartKeeper starts a node that serves no callers and has a disk.
 func (f *Fleet) StartKeeper(id, dir, extra string) (*Node, error) {
-	return f.startNode(id, freshHost(), dir, extra)
+	return f.startNode(id, newHost(), dir, extra)
 }
 
 // Restart starts a node that has ended again, at its address and with its disk.
@@ -213,7 +213,7 @@
 [log]
 level = info
 timeline_events = 1000
-%s`, id, f.centre(len(f.Nodes)), role, host, host, host, host, strings.Join(seeds, ","), f.Store.Address(), extra)
+%s`, id, f.dataCentreOf(len(f.Nodes)), role, host, host, host, host, strings.Join(seeds, ","), f.Store.Address(), extra)
 	s, err := settings.Parse(id, []byte(text))
 	if err != nil {
 		return nil, err
@@ -228,11 +228,11 @@
 	return n, nil
 }
 
-// readyWithin is how long a node may take to become ready.
-const readyWithin = 5 * time.Second
+// readyTimeout is how long a node may take to become ready.
+const readyTimeout = 5 * time.Second
 
 func (f *Fleet) waitReady(n *Node) error {
-	until := time.Now().Add(readyWithin)
+	until := time.Now().Add(readyTimeout)
 	for time.Now().Before(until) {
 		resp, err := http.Get("http://" + n.Settings.ReadyListen + "/v1/ready")
 		if err == nil {
@@ -247,7 +247,7 @@
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("node %s is not ready after %v", n.Settings.NodeID, readyWithin)
+	return fmt.Errorf("node %s is not ready after %v", n.Settings.NodeID, readyTimeout)
 }
 
 // Terminate asks a node to stop and waits until it has.
--- a/lab/hosted/jobs_test.go
+++ b/lab/hosted/jobs_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// quickJobs lets silences end within a test.
-const quickJobs = "[jobs]\ntake_over_after = 700ms\nsweep_interval = 300ms\n"
+// shortJobTimeouts lets silences end within a test.
+const shortJobTimeouts = "[jobs]\ntake_over_after = 700ms\nsweep_interval = 300ms\n"
 
 func (f *Fleet) callers() []string {
 	var out []string
@@ -42,7 +42,7 @@
 
 func TestJobRunsAndIsReadAnywhere(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 3, Runners: 2, Extra: quickJobs})
+	f := startFleet(t, Options{Nodes: 3, Runners: 2, Extra: shortJobTimeouts})
 	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "j1", Items("j1", 12)).Status, http.StatusAccepted)
 	for _, n := range f.callers() { // sent again, at every node: accepted once
 		is.Equal(SubmitJob(n, "j1", Items("j1", 12)).Status, http.StatusAccepted)
@@ -58,7 +58,7 @@
 		is.Equal(r.Total, 12)
 	}
 	for _, r := range results {
-		is.Equal(f.runs(r.ID), 1)
+		is.Equal(f.runCount(r.ID), 1)
 	}
 }
 
@@ -67,7 +67,7 @@
 // last event; the job still ends.
 func TestItemsThatFail(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 1, Runners: 2, Extra: quickJobs})
+	f := startFleet(t, Options{Nodes: 1, Runners: 2, Extra: shortJobTimeouts})
 	for _, r := range f.Runners {
 		r.SetBehaviour(func(id string, run int) Behaviour {
 			switch {
@@ -90,8 +90,8 @@
 	}
 	is.Equal(states["j2-0"], "dead_letter")
 	is.Equal(states["j2-1"], "dead_letter")
-	is.Equal(f.runs("j2-0"), 1)
-	is.Equal(f.runs("j2-1"), 3) // the attempts of the route
+	is.Equal(f.runCount("j2-0"), 1)
+	is.Equal(f.runCount("j2-1"), 3) // the attempts of the route
 	var alive []Result
 	for _, r := range results {
 		if r.State == "completed" {
@@ -107,7 +107,7 @@
 // items stop, also where the notice to the holder is lost.
 func TestEndedJobStops(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 2, Runners: 1, Slots: 8, Events: 400, Gap: 10 * time.Millisecond, Extra: quickJobs})
+	f := startFleet(t, Options{Nodes: 2, Runners: 1, Slots: 8, Events: 400, Gap: 10 * time.Millisecond, Extra: shortJobTimeouts})
 	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "j3", Items("j3", 20)).Status, http.StatusAccepted)
 	eventually(t, "items run", 2*time.Second, func() bool { return f.Runners[0].Busy() > 0 })
 	is.Equal(EndJob(f.Nodes[1].CallerAddress(), "j3").Status, http.StatusOK)
@@ -123,7 +123,7 @@
 // does not fit is refused, and one that was accepted before is not.
 func TestTokenCap(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 2, Runners: 1, Slots: 8, Events: 1000, Gap: 10 * time.Millisecond, Extra: quickJobs})
+	f := startFleet(t, Options{Nodes: 2, Runners: 1, Slots: 8, Events: 1000, Gap: 10 * time.Millisecond, Extra: shortJobTimeouts})
 	f.Store.Put("config", "main", Config(2, func(c map[string]any) { c["routes"].([]any)[3].(map[string]any)["cap"] = 2500.0 }))
 	for _, n := range f.Nodes {
 		eventually(t, "version 2 is in force", 2*time.Second, func() bool { return n.Table().Version == 2 })
@@ -151,7 +151,7 @@
 // for one of them that the target had refused (TestRefusedItemStopsNoOther).
 func TestOnlineGoesFirst(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 2, Runners: 1, Slots: 8, Events: 60, Gap: 10 * time.Millisecond, Extra: quickJobs})
+	f := startFleet(t, Options{Nodes: 2, Runners: 1, Slots: 8, Events: 60, Gap: 10 * time.Millisecond, Extra: shortJobTimeouts})
 	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "y1", Items("y1", 16)).Status, http.StatusAccepted)
 	eventually(t, "items fill the runner", 2*time.Second, func() bool { return f.Runners[0].Busy() >= 6 })
 	var wg sync.WaitGroup
@@ -172,22 +172,22 @@
 	results, err := ReadAllResults(f.callers(), "y1", 20*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "y1", 16, results)
-	went := 0
+	resumed := 0
 	for i := range 16 {
 		for _, from := range f.Runners[0].ResumePositions(fmt.Sprint("y1-", i)) {
 			if from != "" {
-				went++
+				resumed++
 			}
 		}
 	}
-	is.True(went > 0) // some item made room and went on
+	is.True(resumed > 0) // some item made room and went on
 }
 
 // TestHolderLost: jobs of a node that is gone are taken over, and what was
 // listed keeps its position.
 func TestHolderLost(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 3, Runners: 2, Slots: 8, Events: 20, Gap: 10 * time.Millisecond, Extra: quickJobs})
+	f := startFleet(t, Options{Nodes: 3, Runners: 2, Slots: 8, Events: 20, Gap: 10 * time.Millisecond, Extra: shortJobTimeouts})
 	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "l1", Items("l1", 40)).Status, http.StatusAccepted)
 	eventually(t, "some results are listed", 10*time.Second, func() bool {
 		r, _ := ReadResults(f.Nodes[1].CallerAddress(), "l1", 0)
@@ -207,7 +207,7 @@
 // its data centre look for its jobs, long before the next sweep is due.
 func TestLostHolderIsNoticedAtOnce(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 3, Runners: 2, Slots: 8, Events: 100, Gap: 10 * time.Millisecond,
+	f := startFleet(t, Options{Nodes: 3, Runners: 2, Slots: 8, Events: 100, Gap: 10 * time.Millisecond,
 		Extra: "[jobs]\ntake_over_after = 700ms\nsweep_interval = 60s\n"})
 	time.Sleep(time.Second) // the first sweeps of the nodes are over
 	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "n1", Items("n1", 6)).Status, http.StatusAccepted)
@@ -218,8 +218,8 @@
 	f.checkResults(t, "n1", 6, results)
 }
 
-// wentOn returns how many runs of a job's items began after an event.
-func (f *Fleet) wentOn(job string, items int) int {
+// resumedRuns returns how many runs of a job's items began after an event.
+func (f *Fleet) resumedRuns(job string, items int) int {
 	n := 0
 	for i := range items {
 		for _, r := range f.Runners {
@@ -237,7 +237,7 @@
 // the events it had, and not from their start.
 func TestItemsGoOnAfterTheirHolderIsLost(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 3, Runners: 2, Slots: 8, Events: 300, Gap: 10 * time.Millisecond, Extra: quickJobs})
+	f := startFleet(t, Options{Nodes: 3, Runners: 2, Slots: 8, Events: 300, Gap: 10 * time.Millisecond, Extra: shortJobTimeouts})
 	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "g1", Items("g1", 6)).Status, http.StatusAccepted)
 	eventually(t, "items run", 5*time.Second, func() bool { return f.Runners[0].Busy()+f.Runners[1].Busy() >= 6 })
 	time.Sleep(1200 * time.Millisecond) // at least one checkpoint after the first events
@@ -245,14 +245,14 @@
 	results, err := ReadAllResults(f.callers()[1:], "g1", 20*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "g1", 6, results)
-	is.True(f.wentOn("g1", 6) >= 6)
+	is.True(f.resumedRuns("g1", 6) >= 6)
 }
 
 // TestItemsGoOnAfterAllNodesAreLost: what a node with a disk kept outlasts the
 // loss of all nodes at once.
 func TestItemsGoOnAfterAllNodesAreLost(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 1, Runners: 1, Slots: 8, Events: 300, Gap: 10 * time.Millisecond, Extra: quickJobs})
+	f := startFleet(t, Options{Nodes: 1, Runners: 1, Slots: 8, Events: 300, Gap: 10 * time.Millisecond, Extra: shortJobTimeouts})
 	keeper, err := f.StartKeeper("keeper", t.TempDir(), "")
 	is.NoErr(err)
 	is.NoErr(f.waitReady(keeper))
@@ -265,25 +265,25 @@
 	keeper.Kill()
 	_, err = f.Restart(keeper, "")
 	is.NoErr(err)
-	edge, err = f.Restart(edge, quickJobs)
+	edge, err = f.Restart(edge, shortJobTimeouts)
 	is.NoErr(err)
 	results, err := ReadAllResults([]string{edge.CallerAddress()}, "g2", 20*time.Second)
 	is.NoErr(err)
 	f.checkResults(t, "g2", 6, results)
-	is.True(f.wentOn("g2", 6) >= 6)
+	is.True(f.resumedRuns("g2", 6) >= 6)
 }
 
 // TestLeavingNodeHandsOver: a node that is asked to stop ends what it answers,
 // and its jobs go on elsewhere at once.
 func TestLeavingNodeHandsOver(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 2, Runners: 2, Slots: 8, Events: 100, Gap: 10 * time.Millisecond, Extra: "[jobs]\ntake_over_after = 1m\nsweep_interval = 1m\n"})
+	f := startFleet(t, Options{Nodes: 2, Runners: 2, Slots: 8, Events: 100, Gap: 10 * time.Millisecond, Extra: "[jobs]\ntake_over_after = 1m\nsweep_interval = 1m\n"})
 	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "h1", Items("h1", 40)).Status, http.StatusAccepted)
 	answered := make(chan Reply, 1)
 	go func() {
 		answered <- SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, "h-on", nil)
 	}()
-	eventually(t, "the request runs", time.Second, func() bool { return f.runs("h-on") == 1 })
+	eventually(t, "the request runs", time.Second, func() bool { return f.runCount("h-on") == 1 })
 	is.NoErr(f.Nodes[0].Terminate())
 	reply := <-answered
 	is.NoErr(reply.Err)
--- a/lab/hosted/online_test.go
+++ b/lab/hosted/online_test.go
@@ -13,8 +13,8 @@
 	"github.com/matryer/is"
 )
 
-// fleet starts a fleet for one test.
-func fleet(t *testing.T, o Options) *Fleet {
+// startFleet starts a startFleet for one test.
+func startFleet(t *testing.T, o Options) *Fleet {
 	t.Helper()
 	if o.Slots == 0 {
 		o.Slots, o.Events, o.Gap = 8, 6, 5*time.Millisecond
@@ -38,7 +38,7 @@
 	t.Fatalf("not within %v: %s", within, what)
 }
 
-func (f *Fleet) runs(id string) int {
+func (f *Fleet) runCount(id string) int {
 	n := 0
 	for _, r := range f.Runners {
 		n += r.RunCount(id)
@@ -48,14 +48,14 @@
 
 func TestAnswerIsPassedOnWhole(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 1, Runners: 2})
+	f := startFleet(t, Options{Nodes: 1, Runners: 2})
 	reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath+"x?y=%2F", "a1", map[string]string{"X-Marblepond-Deadline-Ms": "3000", "X-Other": "kept"})
 	is.NoErr(reply.Err)
 	is.Equal(reply.Status, http.StatusOK)
 	is.Equal(StreamText(reply.Body), f.Runners[0].Text("a1"))
 	is.True(strings.HasPrefix(reply.Header.Get("X-Marblepond-Server-Stamp"), "stamp."))
 	is.Equal(reply.Header.Get("X-Marblepond-Request-Id"), "a1")
-	is.Equal(f.runs("a1"), 1)
+	is.Equal(f.runCount("a1"), 1)
 	for _, r := range f.Runners {
 		if h := r.Header("a1"); h != nil {
 			is.Equal(h.Get("X-Other"), "kept")
@@ -67,7 +67,7 @@
 
 // TestBadInput: a clear answer of the right status, and nothing runs.
 func TestBadInput(t *testing.T) {
-	f := fleet(t, Options{Nodes: 1, Runners: 1})
+	f := startFleet(t, Options{Nodes: 1, Runners: 1})
 	at := f.Nodes[0].CallerAddress()
 	duplicate := append(Items("d", 1), Items("d", 1)...)
 	outside := Items("o", 1)
@@ -104,7 +104,7 @@
 		})
 	}
 	is := is.New(t)
-	is.Equal(f.runs("bad"), 0)
+	is.Equal(f.runCount("bad"), 0)
 	is.Equal(len(f.Store.Names("marblepond-jobs")), 0)
 }
 
@@ -113,7 +113,7 @@
 // says at once that nothing ran, and when to come back.
 func TestRefusalElsewhere(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 1, Runners: 2})
+	f := startFleet(t, Options{Nodes: 1, Runners: 2})
 	f.Runners[0].SetBehaviour(func(string, int) Behaviour { return Full })
 	for i := range 6 {
 		is.Equal(SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, fmt.Sprint("r", i), nil).Status, http.StatusOK)
@@ -124,13 +124,13 @@
 	is.Equal(reply.Status, http.StatusServiceUnavailable)
 	is.True(reply.Header.Get("Retry-After") != "")
 	is.True(time.Since(asked) < time.Second)
-	is.Equal(f.runs("full"), 0)
+	is.Equal(f.runCount("full"), 0)
 }
 
 // TestAtMostOnce: after any end that may have run, a request that runs at most
 // once is not sent again, and the answer promises nothing.
 func TestAtMostOnce(t *testing.T) {
-	f := fleet(t, Options{Nodes: 1, Runners: 3})
+	f := startFleet(t, Options{Nodes: 1, Runners: 3})
 	for _, c := range []struct {
 		name string
 		what Behaviour
@@ -143,7 +143,7 @@
 			id := "once-" + fmt.Sprint(int(c.what))
 			reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, id, nil)
 			is.True(reply.Err != nil || reply.Status == http.StatusInternalServerError || reply.Status == http.StatusBadGateway)
-			is.Equal(f.runs(id), 1)
+			is.Equal(f.runCount(id), 1)
 		})
 	}
 }
@@ -152,7 +152,7 @@
 // after its last whole event, within one answer; so does one whose runner
 // falls silent.
 func TestResumeElsewhere(t *testing.T) {
-	f := fleet(t, Options{Nodes: 1, Runners: 2})
+	f := startFleet(t, Options{Nodes: 1, Runners: 2})
 	for _, c := range []struct {
 		name string
 		what Behaviour
@@ -172,7 +172,7 @@
 			reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), ResumePath, id, nil)
 			is.NoErr(reply.Err)
 			is.Equal(StreamText(reply.Body), f.Runners[0].Text(id))
-			is.Equal(f.runs(id), 2)
+			is.Equal(f.runCount(id), 2)
 		})
 	}
 }
@@ -181,7 +181,7 @@
 // it lacks.
 func TestClientResumes(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 1, Runners: 1})
+	f := startFleet(t, Options{Nodes: 1, Runners: 1})
 	reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), ResumePath, "c1", map[string]string{"Last-Event-Id": "4"})
 	is.NoErr(reply.Err)
 	is.Equal(StreamText(reply.Body), EventData("c1", 5)+"\n"+EventData("c1", 6))
@@ -193,20 +193,20 @@
 	for _, c := range []struct{ runners, runs int }{{4, 3}, {2, 2}} { // more runners than attempts, and fewer
 		t.Run(fmt.Sprint(c.runners), func(t *testing.T) {
 			is := is.New(t)
-			f := fleet(t, Options{Nodes: 1, Runners: c.runners})
+			f := startFleet(t, Options{Nodes: 1, Runners: c.runners})
 			for _, r := range f.Runners {
 				r.SetBehaviour(func(string, int) Behaviour { return LoseAnswer })
 			}
 			reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), RepeatPath, "again", nil)
 			is.Equal(reply.Status, http.StatusBadGateway) // it ran: no refusal
-			is.Equal(f.runs("again"), c.runs)
+			is.Equal(f.runCount("again"), c.runs)
 		})
 	}
 }
 
 // TestClientLeaves: when the client goes away, the runner's work is ended.
 func TestClientLeaves(t *testing.T) {
-	f := fleet(t, Options{Nodes: 1, Runners: 1, Slots: 8, Events: 100, Gap: 20 * time.Millisecond})
+	f := startFleet(t, Options{Nodes: 1, Runners: 1, Slots: 8, Events: 100, Gap: 20 * time.Millisecond})
 	ctx, cancel := context.WithTimeout(context.Background(), 150*time.Millisecond)
 	defer cancel()
 	SendRequest(ctx, f.Nodes[0].CallerAddress(), StreamPath, "gone", nil)
@@ -217,7 +217,7 @@
 // that time.
 func TestRouteTimeout(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 1, Runners: 1, Slots: 8, Events: 100, Gap: 20 * time.Millisecond})
+	f := startFleet(t, Options{Nodes: 1, Runners: 1, Slots: 8, Events: 100, Gap: 20 * time.Millisecond})
 	f.Store.Put("config", "main", Config(2, func(c map[string]any) { c["routes"].([]any)[0].(map[string]any)["timeout_ms"] = 300 }))
 	eventually(t, "version 2 is in force", 2*time.Second, func() bool { return f.Nodes[0].Table().Version == 2 })
 	asked := time.Now()
@@ -230,7 +230,7 @@
 // also on one that the store refuses.
 func TestDrainingTarget(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 2, Runners: 2})
+	f := startFleet(t, Options{Nodes: 2, Runners: 2})
 	f.Store.Put("servers", "i-0", f.Runners[0].Entry("hall-a", "draining"))
 	time.Sleep(1500 * time.Millisecond)
 	for i := range 10 {
@@ -252,18 +252,18 @@
 	for _, path := range []string{StreamPath, ResumePath} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
-			f := fleet(t, Options{Nodes: 1, Runners: 1, Slots: 8, Events: 250, Gap: 10 * time.Millisecond})
+			f := startFleet(t, Options{Nodes: 1, Runners: 1, Slots: 8, Events: 250, Gap: 10 * time.Millisecond})
 			r := f.Runners[0]
 			is.Equal(SendRequest(context.Background(), f.Nodes[0].CallerAddress(), path, "before", nil).Status, http.StatusOK)
-			r.restart = func() {} // the list does not tell yet
+			r.onRestart = func() {} // the list does not tell yet
 			r.Kill(50 * time.Millisecond)
-			eventually(t, "it has started again", time.Second, r.up)
+			eventually(t, "it has started again", time.Second, r.isUp)
 			time.AfterFunc(200*time.Millisecond, func() { f.Store.Put("servers", r.ID, r.Entry("hall-a", "ready")) })
 			reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), path, "meanwhile", nil)
 			is.NoErr(reply.Err)
 			is.Equal(reply.Status, http.StatusOK)
 			is.Equal(StreamText(reply.Body), r.Text("meanwhile"))
-			is.Equal(f.runs("meanwhile"), 1)
+			is.Equal(f.runCount("meanwhile"), 1)
 		})
 	}
 }
@@ -272,7 +272,7 @@
 // not asked again.
 func TestReusedAddress(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 1, Runners: 2})
+	f := startFleet(t, Options{Nodes: 1, Runners: 2})
 	f.Runners[0].ID = "i-other"
 	for i := range 8 {
 		is.Equal(SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, fmt.Sprint("u", i), nil).Status, http.StatusOK)
@@ -280,7 +280,7 @@
 	}
 }
 
-// TestRoomIsWaitedFor: a request that every runner refuses is sent again within
+// TestRequestsWaitForCapacity: a request that every runner refuses is sent again within
 // a part of its objective, and batch items make room at a runner that refuses,
 // also those of a node that has not heard of the others.
 //
@@ -289,13 +289,13 @@
 // still connecting had left before it was counted as leaving, and counted so for good: with
 // one "leaving" already, no other item was told to. What showed it: "yielding" is 1 and
 // "items" 6 in each request_broken of the refused request, from the first to the last.
-func TestRoomIsWaitedFor(t *testing.T) {
+func TestRequestsWaitForCapacity(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 1, Runners: 1, Slots: 8, Events: 60, Gap: 10 * time.Millisecond})
+	f := startFleet(t, Options{Nodes: 1, Runners: 1, Slots: 8, Events: 60, Gap: 10 * time.Millisecond})
 	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "room", Items("room", 20)).Status, http.StatusAccepted)
 	eventually(t, "items fill the runner", 2*time.Second, func() bool { return f.Runners[0].Busy() >= 6 })
-	strangers := f.Runners[0].OccupySlots(2) // of a node that is not heard
-	defer strangers()
+	free := f.Runners[0].OccupySlots(2) // of a node that is not heard
+	defer free()
 	for i := range 4 {
 		reply := SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, fmt.Sprint("room-on-", i), nil)
 		is.NoErr(reply.Err)
--- a/lab/hosted/request_bench_test.go
+++ b/lab/hosted/request_bench_test.go
@@ -37,13 +37,13 @@
 			client := http.Client{Transport: &http.Transport{DisableCompression: true}}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				askOn(b, &client, f.Nodes[0].CallerAddress(), fmt.Sprint(i))
+				sendOn(b, &client, f.Nodes[0].CallerAddress(), fmt.Sprint(i))
 			}
 		})
 	}
 }
 
-func askOn(b *testing.B, client *http.Client, node, id string) {
+func sendOn(b *testing.B, client *http.Client, node, id string) {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+node+StreamPath, bytes.NewReader(make([]byte, 1500)))
 	if err != nil {
 		b.Fatal(err)
--- a/lab/hosted/runner.go
+++ b/lab/hosted/runner.go
@@ -35,26 +35,26 @@
 	ID      string
 	Service string
 
-	address string
-	slots   int
-	events  int           // of each answer
-	gap     time.Duration // between events
-	busy    atomic.Int32
-	mu      sync.Mutex
-	born    time.Time
-	server  *http.Server // nil while the process is down
-	closed  bool
-	ends    int            // of the process
-	restart func()         // told each further start of the process
-	arrived map[string]int // requests that were read, run or not
-	behave  func(requestID string, run int) Behaviour
-	runs    map[string]int      // requests that began to run
-	starts  []RunStart          // the same, in order
-	resume  map[string][]string // Last-Event-Id of each run
-	cut     map[string]int      // runs that the sender ended
-	heads   map[string]http.Header
-	cold    coldness
-	newest  time.Time // when a request last came
+	address         string
+	slots           int
+	events          int           // of each answer
+	gap             time.Duration // between events
+	busy            atomic.Int32
+	mu              sync.Mutex
+	startedAt       time.Time
+	server          *http.Server // nil while the process is down
+	closed          bool
+	exits           int            // of the process
+	onRestart       func()         // told each further start of the process
+	arrivals        map[string]int // requests that were read, run or not
+	behaviour       func(requestID string, run int) Behaviour
+	runs            map[string]int      // requests that began to run
+	runStarts       []RunStart          // the same, in order
+	resumePositions map[string][]string // Last-Event-Id of each run
+	cancelled       map[string]int      // runs that the sender ended
+	headers         map[string]http.Header
+	warmUp          warmUp
+	lastArrival     time.Time // when a request last came
 }
 
 // RunStart is one request that began to run.
@@ -68,14 +68,14 @@
 func (r *Runner) RunStarts() []RunStart {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]RunStart(nil), r.starts...)
+	return append([]RunStart(nil), r.runStarts...)
 }
 
 // NewRunner starts a runner on a loopback address.
 func NewRunner(id, service string, slots, events int, gap time.Duration) *Runner {
-	r := &Runner{ID: id, Service: service, address: freshHost() + ":8443", slots: slots, events: events, gap: gap,
-		restart: func() {}, arrived: map[string]int{}, runs: map[string]int{}, resume: map[string][]string{}, cut: map[string]int{}, heads: map[string]http.Header{},
-		behave: func(string, int) Behaviour { return Serve }}
+	r := &Runner{ID: id, Service: service, address: newHost() + ":8443", slots: slots, events: events, gap: gap,
+		onRestart: func() {}, arrivals: map[string]int{}, runs: map[string]int{}, resumePositions: map[string][]string{}, cancelled: map[string]int{}, headers: map[string]http.Header{},
+		behaviour: func(string, int) Behaviour { return Serve }}
 	if err := r.start(); err != nil {
 		panic(err) // as httptest does: no address to listen at
 	}
@@ -93,7 +93,7 @@
 	}
 	server := &http.Server{Handler: r}
 	r.mu.Lock()
-	r.server, r.born = server, time.Now()
+	r.server, r.startedAt = server, time.Now()
 	r.mu.Unlock()
 	go func() { _ = server.Serve(listener) }() // ends when the server is closed
 	return nil
@@ -106,7 +106,7 @@
 	server := r.server
 	r.server = nil
 	if server != nil {
-		r.ends++
+		r.exits++
 	}
 	r.mu.Unlock()
 	if server == nil {
@@ -134,13 +134,13 @@
 		closed := r.closed
 		r.mu.Unlock()
 		if !closed && r.start() == nil {
-			r.restart()
+			r.onRestart()
 		}
 	})
 }
 
-// up reports whether the runner's process runs.
-func (r *Runner) up() bool {
+// isUp reports whether the runner's process runs.
+func (r *Runner) isUp() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.server != nil
@@ -150,7 +150,7 @@
 func (r *Runner) ExitCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ends
+	return r.exits
 }
 
 // ArrivalCount returns how many requests reached the runner, run or not, whose IDs begin
@@ -159,7 +159,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
-	for id, times := range r.arrived {
+	for id, times := range r.arrivals {
 		if strings.HasPrefix(id, prefix) {
 			n += times
 		}
@@ -172,7 +172,7 @@
 func (r *Runner) SetBehaviour(f func(requestID string, run int) Behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.behave = f
+	r.behaviour = f
 }
 
 // RunCount returns how often the runner began to run a request.
@@ -186,21 +186,21 @@
 func (r *Runner) ResumePositions(requestID string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]string(nil), r.resume[requestID]...)
+	return append([]string(nil), r.resumePositions[requestID]...)
 }
 
 // CancelledRuns returns how many runs of a request the sender ended.
 func (r *Runner) CancelledRuns(requestID string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cut[requestID]
+	return r.cancelled[requestID]
 }
 
 // Header returns the header of the newest run of a request.
 func (r *Runner) Header(requestID string) http.Header {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.heads[requestID]
+	return r.headers[requestID]
 }
 
 // Busy returns how many requests run now.
@@ -211,7 +211,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return map[string]any{"service": r.Service, "address": r.Address(), "zone": dataCentre, "version": "v1",
-		"slots": float64(r.slots), "state": state, "warmup_left_ms": float64(r.cold.left(time.Now()).Milliseconds()), "seq": 1, "born": r.born.UnixMilli()}
+		"slots": float64(r.slots), "state": state, "warmup_left_ms": float64(r.warmUp.remaining(time.Now()).Milliseconds()), "seq": 1, "born": r.startedAt.UnixMilli()}
 }
 
 // EntryAfterRestart returns what the runner registers when it has started again
@@ -248,13 +248,13 @@
 		return
 	}
 	r.mu.Lock()
-	r.arrived[id]++
-	r.newest = time.Now()
-	r.cold.arrived(r.newest)
-	what := r.behave(id, r.runs[id])
+	r.arrivals[id]++
+	r.lastArrival = time.Now()
+	r.warmUp.recordRequest(r.lastArrival)
+	behaviour := r.behaviour(id, r.runs[id])
 	r.mu.Unlock()
-	if what == Full || int(r.busy.Add(1)) > r.slots {
-		if what != Full {
+	if behaviour == Full || int(r.busy.Add(1)) > r.slots {
+		if behaviour != Full {
 			r.busy.Add(-1)
 		}
 		w.Header().Set("X-Marblepond-Not-Run", "1")
@@ -264,56 +264,56 @@
 	defer r.busy.Add(-1)
 	r.mu.Lock()
 	r.runs[id]++
-	r.starts = append(r.starts, RunStart{id, req.URL.Path, time.Now()})
-	r.resume[id] = append(r.resume[id], req.Header.Get("Last-Event-Id"))
-	r.heads[id] = req.Header.Clone()
+	r.runStarts = append(r.runStarts, RunStart{id, req.URL.Path, time.Now()})
+	r.resumePositions[id] = append(r.resumePositions[id], req.Header.Get("Last-Event-Id"))
+	r.headers[id] = req.Header.Clone()
 	r.mu.Unlock()
-	r.run(w, req, id, what)
+	r.run(w, req, id, behaviour)
 }
 
 const (
-	// crashAfter is the time from the start of a run to the crash that it brings:
+	// crashDelay is the time from the start of a run to the crash that it brings:
 	// some events are out by then.
-	crashAfter = 30 * time.Millisecond
-	// downTime is how long a runner is down after a crash.
-	downTime = 600 * time.Millisecond
+	crashDelay = 30 * time.Millisecond
+	// restartDelay is how long a runner is down after a crash.
+	restartDelay = 600 * time.Millisecond
 )
 
-func (r *Runner) run(w http.ResponseWriter, req *http.Request, id string, what Behaviour) {
+func (r *Runner) run(w http.ResponseWriter, req *http.Request, id string, behaviour Behaviour) {
 	stamp := fmt.Sprintf("stamp.%s.%08x", r.ID, rand.Uint32())
-	switch what {
+	switch behaviour {
 	case Crash:
-		time.AfterFunc(crashAfter, func() { r.Kill(downTime) })
+		time.AfterFunc(crashDelay, func() { r.Kill(restartDelay) })
 	case LoseAnswer:
 		panic(http.ErrAbortHandler)
 	case Fail, Unprocessable:
 		w.Header().Set("X-Marblepond-Server-Stamp", stamp)
-		w.WriteHeader(map[Behaviour]int{Fail: http.StatusInternalServerError, Unprocessable: http.StatusUnprocessableEntity}[what])
+		w.WriteHeader(map[Behaviour]int{Fail: http.StatusInternalServerError, Unprocessable: http.StatusUnprocessableEntity}[behaviour])
 		return
 	case ForeignID:
 		w.Header().Set("X-Marblepond-Request-Id", "another")
 	}
-	if what != NoStamp {
+	if behaviour != NoStamp {
 		w.Header().Set("X-Marblepond-Server-Stamp", stamp)
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	r.stream(w, req, id, what)
+	r.stream(w, req, id, behaviour)
 }
 
-func (r *Runner) stream(w http.ResponseWriter, req *http.Request, id string, what Behaviour) {
+func (r *Runner) stream(w http.ResponseWriter, req *http.Request, id string, behaviour Behaviour) {
 	flush := http.NewResponseController(w)
 	from, _ := strconv.Atoi(req.Header.Get("Last-Event-Id")) // absent: from the start
 	for n := from + 1; n <= r.events; n++ {
 		select {
 		case <-req.Context().Done():
 			r.mu.Lock()
-			r.cut[id]++
+			r.cancelled[id]++
 			r.mu.Unlock()
 			return
 		case <-time.After(r.gap):
 		}
-		if what == BreakOff && n == from+1+r.events/2 {
+		if behaviour == BreakOff && n == from+1+r.events/2 {
 			fmt.Fprintf(w, "id: %d\ndata: half", n)
 			_ = flush.Flush()
 			panic(http.ErrAbortHandler)
@@ -322,7 +322,7 @@
 		if flush.Flush() != nil {
 			return
 		}
-		if what == Stall {
+		if behaviour == Stall {
 			<-req.Context().Done()
 			return
 		}
--- a/lab/hosted/store.go
+++ b/lab/hosted/store.go
@@ -56,15 +56,15 @@
 type Store struct {
 	server *httptest.Server
 
-	mu      sync.Mutex
-	faults  StoreFaults
-	kinds   map[string]map[string]Object
-	rev     int64
-	history []event
-	floor   int64 // history up to here is gone
-	calls   map[string]int
-	closed  chan struct{}
-	doors   []*Endpoint
+	mu           sync.Mutex
+	faults       StoreFaults
+	kinds        map[string]map[string]Object
+	rev          int64
+	history      []event
+	historyFloor int64 // history up to here is gone
+	calls        map[string]int
+	closed       chan struct{}
+	endpoints    []*Endpoint
 }
 
 // NewStore starts a store on a loopback address.
@@ -80,7 +80,7 @@
 // Close ends the store.
 func (s *Store) Close() {
 	close(s.closed)
-	for _, d := range s.doors {
+	for _, d := range s.endpoints {
 		d.server.CloseClientConnections()
 		d.server.Close()
 	}
@@ -99,7 +99,7 @@
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.floor, s.history = s.rev, nil
+	s.historyFloor, s.history = s.rev, nil
 }
 
 // Calls returns how many calls were made, by method and kind.
@@ -112,14 +112,14 @@
 // Endpoint is a second address of the store, for nodes that it can be told to turn away.
 type Endpoint struct {
 	server *httptest.Server
-	closed atomic.Bool
+	down   atomic.Bool
 }
 
 // NewEndpoint opens a door, which Store.Close closes.
 func (s *Store) NewEndpoint() *Endpoint {
 	d := &Endpoint{}
 	d.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if d.closed.Load() {
+		if d.down.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -127,17 +127,17 @@
 	}))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.doors = append(s.doors, d)
+	s.endpoints = append(s.endpoints, d)
 	return d
 }
 
 // Settings returns the settings of a node that uses the door, in INI.
-func (d *Endpoint) Settings() string {
-	return "[store]\naddress = " + d.server.Listener.Addr().String() + "\n"
+func (e *Endpoint) Settings() string {
+	return "[store]\naddress = " + e.server.Listener.Addr().String() + "\n"
 }
 
 // SetDown turns its nodes away, or lets them in again.
-func (d *Endpoint) SetDown(shut bool) { d.closed.Store(shut) }
+func (e *Endpoint) SetDown(down bool) { e.down.Store(down) }
 
 // Put writes an object as the operator or a runner would.
 func (s *Store) Put(kind, name string, spec any) int64 {
@@ -347,7 +347,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if since < s.floor {
+	if since < s.historyFloor {
 		w.WriteHeader(http.StatusGone)
 		return
 	}
--- a/lab/hosted/store_test.go
+++ b/lab/hosted/store_test.go
@@ -12,11 +12,11 @@
 	"github.com/matryer/is"
 )
 
-// TestConfigurationThroughTrouble: a change is in force within 2 s when the
+// TestConfigurationAfterHistoryLoss: a change is in force within 2 s when the
 // store has forgotten its history, and a node never goes back to an older one.
-func TestConfigurationThroughTrouble(t *testing.T) {
+func TestConfigurationAfterHistoryLoss(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 3, Runners: 1})
+	f := startFleet(t, Options{Nodes: 3, Runners: 1})
 	f.Store.Put("config", "main", Config(5))
 	f.Store.DropHistory()
 	for _, n := range f.Nodes {
@@ -39,7 +39,7 @@
 	}{{"refusing", StoreFaults{Down: true}}, {"silent", StoreFaults{Unresponsive: true}}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			f := fleet(t, Options{Nodes: 2, Runners: 2, Slots: 8, Events: 20, Gap: 10 * time.Millisecond, Extra: quickJobs})
+			f := startFleet(t, Options{Nodes: 2, Runners: 2, Slots: 8, Events: 20, Gap: 10 * time.Millisecond, Extra: shortJobTimeouts})
 			is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "s1", Items("s1", 10)).Status, http.StatusAccepted)
 			f.Store.SetFaults(c.faults)
 			refused := SubmitJob(f.Nodes[1].CallerAddress(), "s2", Items("s2", 2))
@@ -55,7 +55,7 @@
 			results, err := ReadAllResults(f.callers(), "s1", 15*time.Second)
 			is.NoErr(err)
 			f.checkResults(t, "s1", 10, results)
-			is.Equal(f.runs("s2-0"), 0)
+			is.Equal(f.runCount("s2-0"), 0)
 		})
 	}
 }
@@ -69,7 +69,7 @@
 	}{{"at once", 0}, {"later", 700 * time.Millisecond}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			f := fleet(t, Options{Nodes: 2, Runners: 2, Extra: quickJobs})
+			f := startFleet(t, Options{Nodes: 2, Runners: 2, Extra: shortJobTimeouts})
 			f.Store.SetFaults(StoreFaults{LostResponseShare: 0.4, LateWriteDelay: c.late})
 			var wg sync.WaitGroup
 			for n := range 6 {
@@ -100,12 +100,12 @@
 	}
 }
 
-// TestNewsThroughPeers: a node that cannot reach the store learns a change of
+// TestConfigurationThroughPeers: a node that cannot reach the store learns a change of
 // the configuration from its peers. Here the store refuses it from the start,
 // so that all it knows comes from them.
-func TestNewsThroughPeers(t *testing.T) {
+func TestConfigurationThroughPeers(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 2, Runners: 1})
+	f := startFleet(t, Options{Nodes: 2, Runners: 1})
 	cut, err := f.StartNode("edge-cut", "")
 	is.NoErr(err)
 	is.NoErr(f.waitReady(cut))
@@ -174,7 +174,7 @@
 func TestStartsFromTheDisk(t *testing.T) {
 	is := is.New(t)
 	disk := "[node]\ndata_dir = " + t.TempDir() + "\n"
-	f := fleet(t, Options{Nodes: 1, Runners: 1, Slots: 4, Events: 3, Gap: time.Millisecond, Extra: disk})
+	f := startFleet(t, Options{Nodes: 1, Runners: 1, Slots: 4, Events: 3, Gap: time.Millisecond, Extra: disk})
 	time.Sleep(3 * time.Second) // until it is written
 	f.Nodes[0].Kill()
 	f.Store.SetFaults(StoreFaults{Unresponsive: true})
@@ -194,7 +194,7 @@
 func TestCallsToTheStore(t *testing.T) {
 	is := is.New(t)
 	rate := func(nodes int) float64 {
-		f := fleet(t, Options{Nodes: nodes, Runners: 1})
+		f := startFleet(t, Options{Nodes: nodes, Runners: 1})
 		time.Sleep(time.Second) // nodes get to know each other
 		before := f.Store.Calls()["GET config"]
 		time.Sleep(3 * time.Second)
--- a/lab/hosted/workspaces.go
+++ b/lab/hosted/workspaces.go
@@ -48,12 +48,12 @@
 func ReadResultsWithKey(node, job, key string, after int) (Results, int) {
 	header := KeyHeader(key)
 	header["X-Marblepond-Wait-Ms"] = "300"
-	return read(node, job, after, header)
+	return readResults(node, job, after, header)
 }
 
 // ReadAllResultsWithKey reads a job with a key to its end, at the nodes in turn.
 func ReadAllResultsWithKey(nodes []string, job, key string, within time.Duration) ([]Result, error) {
-	return readAll(nodes, job, within, func(node string, after int) (Results, int) { return ReadResultsWithKey(node, job, key, after) })
+	return readAllResults(nodes, job, within, func(node string, after int) (Results, int) { return ReadResultsWithKey(node, job, key, after) })
 }
 
 // EndJobWithKey ends a job with a key.
--- a/lab/hosted/workspaces_test.go
+++ b/lab/hosted/workspaces_test.go
@@ -25,16 +25,16 @@
 // twoWorkspaces has two workspaces, one with two keys.
 var twoWorkspaces = WithWorkspaces(Workspace{Name: "kurzeme", Keys: []string{"k-one", "k-two"}}, Workspace{Name: "keystel", Keys: []string{"s-one"}})
 
-// startWith starts a fleet and puts a configuration into force.
-func startWith(t *testing.T, o Options, change func(map[string]any)) *Fleet {
+// startFleetWithConfig starts a fleet and puts a configuration into force.
+func startFleetWithConfig(t *testing.T, o Options, change func(map[string]any)) *Fleet {
 	t.Helper()
-	f := fleet(t, o)
-	f.enforce(t, 2, change)
+	f := startFleet(t, o)
+	f.applyConfig(t, 2, change)
 	return f
 }
 
-// enforce puts a configuration into force at all nodes.
-func (f *Fleet) enforce(t *testing.T, version int, change ...func(map[string]any)) {
+// applyConfig puts a configuration into force at all nodes.
+func (f *Fleet) applyConfig(t *testing.T, version int, change ...func(map[string]any)) {
 	t.Helper()
 	f.Store.Put("config", "main", Config(version, change...))
 	for _, n := range f.Nodes {
@@ -42,8 +42,8 @@
 	}
 }
 
-// headerAt returns the header with which a request reached a runner.
-func (f *Fleet) headerAt(id string) http.Header {
+// receivedHeader returns the header with which a request reached a runner.
+func (f *Fleet) receivedHeader(id string) http.Header {
 	for _, r := range f.Runners {
 		if h := r.Header(id); h != nil {
 			return h
@@ -56,21 +56,21 @@
 // whose it is, whatever the caller says of that, and never sees the key.
 func TestTargetsLearnTheWorkspace(t *testing.T) {
 	is := is.New(t)
-	f := startWith(t, Options{Nodes: 2, Runners: 2}, twoWorkspaces)
+	f := startFleetWithConfig(t, Options{Nodes: 2, Runners: 2}, twoWorkspaces)
 	at := f.Nodes[0].CallerAddress()
 	lying := KeyHeader("k-two")
 	lying["X-Marblepond-Tenant"] = "keystel"
 	is.Equal(SendRequest(context.Background(), at, StreamPath, "w1", lying).Status, http.StatusOK)
-	is.Equal(f.headerAt("w1")["X-Marblepond-Tenant"], []string{"kurzeme"})
-	is.Equal(f.headerAt("w1").Get("Authorization"), "")
+	is.Equal(f.receivedHeader("w1")["X-Marblepond-Tenant"], []string{"kurzeme"})
+	is.Equal(f.receivedHeader("w1").Get("Authorization"), "")
 	is.Equal(SendRequestWithKey(at, ResumePath, "w2", "s-one").Status, http.StatusOK)
-	is.Equal(f.headerAt("w2").Get("X-Marblepond-Tenant"), "keystel")
+	is.Equal(f.receivedHeader("w2").Get("X-Marblepond-Tenant"), "keystel")
 
 	is.Equal(SendRequest(context.Background(), at, OpenPath, "w3", map[string]string{"X-Marblepond-Tenant": "keystel", "Authorization": "Bearer nobody's"}).Status, http.StatusOK)
-	is.Equal(len(f.headerAt("w3")["X-Marblepond-Tenant"]), 0)
-	is.Equal(f.headerAt("w3").Get("Authorization"), "")
+	is.Equal(len(f.receivedHeader("w3")["X-Marblepond-Tenant"]), 0)
+	is.Equal(f.receivedHeader("w3").Get("Authorization"), "")
 	is.Equal(SendRequestWithKey(at, OpenPath, "w4", "s-one").Status, http.StatusOK)
-	is.Equal(f.headerAt("w4").Get("X-Marblepond-Tenant"), "keystel")
+	is.Equal(f.receivedHeader("w4").Get("X-Marblepond-Tenant"), "keystel")
 
 	for name, header := range map[string]map[string]string{
 		"no-key": nil, "unknown": KeyHeader("k-three"), "empty": KeyHeader(""), "scheme": {"Authorization": "Basic k-one"}, "bare": {"Authorization": "k-one"},
@@ -78,7 +78,7 @@
 		reply := Call(context.Background(), http.MethodPost, at, StreamPath, name, header, bytes.Repeat([]byte("x"), 70000)) // a body over the limit isn't read
 		is.Equal(reply.Status, http.StatusUnauthorized)                                                                      // name
 		is.Equal(reply.Header.Get("WWW-Authenticate"), "Bearer")
-		is.Equal(f.runs(name), 0)
+		is.Equal(f.runCount(name), 0)
 	}
 	is.Equal(SubmitJob(at, "w5", Items("w5", 1)).Status, http.StatusUnauthorized)
 	_, status := ReadResults(at, "w5", 0)
@@ -86,23 +86,23 @@
 	is.Equal(EndJob(at, "w5").Status, http.StatusUnauthorized)
 }
 
-// TestWithoutWorkspacesNothingIsAsked: a configuration without workspaces asks for no
+// TestNoKeyNeededWithoutWorkspaces: a configuration without workspaces asks for no
 // key; what a caller says of a workspace reaches no target.
-func TestWithoutWorkspacesNothingIsAsked(t *testing.T) {
+func TestNoKeyNeededWithoutWorkspaces(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 1, Runners: 1})
+	f := startFleet(t, Options{Nodes: 1, Runners: 1})
 	header := KeyHeader("some key")
 	header["X-Marblepond-Tenant"] = "kurzeme"
 	is.Equal(SendRequest(context.Background(), f.Nodes[0].CallerAddress(), StreamPath, "n1", header).Status, http.StatusOK)
-	is.Equal(f.headerAt("n1").Get("Authorization"), "Bearer some key")
-	is.Equal(f.headerAt("n1").Get("X-Marblepond-Tenant"), "")
+	is.Equal(f.receivedHeader("n1").Get("Authorization"), "Bearer some key")
+	is.Equal(f.receivedHeader("n1").Get("X-Marblepond-Tenant"), "")
 }
 
 // TestUnreadableWorkspacesDisturbNoOther: an entry that can't be read, a key of two
 // workspaces and a name that stands twice take nothing from the others.
 func TestUnreadableWorkspacesDisturbNoOther(t *testing.T) {
 	is := is.New(t)
-	f := startWith(t, Options{Nodes: 1, Runners: 1}, WithWorkspaces(
+	f := startFleetWithConfig(t, Options{Nodes: 1, Runners: 1}, WithWorkspaces(
 		map[string]any{"name": 7, "api_keys": []string{"a"}}, "no entry", nil, map[string]any{}, map[string]any{"name": "", "api_keys": []string{"b"}},
 		map[string]any{"name": "bad-rate", "api_keys": []string{"c"}, "rate_per_s": "many"}, map[string]any{"name": "negative", "api_keys": []string{"d"}, "burst": -1},
 		map[string]any{"name": "some-keys", "api_keys": []any{4, "e", "", "shared"}},
@@ -121,21 +121,21 @@
 // workspace's other key goes on.
 func TestRemovedKeyEnds(t *testing.T) {
 	is := is.New(t)
-	f := startWith(t, Options{Nodes: 3, Runners: 2}, twoWorkspaces)
+	f := startFleetWithConfig(t, Options{Nodes: 3, Runners: 2}, twoWorkspaces)
 	cut, err := f.StartNode("edge-cut", "[store]\naddress = 127.0.0.1:1\n")
 	is.NoErr(err)
 	is.NoErr(f.waitReady(cut))
 	eventually(t, "the node cut off has version 2", 2*time.Second, func() bool { return cut.Table().Version == 2 })
-	open := map[string]*keptConnection{}
+	open := map[string]*persistentConn{}
 	for _, n := range f.Nodes {
-		open[n.Settings.NodeID] = &keptConnection{node: n.CallerAddress()}
-		is.Equal(open[n.Settings.NodeID].ask(t, "k-one"), http.StatusOK)
+		open[n.Settings.NodeID] = &persistentConn{node: n.CallerAddress()}
+		is.Equal(open[n.Settings.NodeID].send(t, "k-one"), http.StatusOK)
 	}
 	f.Store.Put("config", "main", Config(3, WithWorkspaces(Workspace{Name: "kurzeme", Keys: []string{"k-two"}}, Workspace{Name: "keystel", Keys: []string{}})))
 	acked := time.Now()
 	fresh, err := f.StartNode("edge-new", "")
 	is.NoErr(err)
-	open["edge-new"] = &keptConnection{node: fresh.CallerAddress()}
+	open["edge-new"] = &persistentConn{node: fresh.CallerAddress()}
 	time.Sleep(time.Until(acked.Add(f.Nodes[0].Settings.ConfigWithin)))
 	statuses := make([]int, len(f.Nodes))
 	var wg sync.WaitGroup
@@ -147,36 +147,36 @@
 	wg.Wait()
 	is.Equal(statuses, []int{401, 401, 401, 401, 401}) // three nodes, the one cut off and the new one
 	for name, c := range open {
-		is.Equal(c.ask(t, "k-one"), http.StatusUnauthorized) // name
-		is.True(name == "edge-new" || c.reused)              // on the connection that was open
-		is.Equal(c.ask(t, "s-one"), http.StatusUnauthorized)
-		is.Equal(c.ask(t, "k-two"), http.StatusOK)
+		is.Equal(c.send(t, "k-one"), http.StatusUnauthorized) // name
+		is.True(name == "edge-new" || c.reused)               // on the connection that was open
+		is.Equal(c.send(t, "s-one"), http.StatusUnauthorized)
+		is.Equal(c.send(t, "k-two"), http.StatusOK)
 	}
 }
 
-// keptConnection is a client's connection to a node that stays open.
-type keptConnection struct {
+// persistentConn is a client's connection to a node that stays open.
+type persistentConn struct {
 	node   string
 	client http.Client
-	asked  int
+	sent   int
 	reused bool // by the last request
 }
 
-// ask sends a request on the connection and returns the status.
-func (c *keptConnection) ask(t *testing.T, key string) int {
+// send sends a request on the connection and returns the status.
+func (c *persistentConn) send(t *testing.T, key string) int {
 	t.Helper()
 	if c.client.Transport == nil {
 		c.client.Transport = &http.Transport{MaxConnsPerHost: 1}
 		t.Cleanup(c.client.CloseIdleConnections)
 	}
-	c.asked++
+	c.sent++
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { c.reused = info.Reused }}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(context.Background(), trace), http.MethodPost, "http://"+c.node+StreamPath, bytes.NewReader([]byte("prompt")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	req.Host = Host
-	req.Header.Set("X-Marblepond-Request-Id", fmt.Sprint(c.node, "-", c.asked))
+	req.Header.Set("X-Marblepond-Request-Id", fmt.Sprint(c.node, "-", c.sent))
 	req.Header.Set("Authorization", "Bearer "+key)
 	resp, err := c.client.Do(req)
 	if err != nil {
@@ -194,9 +194,9 @@
 // that was added later. Items tell their target whose they are, and nothing else does.
 func TestJobsBelongToTheirWorkspace(t *testing.T) {
 	is := is.New(t)
-	f := fleet(t, Options{Nodes: 2, Runners: 2, Extra: quickJobs})
+	f := startFleet(t, Options{Nodes: 2, Runners: 2, Extra: shortJobTimeouts})
 	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "before", Items("before", 2)).Status, http.StatusAccepted)
-	f.enforce(t, 2, twoWorkspaces)
+	f.applyConfig(t, 2, twoWorkspaces)
 	at := f.Nodes[0].CallerAddress()
 	items := Items("one", 3)
 	items[1].Headers = map[string]string{"X-Marblepond-Tenant": "keystel", "authorization": "Bearer s-one", "X-Kept": "yes"}
@@ -211,10 +211,10 @@
 	}
 	is.Equal(len(read("same", "k-two")), 3)
 	is.Equal(len(read("same", "s-one")), 2)
-	is.Equal(f.headerAt("one-1")["X-Marblepond-Tenant"], []string{"kurzeme"})
-	is.Equal(f.headerAt("one-1").Get("Authorization"), "")
-	is.Equal(f.headerAt("one-1").Get("X-Kept"), "yes")
-	is.Equal(f.headerAt("two-1").Get("X-Marblepond-Tenant"), "keystel")
+	is.Equal(f.receivedHeader("one-1")["X-Marblepond-Tenant"], []string{"kurzeme"})
+	is.Equal(f.receivedHeader("one-1").Get("Authorization"), "")
+	is.Equal(f.receivedHeader("one-1").Get("X-Kept"), "yes")
+	is.Equal(f.receivedHeader("two-1").Get("X-Marblepond-Tenant"), "keystel")
 	is.Equal(len(read("before", "s-one")), 2) // from before there were workspaces
 
 	is.Equal(SubmitJobWithKey(at, "mine", "k-one", Items("mine", 1)).Status, http.StatusAccepted)
@@ -229,9 +229,9 @@
 	is.Equal(len(read("mine", "k-one")), 1)
 }
 
-// hammer sends requests of a workspace to all nodes in turn, so many a second, and returns
+// sendAtRate sends requests of a workspace to all nodes in turn, so many a second, and returns
 // how many were asked and refused.
-func (f *Fleet) hammer(prefix, key string, perSecond int, during time.Duration) (asked, refused int) {
+func (f *Fleet) sendAtRate(prefix, key string, perSecond int, during time.Duration) (asked, refused int) {
 	var wg sync.WaitGroup
 	var over atomic.Int64
 	nodes := f.callers()
@@ -251,8 +251,8 @@
 	return asked, int(over.Load())
 }
 
-// mostInWindow returns the most requests of a prefix that runners began in any window.
-func (f *Fleet) mostInWindow(prefix string, window time.Duration) int {
+// maxInWindow returns the most requests of a prefix that runners began in any window.
+func (f *Fleet) maxInWindow(prefix string, window time.Duration) int {
 	var begun []time.Time
 	for _, r := range f.Runners {
 		for _, s := range r.RunStarts() {
@@ -273,14 +273,14 @@
 	is := is.New(t)
 	const perSecond, burst, slack = 20, 20, 10
 	window := 2 * time.Second
-	f := startWith(t, Options{Nodes: 4, Runners: 6, Slots: 16, DataCentres: []string{"hall-a", "hall-b"},
+	f := startFleetWithConfig(t, Options{Nodes: 4, Runners: 6, Slots: 16, DataCentres: []string{"hall-a", "hall-b"},
 		Extra: fmt.Sprintf("[allowance]\nwindow = %v\ntolerance = 0.1\nslack = %d\n", window, slack)},
 		WithWorkspaces(Workspace{Name: "hot", Keys: []string{"h"}, PerSecond: perSecond, Burst: burst}, Workspace{Name: "usual", Keys: []string{"u"}, PerSecond: perSecond, Burst: burst},
 			Workspace{Name: "free", Keys: []string{"f"}}))
 	var wg sync.WaitGroup
 	var asked, refused, usualRefused int
-	wg.Go(func() { asked, refused = f.hammer("hot", "h", 200, 6*time.Second) })
-	wg.Go(func() { _, usualRefused = f.hammer("usual", "u", perSecond/2, 6*time.Second) })
+	wg.Go(func() { asked, refused = f.sendAtRate("hot", "h", 200, 6*time.Second) })
+	wg.Go(func() { _, usualRefused = f.sendAtRate("usual", "u", perSecond/2, 6*time.Second) })
 	time.Sleep(2 * time.Second)
 	lost := f.Nodes[3]
 	lost.Kill()
@@ -288,7 +288,7 @@
 	_, err := f.Restart(lost, "[allowance]\nwindow = 2s\nslack = 10\n")
 	is.NoErr(err)
 	wg.Wait()
-	most := f.mostInWindow("hot", window)
+	most := f.maxInWindow("hot", window)
 	t.Logf("%d of %d refused, at most %d in a window", refused, asked, most)
 	allowed := window.Seconds()*perSecond + burst
 	is.True(float64(most) <= allowed*1.1+slack)
@@ -313,14 +313,14 @@
 	wait, err := strconv.ParseFloat(reply.Header.Get("Retry-After"), 64)
 	is.NoErr(err)
 	is.True(wait > 0 && wait < 2)
-	_, freeRefused := f.hammer("free", "f", 100, time.Second)
+	_, freeRefused := f.sendAtRate("free", "f", 100, time.Second)
 	is.Equal(freeRefused, 0) // no limit
 }
 
-// TestUnrunRequestsTakeNothing: a request that no target got gives its token back.
-func TestUnrunRequestsTakeNothing(t *testing.T) {
+// TestRequestsNotRunReturnTheirToken: a request that no target got gives its token back.
+func TestRequestsNotRunReturnTheirToken(t *testing.T) {
 	is := is.New(t)
-	f := startWith(t, Options{Nodes: 1, Runners: 1, Extra: "[allowance]\nslack = 0\n"}, WithWorkspaces(Workspace{Name: "w", Keys: []string{"k"}, PerSecond: 1, Burst: 3}))
+	f := startFleetWithConfig(t, Options{Nodes: 1, Runners: 1, Extra: "[allowance]\nslack = 0\n"}, WithWorkspaces(Workspace{Name: "w", Keys: []string{"k"}, PerSecond: 1, Burst: 3}))
 	f.Runners[0].SetBehaviour(func(string, int) Behaviour { return Full })
 	for i := range 10 {
 		is.Equal(SendRequestWithKey(f.Nodes[0].CallerAddress(), StreamPath, fmt.Sprint("full-", i), "k").Status, http.StatusServiceUnavailable)
@@ -334,7 +334,7 @@
 // its 202 again while there is none; what its caller ends makes room at once.
 func TestTokensThatWaitCountOverTheFleet(t *testing.T) {
 	is := is.New(t)
-	f := startWith(t, Options{Nodes: 4, Runners: 1, Slots: 1, Gap: 100 * time.Millisecond, Extra: quickJobs}, func(config map[string]any) {
+	f := startFleetWithConfig(t, Options{Nodes: 4, Runners: 1, Slots: 1, Gap: 100 * time.Millisecond, Extra: shortJobTimeouts}, func(config map[string]any) {
 		twoWorkspaces(config)
 		config["routes"].([]any)[3].(map[string]any)["cap"] = 1000
 	})
@@ -371,7 +371,7 @@
 // the targets for long leaves another one's job its turn, though that one comes last.
 func TestOneWorkspacesJobsDontHoldUpAnother(t *testing.T) {
 	is := is.New(t)
-	f := startWith(t, Options{Nodes: 1, Runners: 1, Slots: 4, Events: 10, Gap: 10 * time.Millisecond, Extra: quickJobs}, twoWorkspaces)
+	f := startFleetWithConfig(t, Options{Nodes: 1, Runners: 1, Slots: 4, Events: 10, Gap: 10 * time.Millisecond, Extra: shortJobTimeouts}, twoWorkspaces)
 	at := f.Nodes[0].CallerAddress()
 	for n := range 12 {
 		is.Equal(SubmitJobWithKey(at, fmt.Sprint("many-", n), "k-one", Items(fmt.Sprint("many-", n), 10)).Status, http.StatusAccepted)
@@ -394,7 +394,7 @@
 // lender why a request was refused.
 func TestOperatorsSeeAllowances(t *testing.T) {
 	is := is.New(t)
-	f := startWith(t, Options{Nodes: 3, Runners: 2, Extra: "[allowance]\nslack = 0\n"}, WithWorkspaces(Workspace{Name: "small", Keys: []string{"k"}, PerSecond: 2, Burst: 2}, Workspace{Name: "free", Keys: []string{"f"}}))
+	f := startFleetWithConfig(t, Options{Nodes: 3, Runners: 2, Extra: "[allowance]\nslack = 0\n"}, WithWorkspaces(Workspace{Name: "small", Keys: []string{"k"}, PerSecond: 2, Burst: 2}, Workspace{Name: "free", Keys: []string{"f"}}))
 	refused := 0
 	for i := range 12 {
 		if SendRequestWithKey(f.Nodes[i%3].CallerAddress(), StreamPath, fmt.Sprint("seen-", i), "k").Status == http.StatusTooManyRequests {
@@ -429,7 +429,7 @@
 // Proof: with the owner killed the job is refused every time.
 func TestJobsAreAcceptedAfterTheirOwnerIsLost(t *testing.T) {
 	is := is.New(t)
-	f := startWith(t, Options{Nodes: 4, Runners: 2, Extra: quickJobs}, twoWorkspaces)
+	f := startFleetWithConfig(t, Options{Nodes: 4, Runners: 2, Extra: shortJobTimeouts}, twoWorkspaces)
 	time.Sleep(time.Second)
 	names := make([]string, len(f.Nodes))
 	for i, n := range f.Nodes {
--- a/scripts/check-mutants.sh
+++ b/scripts/check-mutants.sh
@@ -58,7 +58,7 @@
 mutant 10 internal/request/allowance/ledger.go 's/if !view\.Preferred && bs\.justStarted\(now\) \{/if !view.Preferred \&\& bs.justStarted(now) \&\& b.updatedAt.IsZero() {/' lab/model/quota TestAllowanceHoldsWhileCutNodesStartAgain
 mutant 10 internal/request/allowance/portion.go 's/case view\.PreferredReachable:\n\t\treturn fallbackPortion/case view.PreferredReachable:\n\t\treturn 1/' internal/request/allowance TestNewOwnerBringsNoNewBurst
 mutant 10 internal/request/allowance/portion.go 's/case !view\.partitioned\(\):/case !view.partitioned() || view.Preferred:/' internal/request/allowance TestBothSidesOfACutShareTheAllowance
-mutant 10 platform/front.go 's/h\.node\.Allowances\(\)\.Return\(ws\)//' lab/hosted TestUnrunRequestsTakeNothing
+mutant 10 platform/front.go 's/h\.node\.Allowances\(\)\.Return\(ws\)//' lab/hosted TestRequestsNotRunReturnTheirToken
 mutant 10 internal/connection/lending/lending.go 's/owner == x\.Node \{/owner != "" {/' lab/hosted TestAllowanceHoldsOverTheFleet
 mutant 10 internal/request/allowance/purse.go 's/if g\.Wait > 0 \{/if g.Lent == 0 {/' lab/model/quota TestManyRequestsShareAnAsk
 mutant 10 internal/request/backlog/backlog.go 's/case waiting > limit:/case waiting > 2*limit:/' internal/request/backlog TestSecondJobOverTheLimitIsRefused
