--- a/lab/hosted/store.go
+++ b/lab/hosted/store.go
@@ -80,9 +80,9 @@
 // Close stops the store and its endpoints.
 func (s *Store) Close() {
 	close(s.closed)
-	for _, d := range s.endpoints {
-		d.server.CloseClientConnections()
-		d.server.Close()
+	for _, e := range s.endpoints {
+		e.server.CloseClientConnections()
+		e.server.Close()
 	}
 	s.server.CloseClientConnections()
 	s.server.Close()
@@ -117,9 +117,9 @@
 
 // NewEndpoint starts an endpoint, which Store.Close closes.
 func (s *Store) NewEndpoint() *Endpoint {
-	d := &Endpoint{}
-	d.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if d.down.Load() {
+	e := &Endpoint{}
+	e.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if e.down.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -127,8 +127,8 @@
 	}))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endpoints = append(s.endpoints, d)
-	return d
+	s.endpoints = append(s.endpoints, e)
+	return e
 }
 
 // Settings returns the settings of a node that uses the endpoint, in INI.
--- a/lab/hostedsoak/faults.go
+++ b/lab/hostedsoak/faults.go
@@ -38,21 +38,21 @@
 }
 
 func (i *injector) inject(f Fault) {
-	if !i.take(f) {
+	if !i.acquire(f) {
 		return
 	}
-	defer i.give(f)
+	defer i.release(f)
 	i.log("fault %v", f)
-	ended := i.history.fault(f)
-	undo := i.begin(f)
+	ended := i.history.recordFault(f)
+	undo := i.apply(f)
 	time.Sleep(f.Length)
 	undo()
 	ended()
 }
 
-// owner names what a fault needs for itself: one process or place is in one
+// resource names what a fault needs for itself: one process or place is in one
 // fault of its kind at a time.
-func (f Fault) owner() string {
+func (f Fault) resource() string {
 	switch f.Kind {
 	case KillNode, FreezeNode, StopNode:
 		return fmt.Sprint("process ", f.Which)
@@ -62,55 +62,55 @@
 	return fmt.Sprint(f.Kind, f.Which)
 }
 
-func (i *injector) take(f Fault) bool {
+func (i *injector) acquire(f Fault) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.busy[f.owner()] {
+	if i.busy[f.resource()] {
 		return false
 	}
-	i.busy[f.owner()] = true
+	i.busy[f.resource()] = true
 	return true
 }
 
-func (i *injector) give(f Fault) {
+func (i *injector) release(f Fault) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	delete(i.busy, f.owner())
+	delete(i.busy, f.resource())
 }
 
-// begin brings a fault about and returns what takes it back.
-func (i *injector) begin(f Fault) (undo func()) {
+// apply brings a fault about and returns what takes it back.
+func (i *injector) apply(f Fault) (undo func()) {
 	switch f.Kind {
 	case KillNode, FreezeNode, StopNode, HangupNode:
-		return i.signal(f, i.fleet.nodes[f.Which])
+		return i.signalNode(f, i.fleet.nodes[f.Which])
 	case ResetCallers:
-		return through(i.fleet.nodes[f.Which].callers, Mode{Reset: true})
+		return applyMode(i.fleet.nodes[f.Which].callers, Mode{Reset: true})
 	case CutPeers:
-		return through(i.fleet.nodes[f.Which].peers, Mode{Blocked: true})
+		return applyMode(i.fleet.nodes[f.Which].peers, Mode{Blocked: true})
 	case DeafPeers:
-		return through(i.fleet.nodes[f.Which].peers, Mode{AnswersBlocked: true})
+		return applyMode(i.fleet.nodes[f.Which].peers, Mode{AnswersBlocked: true})
 	case CutStore:
-		return through(i.fleet.nodes[f.Which].store, Mode{Blocked: true})
+		return applyMode(i.fleet.nodes[f.Which].store, Mode{Blocked: true})
 	case ResetStore:
-		return through(i.fleet.nodes[f.Which].store, Mode{Reset: true})
+		return applyMode(i.fleet.nodes[f.Which].store, Mode{Reset: true})
 	case StoreForgets:
 		i.fleet.store.DropHistory()
 	case ConfigChange:
 		i.changeConfig()
 	case SlowRunner, CutRunner, ResetRunner, CrashRunner, DrainRunner, BadRunner:
-		return i.disturb(f, i.fleet.seats[f.Which])
+		return i.faultRunner(f, i.fleet.runnerSlots[f.Which])
 	default:
-		return i.disturbStore(f.Kind)
+		return i.faultStore(f.Kind)
 	}
 	return func() {}
 }
 
-func through(p *Proxy, m Mode) (undo func()) {
+func applyMode(p *Proxy, m Mode) (undo func()) {
 	p.SetMode(m)
 	return func() { p.SetMode(Mode{}) }
 }
 
-func (i *injector) signal(f Fault, n *node) (undo func()) {
+func (i *injector) signalNode(f Fault, n *node) (undo func()) {
 	switch f.Kind {
 	case FreezeNode:
 		n.signal(syscall.SIGSTOP)
@@ -120,19 +120,19 @@
 		return func() {}
 	case KillNode:
 		n.signal(syscall.SIGKILL)
-		<-n.ended()
+		<-n.exitChannel()
 	case StopNode:
 		n.signal(syscall.SIGTERM)
 	}
 	return func() {
 		select {
-		case <-n.ended():
-		case <-time.After(stopWithin):
-			i.history.violate("node %s did not stop within %v of SIGTERM", n.name, stopWithin)
+		case <-n.exitChannel():
+		case <-time.After(stopTimeout):
+			i.history.violate("node %s did not stop within %v of SIGTERM", n.name, stopTimeout)
 			n.signal(syscall.SIGKILL)
-			<-n.ended()
+			<-n.exitChannel()
 		}
-		if err := n.exit(); f.Kind == StopNode && err != nil {
+		if err := n.exitError(); f.Kind == StopNode && err != nil {
 			i.history.violate("node %s ended with %v after SIGTERM", n.name, err)
 		}
 		if err := n.start(filepath.Join(i.options.Bin, "marblepond")); err != nil {
@@ -142,22 +142,22 @@
 }
 
 const (
-	slowPiece    = 300 * time.Millisecond // added to each piece of a slow runner's answers
-	slowCall     = 400 * time.Millisecond // added to each call of a slow store
-	lateWrite    = 2 * time.Second
-	lostShare    = 0.3
-	badOneIn     = 2 // requests of a bad runner that go wrong
-	drainedCheck = 2500 * time.Millisecond
+	slowRunnerDelay    = 300 * time.Millisecond // added to each piece of a slow runner's answers
+	slowStoreLatency   = 400 * time.Millisecond // added to each call of a slow store
+	lateWriteDelay     = 2 * time.Second
+	lostResponseShare  = 0.3
+	badOneIn           = 2 // requests of a bad runner that go wrong
+	drainInForceWithin = 2500 * time.Millisecond
 )
 
-func (i *injector) disturb(f Fault, s *seat) (undo func()) {
+func (i *injector) faultRunner(f Fault, s *runnerSlot) (undo func()) {
 	switch f.Kind {
 	case SlowRunner:
-		return through(s.proxy, Mode{Delay: slowPiece})
+		return applyMode(s.proxy, Mode{Delay: slowRunnerDelay})
 	case CutRunner:
-		return through(s.proxy, Mode{Blocked: true})
+		return applyMode(s.proxy, Mode{Blocked: true})
 	case ResetRunner:
-		return through(s.proxy, Mode{Reset: true})
+		return applyMode(s.proxy, Mode{Reset: true})
 	case BadRunner:
 		s.mu.Lock()
 		runner := s.runner
@@ -170,34 +170,34 @@
 		})
 		return func() { runner.SetBehaviour(func(string, int) hosted.Behaviour { return hosted.Serve }) }
 	}
-	return i.replace(f, s)
+	return i.replaceRunner(f, s)
 }
 
-// replace takes a runner away, with or without notice, and puts another into
+// replaceRunner takes a runner away, with or without notice, and puts another into
 // its place.
-func (i *injector) replace(f Fault, s *seat) (undo func()) {
+func (i *injector) replaceRunner(f Fault, s *runnerSlot) (undo func()) {
 	s.mu.Lock()
 	old := s.runner
 	if f.Kind == DrainRunner {
 		i.fleet.register(s, "draining")
-		i.history.drains(old)
+		i.history.recordDraining(old)
 	}
 	s.mu.Unlock()
 	if f.Kind == CrashRunner {
 		s.proxy.SetMode(Mode{Reset: true})
-		time.AfterFunc(entryLapses, func() { i.fleet.store.Delete("servers", old.ID) })
+		time.AfterFunc(entryExpiry, func() { i.fleet.store.Delete("servers", old.ID) })
 	} else {
-		time.Sleep(drainsFor)
+		time.Sleep(drainTime)
 	}
 	return func() {
 		i.fleet.store.Delete("servers", old.ID)
 		s.proxy.SetMode(Mode{})
-		i.fleet.seat(s, f.Which)
+		i.fleet.startRunner(s, f.Which)
 	}
 }
 
-// disturbStore changes the store for everybody; faults of it add up.
-func (i *injector) disturbStore(kind Kind) (undo func()) {
+// faultStore changes the store for everybody; faults of it add up.
+func (i *injector) faultStore(kind Kind) (undo func()) {
 	set := func(on bool) {
 		i.mu.Lock()
 		defer i.mu.Unlock()
@@ -207,11 +207,11 @@
 		case StoreSilent:
 			i.store.Unresponsive = on
 		case StoreSlow:
-			i.store.Latency = pick(on, slowCall)
+			i.store.Latency = ifOn(on, slowStoreLatency)
 		case StoreLost:
-			i.store.LostResponseShare = pick(on, lostShare)
+			i.store.LostResponseShare = ifOn(on, lostResponseShare)
 		case StoreLate:
-			i.store.LostResponseShare, i.store.LateWriteDelay = pick(on, lostShare), pick(on, lateWrite)
+			i.store.LostResponseShare, i.store.LateWriteDelay = ifOn(on, lostResponseShare), ifOn(on, lateWriteDelay)
 		}
 		i.fleet.store.SetFaults(i.store)
 	}
@@ -219,7 +219,7 @@
 	return func() { set(false) }
 }
 
-func pick[T any](on bool, v T) T {
+func ifOn[T any](on bool, v T) T {
 	var none T
 	if on {
 		return v
@@ -233,15 +233,15 @@
 	defer i.mu.Unlock()
 	i.fleet.version++
 	i.fleet.store.Put("config", "main", i.fleet.config())
-	i.history.configured(i.fleet.version)
+	i.history.recordConfig(i.fleet.version)
 }
 
 // watchVersions reads the version in force at each node until ctx ends. It
 // never goes back within one start, and a change is in force in time when
 // nothing else is wrong.
 func (i *injector) watchVersions(ctx context.Context) {
-	type seen struct{ boot, version int }
-	last := map[string]seen{}
+	type observation struct{ boot, version int }
+	last := map[string]observation{}
 	for ctx.Err() == nil {
 		for _, n := range i.fleet.nodes {
 			runs, boot := n.running()
@@ -252,11 +252,11 @@
 			if old := last[n.name]; old.boot == boot && version < old.version {
 				i.history.violate("configuration of %s went from version %d to %d", n.name, old.version, version)
 			}
-			last[n.name] = seen{boot, version}
-			i.history.judgeVersion(n.name, version)
+			last[n.name] = observation{boot, version}
+			i.history.checkVersion(n.name, version)
 		}
-		time.Sleep(versionPoll)
+		time.Sleep(versionPollInterval)
 	}
 }
 
-const versionPoll = 200 * time.Millisecond
+const versionPollInterval = 200 * time.Millisecond
--- a/lab/hostedsoak/fleet.go
+++ b/lab/hostedsoak/fleet.go
@@ -17,20 +17,20 @@
 
 // Sizes of a fleet: the usual few dozen processes and servers.
 const (
-	centres       = 2
-	nodesPer      = 3 // of callers, in each data centre
-	runnersPer    = 3
-	runnerSlots   = 8
-	answerEvents  = 30
-	eventGap      = 15 * time.Millisecond
-	nodeCount     = centres * nodesPer
-	runnerCount   = centres * runnersPer
-	nodeTemplate  = "[node]\nid = %s\nfront = hosted\ndata_centre = %s\ncaller_listen = %s:7070\nready_listen = %s:7071\npeer_listen = %s:7072\npeer_advertise = %s\nbeacon_listen = %s:7073\nlending_listen = %s:7075\nmetrics_listen = %s:7074\nseeds = %s\n[store]\naddress = %s\n[jobs]\ntake_over_after = 3s\nsweep_interval = 2s\nkeep_results = 10m\n[limits]\ndrain_timeout = 8s\n[log]\nstop_on_violation = true\n"
-	stopWithin    = 10 * time.Second
-	readyWithin   = 10 * time.Second
-	drainsFor     = 2 * time.Second // a runner serves on this long after it announced that it leaves
-	entryLapses   = 3 * time.Second // after which the entry of a crashed runner goes
-	firstInterval = 20 * time.Millisecond
+	dataCentreCount      = 2
+	nodesPerDataCentre   = 3 // of callers, in each data centre
+	runnersPerDataCentre = 3
+	runnerSlots          = 8
+	answerEvents         = 30
+	eventGap             = 15 * time.Millisecond
+	nodeCount            = dataCentreCount * nodesPerDataCentre
+	runnerCount          = dataCentreCount * runnersPerDataCentre
+	nodeTemplate         = "[node]\nid = %s\nfront = hosted\ndata_centre = %s\ncaller_listen = %s:7070\nready_listen = %s:7071\npeer_listen = %s:7072\npeer_advertise = %s\nbeacon_listen = %s:7073\nlending_listen = %s:7075\nmetrics_listen = %s:7074\nseeds = %s\n[store]\naddress = %s\n[jobs]\ntake_over_after = 3s\nsweep_interval = 2s\nkeep_results = 10m\n[limits]\ndrain_timeout = 8s\n[log]\nstop_on_violation = true\n"
+	stopTimeout          = 10 * time.Second
+	readyTimeout         = 10 * time.Second
+	drainTime            = 2 * time.Second // a runner serves on this long after it announced that it leaves
+	entryExpiry          = 3 * time.Second // after which the entry of a crashed runner goes
+	readyPollInterval    = 20 * time.Millisecond
 )
 
 // node is one process with the proxies before and behind it.
@@ -44,34 +44,34 @@
 	peers    *Proxy
 	store    *Proxy
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	done chan struct{}
-	err  error
-	boot int // counts starts
+	mu      sync.Mutex
+	cmd     *exec.Cmd
+	exited  chan struct{}
+	exitErr error
+	starts  int // counts starts
 }
 
-// seat is a place of a runner: another takes it when one is gone.
-type seat struct {
+// runnerSlot is a place of a runner: another takes it when one is gone.
+type runnerSlot struct {
 	centre string
 	proxy  *Proxy
 
-	mu     sync.Mutex
-	runner *hosted.Runner
-	made   int
+	mu      sync.Mutex
+	runner  *hosted.Runner
+	started int
 }
 
 type fleet struct {
-	store *hosted.Store
-	nodes []*node
-	seats []*seat
+	store       *hosted.Store
+	nodes       []*node
+	runnerSlots []*runnerSlot
 
 	mu      sync.Mutex
 	runners []*hosted.Runner // all there ever were: their ledgers are checked
 	version int
 }
 
-func centreName(n int) string { return fmt.Sprintf("hall-%c", 'a'+n) }
+func dataCentreName(n int) string { return fmt.Sprintf("hall-%c", 'a'+n) }
 
 func startFleet(o Options) (*fleet, error) {
 	f := &fleet{store: hosted.NewStore(), version: 1}
@@ -81,9 +81,9 @@
 		if err != nil {
 			return f, err
 		}
-		s := &seat{centre: centreName(i / runnersPer), proxy: proxy}
-		f.seats = append(f.seats, s)
-		f.seat(s, i)
+		s := &runnerSlot{centre: dataCentreName(i / runnersPerDataCentre), proxy: proxy}
+		f.runnerSlots = append(f.runnerSlots, s)
+		f.startRunner(s, i)
 	}
 	for i := range nodeCount {
 		n, err := f.newNode(o, i)
@@ -116,12 +116,12 @@
 	}, workspaces(f.version))
 }
 
-// seat puts a new runner into a place and registers it.
-func (f *fleet) seat(s *seat, place int) {
+// startRunner puts a new runner into a place and registers it.
+func (f *fleet) startRunner(s *runnerSlot, index int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.made++
-	s.runner = hosted.NewRunner(fmt.Sprintf("i-%d-%d", place, s.made), hosted.Service, runnerSlots, answerEvents, eventGap)
+	s.started++
+	s.runner = hosted.NewRunner(fmt.Sprintf("i-%d-%d", index, s.started), hosted.Service, runnerSlots, answerEvents, eventGap)
 	s.proxy.Retarget(s.runner.Address())
 	f.mu.Lock()
 	f.runners = append(f.runners, s.runner)
@@ -131,15 +131,15 @@
 
 // register writes the entry of a place's runner with the address of its proxy.
 // The caller holds s.mu.
-func (f *fleet) register(s *seat, state string) {
+func (f *fleet) register(s *runnerSlot, state string) {
 	entry := s.runner.Entry(s.centre, state)
 	entry["address"] = s.proxy.Address()
 	f.store.Put("servers", s.runner.ID, entry)
 }
 
 func (f *fleet) newNode(o Options, i int) (*node, error) {
-	centre := centreName(i / nodesPer)
-	n := &node{name: fmt.Sprintf("edge-%s-%d", centre, i%nodesPer), centre: centre, host: fmt.Sprintf("127.%d.1.%d", o.Net, i+1)}
+	centre := dataCentreName(i / nodesPerDataCentre)
+	n := &node{name: fmt.Sprintf("edge-%s-%d", centre, i%nodesPerDataCentre), centre: centre, host: fmt.Sprintf("127.%d.1.%d", o.Net, i+1)}
 	var errs [3]error
 	n.callers, errs[0] = NewProxy(fmt.Sprintf("127.%d.2.%d:7070", o.Net, i+1), n.host+":7070")
 	n.peers, errs[1] = NewProxy(fmt.Sprintf("127.%d.2.%d:7072", o.Net, i+1), n.host+":7072")
@@ -166,15 +166,15 @@
 	if err := n.cmd.Start(); err != nil {
 		return errors.Join(err, out.Close())
 	}
-	n.boot++
+	n.starts++
 	done := make(chan struct{})
-	n.done = done
+	n.exited = done
 	cmd := n.cmd
 	go func() {
 		err := cmd.Wait()
 		out.Close()
 		n.mu.Lock()
-		n.err = err
+		n.exitErr = err
 		n.mu.Unlock()
 		close(done)
 	}()
@@ -187,11 +187,11 @@
 	_ = n.cmd.Process.Signal(s) // a process that has ended needs none
 }
 
-// ended returns the channel that is closed at the end of the present process.
-func (n *node) ended() <-chan struct{} {
+// exitChannel returns the channel that is closed at the end of the present process.
+func (n *node) exitChannel() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.done
+	return n.exited
 }
 
 // running reports whether the process runs, and the number of its start.
@@ -199,25 +199,25 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
-	case <-n.done:
-		return false, n.boot
+	case <-n.exited:
+		return false, n.starts
 	default:
-		return true, n.boot
+		return true, n.starts
 	}
 }
 
-// exit returns the error of the last process that ended.
-func (n *node) exit() error {
+// exitError returns the error of the last process that ended.
+func (n *node) exitError() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.err
+	return n.exitErr
 }
 
-// probe asks without waiting long; a frozen node does not answer.
-var probe = &http.Client{Timeout: 300 * time.Millisecond}
+// probeClient asks without waiting long; a frozen node does not answer.
+var probeClient = &http.Client{Timeout: 300 * time.Millisecond}
 
 func (n *node) ready() bool {
-	resp, err := probe.Get("http://" + n.host + ":7071/v1/ready")
+	resp, err := probeClient.Get("http://" + n.host + ":7071/v1/ready")
 	if err != nil {
 		return false
 	}
@@ -226,16 +226,16 @@
 }
 
 func (n *node) waitReady() error {
-	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(firstInterval) {
+	for until := time.Now().Add(readyTimeout); time.Now().Before(until); time.Sleep(readyPollInterval) {
 		if n.ready() {
 			return nil
 		}
 	}
-	return fmt.Errorf("node %s is not ready after %v; its log is %s", n.name, readyWithin, n.log)
+	return fmt.Errorf("node %s is not ready after %v; its log is %s", n.name, readyTimeout, n.log)
 }
 
-// violations returns the lines of the nodes' logs that report a broken invariant.
-func (f *fleet) violations() []string {
+// loggedViolations returns the lines of the nodes' logs that report a broken invariant.
+func (f *fleet) loggedViolations() []string {
 	var out []string
 	for _, n := range f.nodes {
 		data, err := os.ReadFile(n.log)
@@ -256,13 +256,13 @@
 	for _, n := range f.nodes {
 		if n.cmd != nil {
 			n.signal(syscall.SIGKILL)
-			<-n.ended()
+			<-n.exitChannel()
 		}
 		for _, p := range []*Proxy{n.callers, n.peers, n.store} {
 			p.Close()
 		}
 	}
-	for _, s := range f.seats {
+	for _, s := range f.runnerSlots {
 		s.proxy.Close()
 	}
 	for _, r := range f.runners {
--- a/lab/hostedsoak/history.go
+++ b/lab/hostedsoak/history.go
@@ -11,25 +11,25 @@
 // history is what happened in a run.
 type history struct {
 	mu         sync.Mutex
-	faults     []span
-	leaving    map[*hosted.Runner]time.Time
+	faults     []faultSpan
+	draining   map[*hosted.Runner]time.Time
 	version    int // newest written
-	written    time.Time
-	versions   []written // all of them
+	writtenAt  time.Time
+	versions   []configVersion // all of them
 	violations []string
 	counts     counts
 	refused    map[string]string // attempts and jobs that were refused as not run: the refusal
-	ended      map[string]time.Time
+	endedJobs  map[string]time.Time
 }
 
-// written is a version of the configuration with the time at which it was written.
-type written struct {
+// configVersion is a version of the configuration with the time at which it was configVersion.
+type configVersion struct {
 	version int
 	at      time.Time
 }
 
-// span is a fault with the time it lasted.
-type span struct {
+// faultSpan is a fault with the time it lasted.
+type faultSpan struct {
 	fault    Fault
 	from, to time.Time // to: zero while it lasts
 }
@@ -41,7 +41,7 @@
 }
 
 func newHistory() *history {
-	return &history{leaving: map[*hosted.Runner]time.Time{}, refused: map[string]string{}, ended: map[string]time.Time{}, version: 1, written: time.Now()}
+	return &history{draining: map[*hosted.Runner]time.Time{}, refused: map[string]string{}, endedJobs: map[string]time.Time{}, version: 1, writtenAt: time.Now()}
 }
 
 func (h *history) violate(format string, args ...any) {
@@ -50,11 +50,11 @@
 	h.violations = append(h.violations, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// fault notes that a fault begins; the function returned notes its end.
-func (h *history) fault(f Fault) (ended func()) {
+// recordFault notes that a recordFault begins; the function returned notes its end.
+func (h *history) recordFault(f Fault) (ended func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.faults = append(h.faults, span{fault: f, from: time.Now()})
+	h.faults = append(h.faults, faultSpan{fault: f, from: time.Now()})
 	index := len(h.faults) - 1
 	return func() {
 		h.mu.Lock()
@@ -63,53 +63,53 @@
 	}
 }
 
-// settles is how long after a fault its effects may still show: a node that
+// settleTime is how long after a fault its effects may still show: a node that
 // came back has to hear of the others, and calls that hang have to time out.
-const settles = 3 * time.Second
+const settleTime = 3 * time.Second
 
-// calm reports whether, but for kinds that are left out, nothing was wrong
+// faultFree reports whether, but for kinds that are left out, nothing was wrong
 // between two times, nor just before.
-func (h *history) calm(from, to time.Time, but ...Kind) bool {
+func (h *history) faultFree(from, to time.Time, except ...Kind) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.calmLocked(from, to, but...)
+	return h.faultFreeLocked(from, to, except...)
 }
 
-func (h *history) calmLocked(from, to time.Time, but ...Kind) bool {
+func (h *history) faultFreeLocked(from, to time.Time, except ...Kind) bool {
 	for _, s := range h.faults {
-		leftOut := false
-		for _, kind := range but {
-			leftOut = leftOut || s.fault.Kind == kind
+		excepted := false
+		for _, kind := range except {
+			excepted = excepted || s.fault.Kind == kind
 		}
-		if !leftOut && s.from.Before(to) && (s.to.IsZero() || s.to.Add(settles).After(from)) {
+		if !excepted && s.from.Before(to) && (s.to.IsZero() || s.to.Add(settleTime).After(from)) {
 			return false
 		}
 	}
 	return true
 }
 
-func (h *history) drains(r *hosted.Runner) {
+func (h *history) recordDraining(r *hosted.Runner) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.leaving[r] = time.Now()
+	h.draining[r] = time.Now()
 }
 
-func (h *history) configured(version int) {
+func (h *history) recordConfig(version int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.version, h.written = version, time.Now()
-	h.versions = append(h.versions, written{version, h.written})
+	h.version, h.writtenAt = version, time.Now()
+	h.versions = append(h.versions, configVersion{version, h.writtenAt})
 }
 
 // inForceWithin is how soon a change of the configuration has to be in force.
 const inForceWithin = 2 * time.Second
 
-// judgeVersion judges the version that a node has in force now.
-func (h *history) judgeVersion(name string, version int) {
+// checkVersion judges the version that a node has in force now.
+func (h *history) checkVersion(name string, version int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	since := time.Since(h.written)
-	if version >= h.version || since < inForceWithin+versionPoll || !h.calmLocked(h.written, time.Now(), ConfigChange, HangupNode) {
+	since := time.Since(h.writtenAt)
+	if version >= h.version || since < inForceWithin+versionPollInterval || !h.faultFreeLocked(h.writtenAt, time.Now(), ConfigChange, HangupNode) {
 		return
 	}
 	h.violations = append(h.violations, fmt.Sprintf("node %s has version %d in force, %v after version %d was written", name, version, since, h.version))
@@ -121,16 +121,16 @@
 	change(&h.counts)
 }
 
-func (h *history) refuse(id, how string) {
+func (h *history) recordRefusal(id, how string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.refused[id] = how
 }
 
-func (h *history) end(job string) {
+func (h *history) recordJobEnd(job string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ended[job] = time.Now()
+	h.endedJobs[job] = time.Now()
 }
 
 func (h *history) report() (counts, []string) {
--- a/lab/hostedsoak/load.go
+++ b/lab/hostedsoak/load.go
@@ -32,25 +32,25 @@
 }
 
 const (
-	onlineEvery  = 25 * time.Millisecond
-	jobEvery     = 1200 * time.Millisecond
-	jobItems     = 12
-	balanceEvery = 300 * time.Millisecond
-	onlineLimit  = 5 * time.Second
+	onlineInterval    = 25 * time.Millisecond
+	jobInterval       = 1200 * time.Millisecond
+	jobItems          = 12
+	readinessInterval = 300 * time.Millisecond
+	onlineTimeout     = 5 * time.Second
 )
 
 // run makes load until ctx ends, then waits for what is in progress.
 func (l *load) run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { l.balance(ctx) })
-	wg.Go(func() { l.every(ctx, onlineEvery, l.online) })
-	wg.Go(func() { l.every(ctx, jobEvery, l.submit) })
-	wg.Go(func() { l.every(ctx, tightEvery, l.tight) })
-	wg.Go(func() { l.every(ctx, passingEvery, l.passing) })
+	wg.Go(func() { l.pollReadiness(ctx) })
+	wg.Go(func() { l.runEvery(ctx, onlineInterval, l.sendOnline) })
+	wg.Go(func() { l.runEvery(ctx, jobInterval, l.runJob) })
+	wg.Go(func() { l.runEvery(ctx, tightInterval, l.sendTight) })
+	wg.Go(func() { l.runEvery(ctx, rotatingKeyInterval, l.sendRotatingKey) })
 	wg.Wait()
 }
 
-func (l *load) every(ctx context.Context, pause time.Duration, f func(n int)) {
+func (l *load) runEvery(ctx context.Context, pause time.Duration, f func(n int)) {
 	var wg sync.WaitGroup
 	ticker := time.NewTicker(pause)
 	defer ticker.Stop()
@@ -65,9 +65,9 @@
 	}
 }
 
-// balance is the platform's balancer: it keeps to nodes that say they are ready.
-func (l *load) balance(ctx context.Context) {
-	l.every(ctx, balanceEvery, func(int) {
+// pollReadiness is the platform's balancer: it keeps to nodes that say they are ready.
+func (l *load) pollReadiness(ctx context.Context) {
+	l.runEvery(ctx, readinessInterval, func(int) {
 		for _, n := range l.fleet.nodes {
 			ready := n.ready()
 			l.mu.Lock()
@@ -77,8 +77,8 @@
 	})
 }
 
-// pick returns a node that is ready, or any when none is.
-func (l *load) pick() *node {
+// pickNode returns a node that is ready, or any when none is.
+func (l *load) pickNode() *node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := rand.IntN(len(l.fleet.nodes))
@@ -90,21 +90,21 @@
 	return l.fleet.nodes[first]
 }
 
-// online sends one request and judges its answer.
-func (l *load) online(n int) {
+// sendOnline sends one request and judges its answer.
+func (l *load) sendOnline(n int) {
 	path := []string{hosted.StreamPath, hosted.ResumePath, hosted.RepeatPath}[n%3]
 	id := fmt.Sprintf("s%d-r%d", l.seed, n)
-	at := l.pick()
+	at := l.pickNode()
 	l.history.count(func(c *counts) { c.Online++ })
 	started := time.Now()
-	status, body, err := l.ask(at, path, id, steadyKey)
+	status, body, err := l.send(at, path, id, steadyKey)
 	switch {
 	case err != nil && status == 0:
 		l.history.count(func(c *counts) { c.Cut++ })
-		l.judgeCut(at, id, started, err)
+		l.checkCut(at, id, started, err)
 	case err != nil:
 		l.history.count(func(c *counts) { c.Cut++ })
-		l.judgeCut(at, id, started, err)
+		l.checkCut(at, id, started, err)
 	case status == http.StatusOK:
 		l.history.count(func(c *counts) { c.Whole++ })
 		if hosted.StreamText(body) != l.text(id) {
@@ -112,7 +112,7 @@
 		}
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 		l.history.count(func(c *counts) { c.Refused++ })
-		l.history.refuse(id, fmt.Sprintf("status %d from %s", status, at.name))
+		l.history.recordRefusal(id, fmt.Sprintf("status %d from %s", status, at.name))
 	case status == http.StatusNotFound:
 		l.history.violate("request %s at %s: its route is denied", id, at.name)
 	default:
@@ -121,10 +121,10 @@
 }
 
 // text is the whole answer to a request; every runner gives the same.
-func (l *load) text(id string) string { return l.fleet.seats[0].runner.Text(id) }
+func (l *load) text(id string) string { return l.fleet.runnerSlots[0].runner.Text(id) }
 
-func (l *load) ask(at *node, path, id, key string) (status int, body string, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), onlineLimit)
+func (l *load) send(at *node, path, id, key string) (status int, body string, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), onlineTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at.callers.Address()+path+"q", bytes.NewReader([]byte("prompt")))
 	if err != nil {
@@ -133,7 +133,7 @@
 	req.Host = hosted.Host
 	req.Header.Set("X-Marblepond-Request-Id", id)
 	req.Header.Set("Authorization", "Bearer "+key)
-	req.Header.Set("X-Marblepond-Deadline-Ms", fmt.Sprint(onlineLimit.Milliseconds()))
+	req.Header.Set("X-Marblepond-Deadline-Ms", fmt.Sprint(onlineTimeout.Milliseconds()))
 	resp, err := l.client.Do(req)
 	if err != nil {
 		return 0, "", err
@@ -143,10 +143,10 @@
 	return resp.StatusCode, string(data), err
 }
 
-// judgeCut judges an answer that did not come or broke off: nodes that are asked
+// checkCut judges an answer that did not come or broke off: nodes that are asked
 // to stop, or read their settings again, cut nothing.
-func (l *load) judgeCut(at *node, id string, started time.Time, err error) {
-	if l.history.calm(started, time.Now(), StopNode, HangupNode, ConfigChange) {
+func (l *load) checkCut(at *node, id string, started time.Time, err error) {
+	if l.history.faultFree(started, time.Now(), StopNode, HangupNode, ConfigChange) {
 		l.history.violate("request %s at %s was cut with nothing else wrong: %v", id, at.name, err)
 	}
 }
@@ -159,23 +159,23 @@
 }
 
 const (
-	jobTries   = 25
-	jobPause   = 400 * time.Millisecond
-	endOneIn   = 5                      // jobs that their caller ends
-	endAfter   = 800 * time.Millisecond // after acceptance
-	endTries   = 40
-	jobsWithin = 60 * time.Second // after the last fault, for every result
+	jobTries    = 25
+	jobPause    = 400 * time.Millisecond
+	endOneIn    = 5                      // jobs that their caller ends
+	endDelay    = 800 * time.Millisecond // after acceptance
+	endTries    = 40
+	jobsTimeout = 60 * time.Second // after the last fault, for every result
 )
 
-// submit sends a job until it is accepted, and reads or ends it.
-func (l *load) submit(n int) {
+// runJob sends a job until it is accepted, and reads or ends it.
+func (l *load) runJob(n int) {
 	j := &callerJob{id: fmt.Sprintf("s%d-j%d", l.seed, n)}
-	if !l.accepted(j.id) {
+	if !l.submitJob(j.id) {
 		return
 	}
 	l.history.count(func(c *counts) { c.Jobs++; c.Items += jobItems })
 	if n%endOneIn == endOneIn-1 {
-		time.Sleep(endAfter)
+		time.Sleep(endDelay)
 		j.ended = l.endJob(j.id)
 	}
 	l.mu.Lock()
@@ -186,24 +186,24 @@
 	}
 }
 
-// accepted sends a job until a node accepts it. A job that every try refused as
+// submitJob sends a job until a node accepts it. A job that every try refused as
 // not run must never run.
-func (l *load) accepted(id string) bool {
-	promised := true
+func (l *load) submitJob(id string) bool {
+	neverRan := true
 	for range jobTries {
-		reply := hosted.SubmitJobWithKey(l.pick().callers.Address(), id, steadyKey, hosted.Items(id, jobItems))
+		reply := hosted.SubmitJobWithKey(l.pickNode().callers.Address(), id, steadyKey, hosted.Items(id, jobItems))
 		switch {
 		case reply.Err == nil && reply.Status == http.StatusAccepted:
 			return true
 		case reply.Err == nil && (reply.Status == http.StatusServiceUnavailable || reply.Status == http.StatusTooManyRequests):
 		default:
-			promised = false
+			neverRan = false
 		}
 		time.Sleep(jobPause)
 	}
-	if promised {
+	if neverRan {
 		for _, item := range hosted.Items(id, jobItems) {
-			l.history.refuse(item.ID, "its job was refused at every try")
+			l.history.recordRefusal(item.ID, "its job was refused at every try")
 		}
 	}
 	return false
@@ -211,8 +211,8 @@
 
 func (l *load) endJob(id string) bool {
 	for range endTries {
-		if reply := hosted.EndJobWithKey(l.pick().callers.Address(), id, steadyKey); reply.Err == nil && reply.Status == http.StatusOK {
-			l.history.end(id)
+		if reply := hosted.EndJobWithKey(l.pickNode().callers.Address(), id, steadyKey); reply.Err == nil && reply.Status == http.StatusOK {
+			l.history.recordJobEnd(id)
 			return true
 		}
 		time.Sleep(jobPause)
@@ -228,9 +228,9 @@
 		if after > 0 && rand.IntN(4) == 0 {
 			after = rand.IntN(after)
 		}
-		at := l.pick()
+		at := l.pickNode()
 		page, status := hosted.ReadResultsWithKey(at.callers.Address(), j.id, steadyKey, after)
-		l.take(j, at, after, page, status)
+		l.checkPage(j, at, after, page, status)
 		if len(j.results) == jobItems {
 			return true
 		}
@@ -239,8 +239,8 @@
 	return len(j.results) == jobItems
 }
 
-// take checks a page against what was read before.
-func (l *load) take(j *callerJob, at *node, after int, page hosted.Results, status int) {
+// checkPage checks a page against what was read before.
+func (l *load) checkPage(j *callerJob, at *node, after int, page hosted.Results, status int) {
 	switch {
 	case status == http.StatusNotFound || status == http.StatusGone:
 		l.history.violate("job %s is denied by %s", j.id, at.name)
@@ -248,7 +248,7 @@
 		return
 	case page.Total != jobItems:
 		l.history.violate("job %s has %d items at %s", j.id, page.Total, at.name)
-	case after < len(j.results) && len(page.Results) == 0 && l.history.calm(time.Now().Add(-settles), time.Now()):
+	case after < len(j.results) && len(page.Results) == 0 && l.history.faultFree(time.Now().Add(-settleTime), time.Now()):
 		l.history.violate("job %s at %s has nothing at position %d, which was read before", j.id, at.name, after)
 	}
 	for i, r := range page.Results {
@@ -258,13 +258,13 @@
 				l.history.violate("job %s at %s: position %d holds another result than before", j.id, at.name, position)
 			}
 		default:
-			l.judgeResult(j, r)
+			l.checkResult(j, r)
 			j.results = append(j.results, r)
 		}
 	}
 }
 
-func (l *load) judgeResult(j *callerJob, r hosted.Result) {
+func (l *load) checkResult(j *callerJob, r hosted.Result) {
 	for _, known := range j.results {
 		if known.ID == r.ID {
 			l.history.violate("item %s stands twice in job %s", r.ID, j.id)
--- a/lab/hostedsoak/plan.go
+++ b/lab/hostedsoak/plan.go
@@ -56,27 +56,27 @@
 }
 
 const (
-	// calm is the pause after a group of faults; it is longer than the time
+	// pauseAfterGroup is the pause after a group of faults; it is longer than the time
 	// within which a change has to be in force, so that some are judged.
-	calm = 3 * time.Second
-	// together is the most faults of a group, and within is how far apart they
+	pauseAfterGroup = 3 * time.Second
+	// maxGroupSize is the most faults of a group, and within is how far apart they
 	// start: they overlap, and come in series.
-	together = 6
-	within   = 3 * time.Second
-	// shortest and longest bound the length of a fault.
-	shortest = 300 * time.Millisecond
-	longest  = 5 * time.Second
+	maxGroupSize = 6
+	groupSpread  = 3 * time.Second
+	// minFaultLength and longest bound the length of a fault.
+	minFaultLength = 300 * time.Millisecond
+	maxFaultLength = 5 * time.Second
 )
 
 // NewPlan returns the faults of a seed. The same seed gives the same plan.
 func NewPlan(seed uint64, length time.Duration, nodes, runners int) []Fault {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	var plan []Fault
-	for at := calm; at < length; {
+	for at := pauseAfterGroup; at < length; {
 		end := at
-		for range 1 + rng.IntN(together) {
-			f := Fault{Kind: kinds[rng.IntN(len(kinds))], Start: at + time.Duration(rng.Int64N(int64(within))), Which: rng.IntN(nodes)}
-			f.Length = shortest + time.Duration(rng.Int64N(int64(longest-shortest)))
+		for range 1 + rng.IntN(maxGroupSize) {
+			f := Fault{Kind: kinds[rng.IntN(len(kinds))], Start: at + time.Duration(rng.Int64N(int64(groupSpread))), Which: rng.IntN(nodes)}
+			f.Length = minFaultLength + time.Duration(rng.Int64N(int64(maxFaultLength-minFaultLength)))
 			switch f.Kind {
 			case SlowRunner, CutRunner, ResetRunner, CrashRunner, DrainRunner, BadRunner:
 				f.Which = rng.IntN(runners)
@@ -84,7 +84,7 @@
 			plan = append(plan, f)
 			end = max(end, f.Start+f.Length)
 		}
-		at = end + calm
+		at = end + pauseAfterGroup
 	}
 	return plan
 }
--- a/lab/hostedsoak/proxy.go
+++ b/lab/hostedsoak/proxy.go
@@ -106,16 +106,16 @@
 		return
 	}
 	defer out.Close()
-	p.keep(conn, out, true)
-	defer p.keep(conn, out, false)
+	p.track(conn, out, true)
+	defer p.track(conn, out, false)
 	done := make(chan struct{}, 2)
-	go p.pump(out, conn, false, done)
-	go p.pump(conn, out, true, done)
+	go p.copyDirection(out, conn, false, done)
+	go p.copyDirection(conn, out, true, done)
 	<-done
 	<-done
 }
 
-func (p *Proxy) keep(a, b net.Conn, open bool) {
+func (p *Proxy) track(a, b net.Conn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range []net.Conn{a, b} {
@@ -128,26 +128,26 @@
 }
 
 const (
-	pumpBuffer = 32 << 10
-	// holdPoll is the time between looks whether a silent connection speaks again.
-	holdPoll = 10 * time.Millisecond
+	copyBufferBytes = 32 << 10
+	// modePollInterval is the time between looks whether a silent connection speaks again.
+	modePollInterval = 10 * time.Millisecond
 )
 
-// pump copies one direction; answers tells that it is the server's.
-func (p *Proxy) pump(to, from net.Conn, answers bool, done chan<- struct{}) {
+// copyDirection copies one direction; answers tells that it is the server's.
+func (p *Proxy) copyDirection(to, from net.Conn, answers bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
-	buffer := make([]byte, pumpBuffer)
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			p.hold(answers)
+			p.delay(answers)
 			if _, err := to.Write(buffer[:n]); err != nil {
 				reset(from)
 				return
 			}
 		}
 		if err != nil {
-			p.hold(answers)
+			p.delay(answers)
 			if err == io.EOF {
 				_ = to.(*net.TCPConn).CloseWrite() // fails when the other side is gone too
 			} else {
@@ -158,8 +158,8 @@
 	}
 }
 
-// hold waits as long as the mode keeps a piece back.
-func (p *Proxy) hold(answers bool) {
+// delay waits as long as the mode keeps a piece back.
+func (p *Proxy) delay(answers bool) {
 	for {
 		p.mu.Lock()
 		m, closed := p.mode, p.closed
@@ -168,6 +168,6 @@
 			time.Sleep(m.Delay)
 			return
 		}
-		time.Sleep(holdPoll)
+		time.Sleep(modePollInterval)
 	}
 }
--- a/lab/hostedsoak/soak.go
+++ b/lab/hostedsoak/soak.go
@@ -79,10 +79,10 @@
 	<-ctx.Done()
 	<-loaded
 	l.finish()
-	l.checkWalls()
+	l.checkIsolation()
 	stopWatching()
-	checkLedgers(f, h)
-	for _, line := range f.violations() {
+	checkRunners(f, h)
+	for _, line := range f.loggedViolations() {
 		h.violate("%s", line)
 	}
 	sum, violations := h.report()
@@ -97,16 +97,16 @@
 			l.history.violate("%v", err)
 		}
 	}
-	until := time.Now().Add(jobsWithin)
+	until := time.Now().Add(jobsTimeout)
 	for _, j := range l.jobs {
 		if !j.ended && !l.read(j, until) {
-			l.history.violate("job %s has %d of %d results, %v after the last fault", j.id, len(j.results), jobItems, jobsWithin)
+			l.history.violate("job %s has %d of %d results, %v after the last fault", j.id, len(j.results), jobItems, jobsTimeout)
 		}
 	}
 	for _, j := range l.jobs {
 		for _, n := range l.fleet.nodes {
 			page, status := hosted.ReadResultsWithKey(n.callers.Address(), j.id, steadyKey, 0)
-			l.take(j, n, 0, page, status)
+			l.checkPage(j, n, 0, page, status)
 			if status != http.StatusOK {
 				l.history.violate("job %s cannot be read at %s at the end: status %d", j.id, n.name, status)
 			}
@@ -114,29 +114,29 @@
 	}
 }
 
-// stopsWithin is how long after the acknowledged end of a job its items may
+// itemStopTimeout is how long after the acknowledged end of a job its items may
 // still begin to run.
-const stopsWithin = 3 * time.Second
+const itemStopTimeout = 3 * time.Second
 
-// harmless are the faults that excuse no request to a runner that leaves: every
+// unrelatedToDraining are the faults that excuse no request to a runner that leaves: every
 // node still hears of it.
-var harmless = []Kind{DrainRunner, SlowRunner, CutRunner, ResetRunner, CrashRunner, BadRunner, ResetCallers, HangupNode, ConfigChange, StoreForgets}
+var unrelatedToDraining = []Kind{DrainRunner, SlowRunner, CutRunner, ResetRunner, CrashRunner, BadRunner, ResetCallers, HangupNode, ConfigChange, StoreForgets}
 
-// checkLedgers checks what the runners saw.
-func checkLedgers(f *fleet, h *history) {
+// checkRunners checks what the runners saw.
+func checkRunners(f *fleet, h *history) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	violate := func(format string, args ...any) { h.violations = append(h.violations, fmt.Sprintf(format, args...)) }
 	runs := map[string]int{}
 	for _, r := range f.runners {
-		left, leaves := h.leaving[r]
+		drainStart, drains := h.draining[r]
 		for _, s := range r.RunStarts() {
 			runs[s.RequestID]++
-			if leaves && s.At.After(left.Add(drainedCheck)) && h.calmLocked(left, s.At, harmless...) {
-				violate("%s began at %s, %v after it announced that it leaves", s.RequestID, r.ID, s.At.Sub(left))
+			if drains && s.At.After(drainStart.Add(drainInForceWithin)) && h.faultFreeLocked(drainStart, s.At, unrelatedToDraining...) {
+				violate("%s began at %s, %v after it announced that it leaves", s.RequestID, r.ID, s.At.Sub(drainStart))
 			}
 			job, _, _ := strings.Cut(s.RequestID, "-i")
-			if end, ended := h.ended[job]; ended && s.At.After(end.Add(stopsWithin)) && h.calmLocked(end, s.At, ConfigChange, HangupNode) {
+			if end, ended := h.endedJobs[job]; ended && s.At.After(end.Add(itemStopTimeout)) && h.faultFreeLocked(end, s.At, ConfigChange, HangupNode) {
 				violate("item %s began %v after the end of its job", s.RequestID, s.At.Sub(end))
 			}
 			if strings.HasSuffix(s.Path, "q") && strings.HasPrefix(s.Path, "/ask/") && runs[s.RequestID] == 2 {
@@ -156,7 +156,7 @@
 
 // version returns the configuration that the node has in force.
 func (n *node) version() (int, bool) {
-	resp, err := probe.Get("http://" + n.host + ":7074/metrics")
+	resp, err := probeClient.Get("http://" + n.host + ":7074/metrics")
 	if err != nil {
 		return 0, false
 	}
