--- a/lab/hostedsoak/faults.go
+++ b/lab/hostedsoak/faults.go
@@ -12,7 +12,7 @@
 	"github.com/marblepond/marblepond/lab/hosted"
 )
 
-// injector carries out a plan.
+// injector injects the faults of a plan.
 type injector struct {
 	fleet   *fleet
 	history *history
@@ -21,10 +21,10 @@
 
 	mu    sync.Mutex
 	store hosted.StoreFaults
-	busy  map[string]bool // nodes and places that a fault has in hand
+	busy  map[string]bool // nodes and runner slots with an active fault
 }
 
-// run carries out the plan and returns when every fault has been taken back.
+// run injects the faults of the plan and returns when all have been undone.
 func (i *injector) run(plan []Fault) {
 	start := time.Now()
 	var wg sync.WaitGroup
@@ -50,8 +50,8 @@
 	ended()
 }
 
-// resource names what a fault needs for itself: one process or place is in one
-// fault of its kind at a time.
+// resource names what a fault needs exclusively: a process or a runner slot has
+// at most one fault of its group at a time, anything else one of each kind.
 func (f Fault) resource() string {
 	switch f.Kind {
 	case KillNode, FreezeNode, StopNode:
@@ -78,7 +78,7 @@
 	delete(i.busy, f.resource())
 }
 
-// apply brings a fault about and returns what takes it back.
+// apply injects a fault and returns the function that undoes it.
 func (i *injector) apply(f Fault) (undo func()) {
 	switch f.Kind {
 	case KillNode, FreezeNode, StopNode, HangupNode:
@@ -133,7 +133,7 @@
 			<-n.exitChannel()
 		}
 		if err := n.exitError(); f.Kind == StopNode && err != nil {
-			i.history.violate("node %s ended with %v after SIGTERM", n.name, err)
+			i.history.violate("node %s exited with %v after SIGTERM", n.name, err)
 		}
 		if err := n.start(filepath.Join(i.options.Bin, "marblepond")); err != nil {
 			i.history.violate("driver: %v", err)
@@ -142,11 +142,11 @@
 }
 
 const (
-	slowRunnerDelay    = 300 * time.Millisecond // added to each piece of a slow runner's answers
+	slowRunnerDelay    = 300 * time.Millisecond // added to each chunk that passes a slow runner's proxy
 	slowStoreLatency   = 400 * time.Millisecond // added to each call of a slow store
 	lateWriteDelay     = 2 * time.Second
 	lostResponseShare  = 0.3
-	badOneIn           = 2 // requests of a bad runner that go wrong
+	badOneIn           = 2 // one in this many requests at a bad runner fails
 	drainInForceWithin = 2500 * time.Millisecond
 )
 
@@ -173,8 +173,7 @@
 	return i.replaceRunner(f, s)
 }
 
-// replaceRunner takes a runner away, with or without notice, and puts another into
-// its place.
+// replaceRunner drains or crashes a runner; undo starts another one in its slot.
 func (i *injector) replaceRunner(f Fault, s *runnerSlot) (undo func()) {
 	s.mu.Lock()
 	old := s.runner
@@ -196,7 +195,7 @@
 	}
 }
 
-// faultStore changes the store for everybody; faults of it add up.
+// faultStore injects a fault of the store for all nodes; several may be active at once.
 func (i *injector) faultStore(kind Kind) (undo func()) {
 	set := func(on bool) {
 		i.mu.Lock()
@@ -227,7 +226,7 @@
 	return none
 }
 
-// changeConfig writes the next version.
+// changeConfig writes the next version of the configuration.
 func (i *injector) changeConfig() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -236,9 +235,9 @@
 	i.history.recordConfig(i.fleet.version)
 }
 
-// watchVersions reads the version in force at each node until ctx ends. It
-// never goes back within one start, and a change is in force in time when
-// nothing else is wrong.
+// watchVersions polls the configuration version of each node until ctx ends. It
+// checks that the version never decreases within one run of the process, and that
+// a change takes effect in time if no other fault is active.
 func (i *injector) watchVersions(ctx context.Context) {
 	type observation struct{ boot, version int }
 	last := map[string]observation{}
--- a/lab/hostedsoak/fleet.go
+++ b/lab/hostedsoak/fleet.go
@@ -15,10 +15,10 @@
 	"github.com/marblepond/marblepond/lab/hosted"
 )
 
-// Sizes of a fleet: the usual few dozen processes and servers.
+// Sizes and times of a fleet of a few dozen processes and servers.
 const (
 	dataCentreCount      = 2
-	nodesPerDataCentre   = 3 // of callers, in each data centre
+	nodesPerDataCentre   = 3 // nodes that serve callers
 	runnersPerDataCentre = 3
 	runnerSlots          = 8
 	answerEvents         = 30
@@ -28,12 +28,12 @@
 	nodeTemplate         = "[node]\nid = %s\nfront = hosted\ndata_centre = %s\ncaller_listen = %s:7070\nready_listen = %s:7071\npeer_listen = %s:7072\npeer_advertise = %s\nbeacon_listen = %s:7073\nlending_listen = %s:7075\nmetrics_listen = %s:7074\nseeds = %s\n[store]\naddress = %s\n[jobs]\ntake_over_after = 3s\nsweep_interval = 2s\nkeep_results = 10m\n[limits]\ndrain_timeout = 8s\n[log]\nstop_on_violation = true\n"
 	stopTimeout          = 10 * time.Second
 	readyTimeout         = 10 * time.Second
-	drainTime            = 2 * time.Second // a runner serves on this long after it announced that it leaves
-	entryExpiry          = 3 * time.Second // after which the entry of a crashed runner goes
+	drainTime            = 2 * time.Second // a runner serves for this time after it has announced that it is draining
+	entryExpiry          = 3 * time.Second // after which the entry of a crashed runner is deleted
 	readyPollInterval    = 20 * time.Millisecond
 )
 
-// node is one process with the proxies before and behind it.
+// node is a node's process with the proxies of its connections.
 type node struct {
 	name     string
 	centre   string
@@ -48,10 +48,10 @@
 	cmd     *exec.Cmd
 	exited  chan struct{}
 	exitErr error
-	starts  int // counts starts
+	starts  int // number of starts of the process
 }
 
-// runnerSlot is a place of a runner: another takes it when one is gone.
+// runnerSlot is an address at which one runner after another runs.
 type runnerSlot struct {
 	centre string
 	proxy  *Proxy
@@ -67,7 +67,7 @@
 	runnerSlots []*runnerSlot
 
 	mu      sync.Mutex
-	runners []*hosted.Runner // all there ever were: their ledgers are checked
+	runners []*hosted.Runner // all runners of the run, also replaced ones, for the final checks
 	version int
 }
 
@@ -108,7 +108,7 @@
 func (f *fleet) config() map[string]any {
 	return hosted.Config(f.version, func(c map[string]any) {
 		routes := c["routes"].([]any)
-		for _, r := range routes { // batch jobs may wait long: faults hold them up
+		for _, r := range routes { // faults may delay batch jobs for long
 			if r.(map[string]any)["kind"] == "batch" {
 				r.(map[string]any)["keep_s"], r.(map[string]any)["cap"] = 600.0, 0
 			}
@@ -116,7 +116,7 @@
 	}, workspaces(f.version))
 }
 
-// startRunner puts a new runner into a place and registers it.
+// startRunner starts a new runner in a slot and registers it.
 func (f *fleet) startRunner(s *runnerSlot, index int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +129,7 @@
 	f.register(s, "ready")
 }
 
-// register writes the entry of a place's runner with the address of its proxy.
+// register writes the entry of a slot's runner with the address of its proxy.
 // The caller holds s.mu.
 func (f *fleet) register(s *runnerSlot, state string) {
 	entry := s.runner.Entry(s.centre, state)
@@ -162,7 +162,7 @@
 	defer n.mu.Unlock()
 	n.cmd = exec.Command(program, "agent", "--settings", n.settings)
 	n.cmd.Stdout, n.cmd.Stderr = out, out
-	n.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive a driver that is killed
+	n.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends the node if this process is killed
 	if err := n.cmd.Start(); err != nil {
 		return errors.Join(err, out.Close())
 	}
@@ -184,17 +184,17 @@
 func (n *node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	_ = n.cmd.Process.Signal(s) // a process that has ended needs none
+	_ = n.cmd.Process.Signal(s) // fails only if the process has ended
 }
 
-// exitChannel returns the channel that is closed at the end of the present process.
+// exitChannel returns the channel that is closed when the current process ends.
 func (n *node) exitChannel() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.exited
 }
 
-// running reports whether the process runs, and the number of its start.
+// running reports whether the process runs, and how often it has been started.
 func (n *node) running() (bool, int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -213,7 +213,7 @@
 	return n.exitErr
 }
 
-// probeClient asks without waiting long; a frozen node does not answer.
+// probeClient has a short timeout, since a frozen node does not respond.
 var probeClient = &http.Client{Timeout: 300 * time.Millisecond}
 
 func (n *node) ready() bool {
--- a/lab/hostedsoak/history.go
+++ b/lab/hostedsoak/history.go
@@ -8,33 +8,33 @@
 	"github.com/marblepond/marblepond/lab/hosted"
 )
 
-// history is what happened in a run.
+// history records the events of a run.
 type history struct {
 	mu         sync.Mutex
 	faults     []faultSpan
 	draining   map[*hosted.Runner]time.Time
-	version    int // newest written
+	version    int // latest version written
 	writtenAt  time.Time
-	versions   []configVersion // all of them
+	versions   []configVersion // all versions written
 	violations []string
 	counts     counts
-	refused    map[string]string // attempts and jobs that were refused as not run: the refusal
+	refused    map[string]string // refusals by ID of the requests and items refused as not run
 	endedJobs  map[string]time.Time
 }
 
-// configVersion is a version of the configuration with the time at which it was configVersion.
+// configVersion is a version of the configuration and the time at which it was written.
 type configVersion struct {
 	version int
 	at      time.Time
 }
 
-// faultSpan is a fault with the time it lasted.
+// faultSpan is a fault and the time span in which it was active.
 type faultSpan struct {
 	fault    Fault
-	from, to time.Time // to: zero while it lasts
+	from, to time.Time // to: zero while it is active
 }
 
-// counts sum a run up.
+// counts are the totals of a run.
 type counts struct {
 	Online, Whole, Refused, Failed, Cut int
 	Jobs, Items                         int
@@ -50,7 +50,7 @@
 	h.violations = append(h.violations, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// recordFault notes that a recordFault begins; the function returned notes its end.
+// recordFault records the start of a fault; ended records its end.
 func (h *history) recordFault(f Fault) (ended func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -63,12 +63,12 @@
 	}
 }
 
-// settleTime is how long after a fault its effects may still show: a node that
-// came back has to hear of the others, and calls that hang have to time out.
+// settleTime is how long after a fault its effects may last: a restarted node has to
+// learn of the others, and hanging calls have to time out.
 const settleTime = 3 * time.Second
 
-// faultFree reports whether, but for kinds that are left out, nothing was wrong
-// between two times, nor just before.
+// faultFree reports whether no fault, apart from the excepted kinds, was active between
+// two times or within settleTime before.
 func (h *history) faultFree(from, to time.Time, except ...Kind) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,10 +101,10 @@
 	h.versions = append(h.versions, configVersion{version, h.writtenAt})
 }
 
-// inForceWithin is how soon a change of the configuration has to be in force.
+// inForceWithin is the time in which a change of the configuration must take effect.
 const inForceWithin = 2 * time.Second
 
-// checkVersion judges the version that a node has in force now.
+// checkVersion checks the configuration version that a node applies now.
 func (h *history) checkVersion(name string, version int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/lab/hostedsoak/load.go
+++ b/lab/hostedsoak/load.go
@@ -13,8 +13,8 @@
 	"github.com/marblepond/marblepond/lab/hosted"
 )
 
-// load plays the callers: online requests over connections that are kept, and
-// jobs that are read while they run.
+// load simulates the callers: online requests over persistent connections, and
+// jobs whose results are read while they run.
 type load struct {
 	fleet   *fleet
 	history *history
@@ -22,7 +22,7 @@
 	client  *http.Client
 
 	mu    sync.Mutex
-	ready map[string]bool // nodes, as the balancer sees them
+	ready map[string]bool // by node, as the load balancer sees it
 	jobs  []*callerJob
 }
 
@@ -39,7 +39,7 @@
 	onlineTimeout     = 5 * time.Second
 )
 
-// run makes load until ctx ends, then waits for what is in progress.
+// run generates load until ctx ends, then waits for requests in progress.
 func (l *load) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { l.pollReadiness(ctx) })
@@ -65,7 +65,7 @@
 	}
 }
 
-// pollReadiness is the platform's balancer: it keeps to nodes that say they are ready.
+// pollReadiness checks the nodes' readiness, as the platform's load balancer does.
 func (l *load) pollReadiness(ctx context.Context) {
 	l.runEvery(ctx, readinessInterval, func(int) {
 		for _, n := range l.fleet.nodes {
@@ -77,7 +77,7 @@
 	})
 }
 
-// pickNode returns a node that is ready, or any when none is.
+// pickNode returns a random ready node, or any node if none is ready.
 func (l *load) pickNode() *node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,7 +90,7 @@
 	return l.fleet.nodes[first]
 }
 
-// sendOnline sends one request and judges its answer.
+// sendOnline sends one online request and checks its answer.
 func (l *load) sendOnline(n int) {
 	path := []string{hosted.StreamPath, hosted.ResumePath, hosted.RepeatPath}[n%3]
 	id := fmt.Sprintf("s%d-r%d", l.seed, n)
@@ -108,19 +108,19 @@
 	case status == http.StatusOK:
 		l.history.count(func(c *counts) { c.Whole++ })
 		if hosted.StreamText(body) != l.text(id) {
-			l.history.violate("request %s at %s: the answer is not whole: %q", id, at.name, body)
+			l.history.violate("request %s at %s: the answer is not complete: %q", id, at.name, body)
 		}
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 		l.history.count(func(c *counts) { c.Refused++ })
 		l.history.recordRefusal(id, fmt.Sprintf("status %d from %s", status, at.name))
 	case status == http.StatusNotFound:
-		l.history.violate("request %s at %s: its route is denied", id, at.name)
+		l.history.violate("request %s at %s: answered 404 for an existing route", id, at.name)
 	default:
 		l.history.count(func(c *counts) { c.Failed++ })
 	}
 }
 
-// text is the whole answer to a request; every runner gives the same.
+// text returns the complete answer to a request, which is the same at every runner.
 func (l *load) text(id string) string { return l.fleet.runnerSlots[0].runner.Text(id) }
 
 func (l *load) send(at *node, path, id, key string) (status int, body string, err error) {
@@ -143,15 +143,15 @@
 	return resp.StatusCode, string(data), err
 }
 
-// checkCut judges an answer that did not come or broke off: nodes that are asked
-// to stop, or read their settings again, cut nothing.
+// checkCut reports a missing or incomplete response as a violation unless a fault explains
+// it. A graceful stop, a reload of settings and a change of the configuration do not.
 func (l *load) checkCut(at *node, id string, started time.Time, err error) {
 	if l.history.faultFree(started, time.Now(), StopNode, HangupNode, ConfigChange) {
-		l.history.violate("request %s at %s was cut with nothing else wrong: %v", id, at.name, err)
+		l.history.violate("request %s at %s was cut without a fault: %v", id, at.name, err)
 	}
 }
 
-// callerJob is a job as its caller knows it.
+// callerJob is a caller's record of a job.
 type callerJob struct {
 	id      string
 	results []hosted.Result // by position, as first read
@@ -161,13 +161,13 @@
 const (
 	jobTries    = 25
 	jobPause    = 400 * time.Millisecond
-	endOneIn    = 5                      // jobs that their caller ends
+	endOneIn    = 5                      // one in this many jobs is ended by its caller
 	endDelay    = 800 * time.Millisecond // after acceptance
 	endTries    = 40
 	jobsTimeout = 60 * time.Second // after the last fault, for every result
 )
 
-// runJob sends a job until it is accepted, and reads or ends it.
+// runJob submits a job until it is accepted, and reads or ends it.
 func (l *load) runJob(n int) {
 	j := &callerJob{id: fmt.Sprintf("s%d-j%d", l.seed, n)}
 	if !l.submitJob(j.id) {
@@ -186,8 +186,8 @@
 	}
 }
 
-// submitJob sends a job until a node accepts it. A job that every try refused as
-// not run must never run.
+// submitJob submits a job until a node accepts it. A job that was refused as not
+// run at every attempt must never run.
 func (l *load) submitJob(id string) bool {
 	neverRan := true
 	for range jobTries {
@@ -203,7 +203,7 @@
 	}
 	if neverRan {
 		for _, item := range hosted.Items(id, jobItems) {
-			l.history.recordRefusal(item.ID, "its job was refused at every try")
+			l.history.recordRefusal(item.ID, "its job was refused at every attempt")
 		}
 	}
 	return false
@@ -220,8 +220,8 @@
 	return false
 }
 
-// read reads a job on until a moment or its end, at any nodes, and now and then
-// from an earlier position.
+// read reads the results of a job until a time or until all are read, from any
+// nodes and sometimes again from an earlier position.
 func (l *load) read(j *callerJob, until time.Time) bool {
 	for time.Now().Before(until) {
 		after := len(j.results)
@@ -239,11 +239,11 @@
 	return len(j.results) == jobItems
 }
 
-// checkPage checks a page against what was read before.
+// checkPage checks a page of results against those read before.
 func (l *load) checkPage(j *callerJob, at *node, after int, page hosted.Results, status int) {
 	switch {
 	case status == http.StatusNotFound || status == http.StatusGone:
-		l.history.violate("job %s is denied by %s", j.id, at.name)
+		l.history.violate("job %s is not found at %s", j.id, at.name)
 	case status != http.StatusOK:
 		return
 	case page.Total != jobItems:
@@ -267,10 +267,10 @@
 func (l *load) checkResult(j *callerJob, r hosted.Result) {
 	for _, known := range j.results {
 		if known.ID == r.ID {
-			l.history.violate("item %s stands twice in job %s", r.ID, j.id)
+			l.history.violate("item %s has two results in job %s", r.ID, j.id)
 		}
 	}
 	if r.State == "completed" && r.Text != l.text(r.ID) {
-		l.history.violate("item %s of job %s has not its whole text: %q", r.ID, j.id, r.Text)
+		l.history.violate("item %s of job %s has an incomplete text: %q", r.ID, j.id, r.Text)
 	}
 }
--- a/lab/hostedsoak/plan.go
+++ b/lab/hostedsoak/plan.go
@@ -1,6 +1,6 @@
-// Package hostedsoak drives hosted nodes, as separate processes before stand-ins
-// of the users' platform, through random faults, and checks what callers and
-// targets saw against what must always hold.
+// Package hostedsoak runs hosted nodes as separate processes against stand-ins for
+// the users' platform, injects random faults, and checks from the records of callers
+// and runners that the guarantees held.
 package hostedsoak
 
 import (
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// Kind is a fault.
+// Kind is a kind of fault.
 type Kind string
 
-// The faults. Those of nodes are signals, those of connections are made by
-// proxies, those of the store and of runners by the stand-ins.
+// The kinds of faults. Faults of nodes are signals; proxies inject faults of
+// connections, and the stand-ins those of the store and of runners.
 const (
 	KillNode     Kind = "kill-node"
-	FreezeNode   Kind = "freeze-node"
-	StopNode     Kind = "stop-node" // SIGTERM, then a new start
-	HangupNode   Kind = "hangup-node"
+	FreezeNode   Kind = "freeze-node" // SIGSTOP, then SIGCONT
+	StopNode     Kind = "stop-node"   // SIGTERM, then a restart
+	HangupNode   Kind = "hangup-node" // SIGHUP: the node reloads its settings
 	ResetCallers Kind = "reset-callers"
-	CutPeers     Kind = "cut-peers"     // nobody's calls reach the node
-	DeafPeers    Kind = "deaf-peers"    // they reach it, and its answers do not come back
-	CutStore     Kind = "cut-store"     // of one node: silence
-	ResetStore   Kind = "reset-store"   // of one node
-	StoreDown    Kind = "store-down"    // refuses everybody
-	StoreSilent  Kind = "store-silent"  // answers nobody
-	StoreSlow    Kind = "store-slow"    // answers late
-	StoreLost    Kind = "store-lost"    // loses answers of writes
-	StoreLate    Kind = "store-late"    // the same, and makes the writes later
-	StoreForgets Kind = "store-forgets" // drops its history
+	CutPeers     Kind = "cut-peers"     // no calls of peers reach the node
+	DeafPeers    Kind = "deaf-peers"    // they reach the node, but its responses do not come back
+	CutStore     Kind = "cut-store"     // one node's connections to the store block
+	ResetStore   Kind = "reset-store"   // one node's connections to the store are reset
+	StoreDown    Kind = "store-down"    // refuses all calls
+	StoreSilent  Kind = "store-silent"  // does not respond
+	StoreSlow    Kind = "store-slow"    // responds late
+	StoreLost    Kind = "store-lost"    // does not answer some writes
+	StoreLate    Kind = "store-late"    // the same, and applies them later
+	StoreForgets Kind = "store-forgets" // drops its history of changes
 	SlowRunner   Kind = "slow-runner"
-	CutRunner    Kind = "cut-runner"   // silence
-	ResetRunner  Kind = "reset-runner" // connections break, and new ones are refused
-	CrashRunner  Kind = "crash-runner" // another takes its place
-	DrainRunner  Kind = "drain-runner" // leaves as announced; another takes its place
-	BadRunner    Kind = "bad-runner"   // breaks off, fails, loses answers, sends those of others
+	CutRunner    Kind = "cut-runner"   // its connections block
+	ResetRunner  Kind = "reset-runner" // its connections are reset, also new ones
+	CrashRunner  Kind = "crash-runner" // is replaced by another runner
+	DrainRunner  Kind = "drain-runner" // is announced as draining, then replaced
+	BadRunner    Kind = "bad-runner"   // breaks off, fails, refuses, loses answers or sends those of other requests
 	ConfigChange Kind = "config-change"
 )
 
@@ -47,7 +47,7 @@
 	Kind   Kind
 	Start  time.Duration // since the start of the run
 	Length time.Duration
-	Which  int // node or runner
+	Which  int // index of the node or runner slot
 }
 
 // String describes the fault.
@@ -56,14 +56,14 @@
 }
 
 const (
-	// pauseAfterGroup is the pause after a group of faults; it is longer than the time
-	// within which a change has to be in force, so that some are judged.
+	// pauseAfterGroup is longer than the time in which a change of the configuration must
+	// take effect, so that this is checked for some changes.
 	pauseAfterGroup = 3 * time.Second
-	// maxGroupSize is the most faults of a group, and within is how far apart they
-	// start: they overlap, and come in series.
+	// maxGroupSize is the largest number of faults in a group. They start within
+	// groupSpread, so that some overlap and others follow each other.
 	maxGroupSize = 6
 	groupSpread  = 3 * time.Second
-	// minFaultLength and longest bound the length of a fault.
+	// minFaultLength and maxFaultLength bound the duration of a fault.
 	minFaultLength = 300 * time.Millisecond
 	maxFaultLength = 5 * time.Second
 )
--- a/lab/hostedsoak/proxy.go
+++ b/lab/hostedsoak/proxy.go
@@ -9,13 +9,13 @@
 
 // Mode is what a proxy does to the connections through it.
 type Mode struct {
-	Delay          time.Duration // added to each piece, both ways
-	Reset          bool          // open connections are reset, and new ones at once
-	Blocked        bool          // nothing passes, and nothing is closed
-	AnswersBlocked bool          // only towards the server: its answers do not pass
+	Delay          time.Duration // added to each chunk, in both directions
+	Reset          bool          // open and new connections are reset
+	Blocked        bool          // no data passes, and connections stay open
+	AnswersBlocked bool          // data passes only to the server, not back
 }
 
-// Proxy stands between two processes on loopback addresses.
+// Proxy is a TCP proxy on a loopback address.
 type Proxy struct {
 	listener net.Listener
 
@@ -26,7 +26,7 @@
 	closed bool
 }
 
-// NewProxy forwards connections from an address to a target.
+// NewProxy starts a proxy that forwards connections to a target address.
 func NewProxy(listen, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -40,7 +40,7 @@
 // Address returns where the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetMode changes what happens to connections, also to open ones.
+// SetMode changes the mode, also for open connections.
 func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// Retarget sends new connections elsewhere and resets the open ones.
+// Retarget changes the target of new connections and resets the open ones.
 func (p *Proxy) Retarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,10 +73,10 @@
 	}
 }
 
-// reset closes a connection so that its peer sees a reset, not an end.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // a connection that has ended already needs none
+		_ = tcp.SetLinger(0) // fails only on a closed connection
 	}
 	conn.Close()
 }
@@ -129,11 +129,11 @@
 
 const (
 	copyBufferBytes = 32 << 10
-	// modePollInterval is the time between looks whether a silent connection speaks again.
+	// modePollInterval is how often a blocked connection checks the mode.
 	modePollInterval = 10 * time.Millisecond
 )
 
-// copyDirection copies one direction; answers tells that it is the server's.
+// copyDirection copies one direction; answers means that from the server to the client.
 func (p *Proxy) copyDirection(to, from net.Conn, answers bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, copyBufferBytes)
@@ -149,7 +149,7 @@
 		if err != nil {
 			p.delay(answers)
 			if err == io.EOF {
-				_ = to.(*net.TCPConn).CloseWrite() // fails when the other side is gone too
+				_ = to.(*net.TCPConn).CloseWrite() // fails if the other side has closed too
 			} else {
 				reset(to)
 			}
@@ -158,7 +158,7 @@
 	}
 }
 
-// delay waits as long as the mode keeps a piece back.
+// delay waits while the mode blocks the direction, and then for the mode's delay.
 func (p *Proxy) delay(answers bool) {
 	for {
 		p.mu.Lock()
--- a/lab/hostedsoak/soak.go
+++ b/lab/hostedsoak/soak.go
@@ -20,13 +20,13 @@
 type Options struct {
 	Seed   uint64
 	Length time.Duration
-	Dir    string // of settings and logs; kept when something was violated
-	Bin    string // folder of the binaries; empty: build them
+	Dir    string // of settings and logs; kept if there are violations
+	Bin    string // directory of the binaries; empty: built
 	Net    int    // second byte of the loopback addresses
 	Out    io.Writer
 }
 
-// Main runs a soak for the command line.
+// Main runs a soak test and prints its result.
 func Main(o Options) error {
 	dir, err := os.MkdirTemp(o.Dir, "hostedsoak")
 	if err != nil {
@@ -89,11 +89,11 @@
 	return sum, violations, nil
 }
 
-// finish reads every job to its end and then once more from its start at every
-// node.
+// finish reads the remaining results of every job, and then all of them again from
+// every node.
 func (l *load) finish() {
 	for _, n := range l.fleet.nodes {
-		if err := n.waitReady(); err != nil { // the last fault may have been its end
+		if err := n.waitReady(); err != nil { // the last fault may have stopped it
 			l.history.violate("%v", err)
 		}
 	}
@@ -114,15 +114,15 @@
 	}
 }
 
-// itemStopTimeout is how long after the acknowledged end of a job its items may
-// still begin to run.
+// itemStopTimeout is how long items may still start to run after the end of their
+// job was acknowledged.
 const itemStopTimeout = 3 * time.Second
 
-// unrelatedToDraining are the faults that excuse no request to a runner that leaves: every
-// node still hears of it.
+// unrelatedToDraining are the faults that do not excuse a request to a draining runner,
+// since every node still learns that it is draining.
 var unrelatedToDraining = []Kind{DrainRunner, SlowRunner, CutRunner, ResetRunner, CrashRunner, BadRunner, ResetCallers, HangupNode, ConfigChange, StoreForgets}
 
-// checkRunners checks what the runners saw.
+// checkRunners checks the requests that the runners received.
 func checkRunners(f *fleet, h *history) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -133,11 +133,11 @@
 		for _, s := range r.RunStarts() {
 			runs[s.RequestID]++
 			if drains && s.At.After(drainStart.Add(drainInForceWithin)) && h.faultFreeLocked(drainStart, s.At, unrelatedToDraining...) {
-				violate("%s began at %s, %v after it announced that it leaves", s.RequestID, r.ID, s.At.Sub(drainStart))
+				violate("%s started at %s, %v after it announced that it is draining", s.RequestID, r.ID, s.At.Sub(drainStart))
 			}
 			job, _, _ := strings.Cut(s.RequestID, "-i")
 			if end, ended := h.endedJobs[job]; ended && s.At.After(end.Add(itemStopTimeout)) && h.faultFreeLocked(end, s.At, ConfigChange, HangupNode) {
-				violate("item %s began %v after the end of its job", s.RequestID, s.At.Sub(end))
+				violate("item %s started %v after the end of its job", s.RequestID, s.At.Sub(end))
 			}
 			if strings.HasSuffix(s.Path, "q") && strings.HasPrefix(s.Path, "/ask/") && runs[s.RequestID] == 2 {
 				violate("request %s ran twice", s.RequestID)
@@ -152,9 +152,9 @@
 	}
 }
 
-var errNoVersion = errors.New("the metrics name no version")
+var errNoVersion = errors.New("the metrics have no configuration version")
 
-// version returns the configuration that the node has in force.
+// version returns the configuration version that the node applies.
 func (n *node) version() (int, bool) {
 	resp, err := probeClient.Get("http://" + n.host + ":7074/metrics")
 	if err != nil {
--- a/lab/hostedsoak/workspaces.go
+++ b/lab/hostedsoak/workspaces.go
@@ -9,8 +9,8 @@
 	"github.com/marblepond/marblepond/lab/hosted"
 )
 
-// Keys of the workspaces in a soak. rotatingKey is a key that every second version of the
-// configuration has and the others have not.
+// Keys of the workspaces. rotatingKey, with the request IDs "passing", is only in every
+// second version of the configuration.
 const (
 	steadyKey   = "steady-key"
 	otherKey    = "other-key"
@@ -19,19 +19,20 @@
 )
 
 const (
-	// tightRate and tightBurst are the allowance of a workspace that asks for three times
-	// as much, and tightWindow and tightOver what the nodes' defaults tolerate.
+	// tightRate (requests per second) and tightBurst are the allowance of a workspace that
+	// sends three times as much. tightWindow, tightTolerance and tightSlack are the nodes'
+	// defaults for the excess that is tolerated.
 	tightRate      = 20
 	tightBurst     = 20
 	tightInterval  = time.Second / (3 * tightRate)
 	tightWindow    = 5 * time.Second
 	tightTolerance = 1.1
 	tightSlack     = 10
-	// rotatingKeyInterval is the time between requests with the key that comes and goes.
+	// rotatingKeyInterval is the time between requests with rotatingKey.
 	rotatingKeyInterval = 100 * time.Millisecond
 )
 
-// workspaces adds them to a version of the configuration.
+// workspaces adds the workspaces to a version of the configuration.
 func workspaces(version int) func(map[string]any) {
 	steady := []string{steadyKey}
 	if hasRotatingKey(version) {
@@ -43,8 +44,8 @@
 
 func hasRotatingKey(version int) bool { return version%2 == 1 }
 
-// sendTight and passing send requests whose number, and whose key, is judged by what runners
-// saw.
+// sendTight and sendRotatingKey send requests that checkWorkspaces checks at the end: the
+// first by their rate, the second by their key.
 func (l *load) sendTight(n int) { l.sendForCheck(fmt.Sprintf("s%d-tight%d", l.seed, n), tightKey) }
 func (l *load) sendRotatingKey(n int) {
 	l.sendForCheck(fmt.Sprintf("s%d-passing%d", l.seed, n), rotatingKey)
@@ -58,7 +59,7 @@
 	}
 }
 
-// checkIsolation reads jobs with the key of another workspace.
+// checkIsolation checks that jobs cannot be read with the key of another workspace.
 func (l *load) checkIsolation() {
 	for _, j := range l.jobs {
 		if _, status := hosted.ReadResultsWithKey(l.pickNode().callers.Address(), j.id, otherKey, 0); status == http.StatusOK {
@@ -67,7 +68,8 @@
 	}
 }
 
-// checkWorkspaces checks what runners saw of workspaces. The caller holds h.mu.
+// checkWorkspaces checks the workspaces, keys and rates of the requests that runners
+// received. The caller holds h.mu.
 func checkWorkspaces(f *fleet, h *history, violate func(format string, args ...any)) {
 	var tight []time.Time
 	for _, r := range f.runners {
@@ -78,22 +80,22 @@
 			case strings.Contains(s.RequestID, "-tight"):
 				tight = append(tight, s.At)
 				if header.Get("X-Marblepond-Tenant") != "tight" {
-					violate("request %s of tight reached %s as of %q", s.RequestID, r.ID, header.Get("X-Marblepond-Tenant"))
+					violate("request %s of workspace tight reached %s as one of %q", s.RequestID, r.ID, header.Get("X-Marblepond-Tenant"))
 				}
 			case strings.Contains(s.RequestID, "-passing"):
 				if removed, removedAt := h.rotatingKeyRemoved(s.At); removed && s.At.Sub(removedAt) > inForceWithin+versionPollInterval && h.faultFreeLocked(removedAt, s.At, ConfigChange, HangupNode) {
-					violate("request %s began %v after its key was taken away", s.RequestID, s.At.Sub(removedAt))
+					violate("request %s started %v after its key was removed", s.RequestID, s.At.Sub(removedAt))
 				}
 			}
 		}
 	}
 	if most, allowed := hosted.MaxInWindow(tight, tightWindow), (tightRate*tightWindow.Seconds()+tightBurst)*tightTolerance+tightSlack; float64(most) > allowed {
-		violate("%d requests of tight began within %v, %.0f may", most, tightWindow, allowed)
+		violate("%d requests of workspace tight started within %v; at most %.0f are allowed", most, tightWindow, allowed)
 	}
 }
 
-// rotatingKeyRemoved reports whether the configuration in force at a time had not the key that
-// comes and goes, and since when. The caller holds h.mu.
+// rotatingKeyRemoved reports whether the newest configuration at a time lacked rotatingKey,
+// and since when. The caller holds h.mu.
 func (h *history) rotatingKeyRemoved(at time.Time) (removed bool, since time.Time) {
 	for _, v := range h.versions {
 		if v.at.Before(at) {
