--- a/lab/hosted/demo.go
+++ b/lab/hosted/demo.go
@@ -42,10 +42,10 @@
 	}
 	complete, cut := f.demoOnline()
 	done, err := f.demoResults()
-	fmt.Fprintf(w, "hosted: %d nodes, %d runners, one node killed: %d requests, %d whole, %d cut by the kill; %d items, %d with one whole answer; %.1f s\n",
+	fmt.Fprintf(w, "hosted: %d nodes, %d runners, one node killed: %d requests, %d complete, %d cut by the kill; %d items, %d with one complete answer; %.1f s\n",
 		demoNodes, demoRunners, demoRequests, complete, cut, demoJobs*demoItems, done, time.Since(started).Seconds())
 	if complete+cut != demoRequests {
-		err = errors.Join(err, fmt.Errorf("%d requests have neither a whole answer nor a connection that the kill closed", demoRequests-complete-cut))
+		err = errors.Join(err, fmt.Errorf("%d requests have neither a complete answer nor a connection that the kill closed", demoRequests-complete-cut))
 	}
 	return err
 }
@@ -98,7 +98,7 @@
 		}
 	}
 	if done != demoJobs*demoItems {
-		err = errors.Join(err, fmt.Errorf("%d of %d items have exactly one whole answer", done, demoJobs*demoItems))
+		err = errors.Join(err, fmt.Errorf("%d of %d items have exactly one complete answer", done, demoJobs*demoItems))
 	}
 	return done, err
 }
--- a/lab/hosted/evacuation_test.go
+++ b/lab/hosted/evacuation_test.go
@@ -187,15 +187,15 @@
 	stop := f.startLoad(StreamPath+"x", 24, 10*time.Millisecond)
 	time.Sleep(evacuatedWithin)
 	is.Equal(SubmitJob(f.Nodes[0].CallerAddress(), "beside", Items("beside", 60)).Status, http.StatusAccepted)
-	cold := f.runnersIn("hall-b")
-	for _, r := range cold {
+	warmingUp := f.runnersIn("hall-b")
+	for _, r := range warmingUp {
 		r.StartWarmUp(warmUpTime) // the entries do not announce it yet
 	}
 	f.Store.Delete("evacuations", "hall-b")
 	f.Store.Put("evacuations", "hall-a", map[string]any{})
 	time.Sleep(warmUpTime)
 	served := 0
-	for _, r := range cold {
+	for _, r := range warmingUp {
 		is.True(r.MaxPerSecondInWarmUp() <= maxWarmUpRate)
 		served += r.MaxPerSecondInWarmUp()
 	}
--- a/lab/hosted/runner.go
+++ b/lab/hosted/runner.go
@@ -24,7 +24,7 @@
 	ForeignID                      // the answer carries the ID of another request
 	NoStamp                        // the answer has no server stamp
 	Fail                           // the request runs and is answered 500
-	Unprocessable                  // the request is answered 422 at every attempt
+	Unprocessable                  // the request runs and is answered 422, as it can never succeed
 	Full                           // refused, not run
 	Stall                          // the header and one event, then nothing more
 	Crash                          // the runner's process ends soon after the run began
--- a/lab/hosted/workspaces_test.go
+++ b/lab/hosted/workspaces_test.go
@@ -252,15 +252,15 @@
 
 // maxInWindow returns the most requests with a prefix that started to run within any window.
 func (f *Fleet) maxInWindow(prefix string, window time.Duration) int {
-	var begun []time.Time
+	var starts []time.Time
 	for _, r := range f.Runners {
 		for _, s := range r.RunStarts() {
 			if strings.HasPrefix(s.RequestID, prefix+"-") {
-				begun = append(begun, s.At)
+				starts = append(starts, s.At)
 			}
 		}
 	}
-	return MaxInWindow(begun, window)
+	return MaxInWindow(starts, window)
 }
 
 // TestAllowanceHoldsOverTheFleet: one workspace sends ten times its allowance (rate limit)
--- a/lab/hostedsoak/history.go
+++ b/lab/hostedsoak/history.go
@@ -15,7 +15,7 @@
 	draining   map[*hosted.Runner]time.Time
 	version    int // latest version written
 	writtenAt  time.Time
-	versions   []configVersion // all versions written
+	versions   []configVersion // those written during the run
 	violations []string
 	counts     counts
 	refused    map[string]string // refusals by ID of the requests and items refused as not run
@@ -36,8 +36,8 @@
 
 // counts are the totals of a run.
 type counts struct {
-	Online, Whole, Refused, Failed, Cut int
-	Jobs, Items                         int
+	Online, Complete, Refused, Failed, Cut int
+	Jobs, Items                            int
 }
 
 func newHistory() *history {
--- a/lab/hostedsoak/load.go
+++ b/lab/hostedsoak/load.go
@@ -106,7 +106,7 @@
 		l.history.count(func(c *counts) { c.Cut++ })
 		l.checkCut(at, id, started, err)
 	case status == http.StatusOK:
-		l.history.count(func(c *counts) { c.Whole++ })
+		l.history.count(func(c *counts) { c.Complete++ })
 		if hosted.StreamText(body) != l.text(id) {
 			l.history.violate("request %s at %s: the answer is not complete: %q", id, at.name, body)
 		}
--- a/lab/hostedsoak/soak.go
+++ b/lab/hostedsoak/soak.go
@@ -46,8 +46,8 @@
 	for _, v := range violations {
 		fmt.Fprintln(o.Out, "VIOLATION", v)
 	}
-	fmt.Fprintf(o.Out, "seed %d: online %d: %d whole, %d refused, %d failed, %d cut; %d jobs with %d items; %d violations\n",
-		o.Seed, sum.Online, sum.Whole, sum.Refused, sum.Failed, sum.Cut, sum.Jobs, sum.Items, len(violations))
+	fmt.Fprintf(o.Out, "seed %d: online %d: %d complete, %d refused, %d failed, %d cut; %d jobs with %d items; %d violations\n",
+		o.Seed, sum.Online, sum.Complete, sum.Refused, sum.Failed, sum.Cut, sum.Jobs, sum.Items, len(violations))
 	if len(violations) > 0 {
 		return fmt.Errorf("seed %d: %d violations; logs in %s", o.Seed, len(violations), dir)
 	}
