--- a/internal/request/choose/choose.go
+++ b/internal/request/choose/choose.go
@@ -95,7 +95,7 @@
 // Config configures a table.
 type Config struct {
 	EjectAfter int           // failures in a row that eject a target
-	EjectTime  time.Duration // time of the first ejection; it doubles with each further one
+	EjectTime  time.Duration // of the first ejection; it doubles with each further one, see maxEjectDoublings
 	Policy     Policy
 	// MinReserve is how many slots of a target batch items leave free even when no
 	// online requests arrive. Measurements use it as the baseline to compare
--- a/internal/request/choose/evacuate_test.go
+++ b/internal/request/choose/evacuate_test.go
@@ -18,7 +18,7 @@
 
 // centresTable returns a table with targets of 8 slots in three data centres; the node
 // is in the first one.
-func centresTable(targets int, share warmup.Position) *Table {
+func centresTable(targets int, position warmup.Position) *Table {
 	t := New(Config{EjectAfter: 3, EjectTime: time.Second, Policy: LeastOfFew, LocalDataCentre: "dc0",
 		WarmUp: func(string) warmup.Rate { return warmup.Rate{Time: coldFor, PerSecond: coldRate} }})
 	var list []Target
@@ -26,7 +26,7 @@
 		list = append(list, Target{ID: fmt.Sprintf("t%d", i), Incarnation: 1, Service: "s", DataCentre: fmt.Sprintf("dc%d", i%3), Slots: 8})
 	}
 	t.SetTargets(list)
-	t.SetPosition(share)
+	t.SetPosition(position)
 	return t
 }
 
@@ -119,7 +119,7 @@
 	tab.Begin(target.ID)
 	target, ok = tab.Choose(start, Need{Service: "s"})
 	is.True(ok)
-	is.Equal(target.ID, "t1") // rather queued there than at a cold target, which the load may crash
+	is.Equal(target.ID, "t1") // it is queued there, because a cold target might crash under it
 }
 
 // TestWarmUpIsNotCutShort: a report that a target is warm, or warm soon, may date from
--- a/internal/request/choose/prefer.go
+++ b/internal/request/choose/prefer.go
@@ -9,7 +9,8 @@
 )
 
 // preferred leaves out slow targets if there are others, and then limits the choice to
-// the preferred data centre. For online requests, leastOfFew does the latter.
+// the nearest data centre with capacity. With the policy LeastOfFew, leastOfFew does the
+// latter for online requests.
 func (t *Table) preferred(now time.Time, need Need, entries []*entry) []*entry {
 	median := t.medianFirstEvent(need.Service)
 	entries = filterOrAll(entries, func(e *entry) bool { return !e.slow(now, median) })
@@ -27,13 +28,13 @@
 	localMinFree = 2
 	// remoteMinFree is how many free slots a target of another data centre must have
 	// to be preferred to the last free slots of the own one: more than batch items
-	// leave free, so that no node there is about to use them.
+	// leave free, so that there is a slot which no node there is about to use.
 	remoteMinFree = 3
 )
 
 // nearest returns the targets of the own data centre with at least localMinFree free
-// slots; if none, those with at least remoteMinFree; if none, all of the own data
-// centre; if none, all.
+// slots; if none, those of other data centres with at least remoteMinFree; if none, all
+// of the own data centre; if none, all.
 func (t *Table) nearest(now time.Time, entries []*entry) []*entry {
 	local := filter(entries, t.isLocal)
 	if withRoom := filter(local, func(e *entry) bool { return e.freeAt(now) >= localMinFree }); len(withRoom) > 0 {
@@ -89,7 +90,7 @@
 // a few random targets elsewhere if that has at least remoteMinFree, or any free slot
 // when the local one has none. Full targets are drawn like others: drawing only those
 // with free slots would send all nodes to the last few of them and build queues there,
-// while a request that waits behind one other still meets its deadline.
+// while a request that waits behind one other is still in time.
 func (t *Table) leastOfFew(now time.Time, entries []*entry) *entry {
 	cost := func(e *entry) int { return e.cost(now) }
 	local := filter(entries, t.isLocal)
--- a/internal/request/choose/yield_test.go
+++ b/internal/request/choose/yield_test.go
@@ -150,8 +150,9 @@
 // The test guards against a refused item that stops all others of its node, as seen under
 // load in TestOnlineGoesFirst: one item was refused because an online request had taken
 // its slot, and seven others were then stopped within a third of a millisecond with
-// "online requests need the room". Any refusal counted as a waiting online request for
-// 50 ms, even if requests had left meanwhile.
+// "online requests need the room". The eight items had sent no event, and the test saw no item
+// continue. Any refusal counted as a waiting online request for 50 ms, even if requests had
+// left meanwhile.
 func TestRefusedItemStopsNoOther(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
