--- a/internal/request/schedule/fair.go
+++ b/internal/request/schedule/fair.go
@@ -4,10 +4,10 @@
 
 // FairQueue shares the batch work that a node sends among workspaces by start-time fair
 // queueing (Goyal, Vin and Cheng, 1996). Each workspace has a tag that grows by the tokens
-// of every item sent, and the workspace with the lowest tag is served next. A workspace
-// that had nothing to send starts at the current virtual time, so that it saves up no
-// credit. Within a workspace the item with the earliest due time goes first; with only one
-// workspace, that is the whole order.
+// of each item that is sent of it, and the workspace with the lowest tag is served next. A
+// workspace that had nothing to send starts at the current virtual time, so that it saves up
+// no credit. Within a workspace the item with the earliest due time goes first; with only
+// one workspace, that is the whole order.
 //
 // Deficit round robin (Shreedhar and Varghese, 1995) would need a quantum of the largest
 // item to be as cheap, and lets one workspace get further ahead of another.
