--- a/internal/request/admit/admit.go
+++ b/internal/request/admit/admit.go
@@ -37,9 +37,9 @@
 	Remaining time.Duration // until the deadline
 }
 
-// queueFactor is the largest ratio of in-flight requests to running capacity. Engines queue
-// what exceeds their capacity; a short queue compensates for the lag of load reports, a
-// long one only adds latency.
+// queueFactor is the ratio of in-flight requests to running capacity from which a service
+// counts as full. Engines queue what exceeds their capacity; a short queue compensates for
+// the lag of load reports, a long one only adds latency.
 const queueFactor = 1.25
 
 // Controller is the admission controller of a node. It is not safe for concurrent use.
