--- a/internal/request/forward/attempt.go
+++ b/internal/request/forward/attempt.go
@@ -110,7 +110,8 @@
 }
 
 // respond forwards an answer that is not streamed. A server error is returned as a
-// failed attempt if the request may be repeated and attempts are left.
+// failed attempt if the request may be repeated and attempts are left, and so is any such
+// answer in place of a resumed stream.
 func (f *Forwarder) respond(req *Request, t choose.Target, answer *target.Answer, caller Caller, p *progress) error {
 	if answer.Status >= http.StatusInternalServerError && (p.begun || (req.Route.Repeatable() && p.ran+1 < req.Route.Attempts)) {
 		return &target.Error{Failure: target.Broken, Cause: errors.New("the target answered " + http.StatusText(answer.Status))}
--- a/internal/request/forward/forward.go
+++ b/internal/request/forward/forward.go
@@ -87,7 +87,7 @@
 	firstEvent     time.Duration // from the arrival of the request to the first event
 	longestGap     time.Duration // longest time between two events
 	begun          bool          // the status and headers were sent to the caller
-	connectionLost bool          // the connection to a target broke
+	connectionLost bool          // the connection to a target broke, or the target restarted
 	lastErr        error
 	// waitingAt is the full target that refused the request last. The request counts as in
 	// flight there while it waits, so that nodes with batch items at the target learn of it:
--- a/internal/request/forward/parts.go
+++ b/internal/request/forward/parts.go
@@ -30,10 +30,10 @@
 	// AllEvacuated reports whether all targets of a service are in data centres that
 	// operators have evacuated.
 	AllEvacuated(service string) bool
-	// BetterElsewhere reports whether a request that waits for an event of a target would get it
-	// sooner from another target. A target that sent anything within the time heard is
-	// responsive, and requests queued there will be served.
-	BetterElsewhere(id string, need choose.Need, heard time.Duration) bool
+	// BetterElsewhere reports whether a request that waits for an event of a target would get
+	// it sooner from another target. A target that sent an event within aliveWithin is
+	// alive, and requests queued there will be served.
+	BetterElsewhere(id string, need choose.Need, aliveWithin time.Duration) bool
 	// RecordEvent records that an event of a target was received.
 	RecordEvent(t choose.Target)
 	End(t choose.Target, outcome choose.Outcome)
