--- a/internal/request/run/run.go
+++ b/internal/request/run/run.go
@@ -200,7 +200,7 @@
 	case errors.Is(err, engine.ErrRejected):
 		return errkind.Malformed.New("the engine rejected the request: %v", err)
 	case req.NonIdempotent && !notSent:
-		return errkind.UnknownOutcome.New("the connection to the target was lost after the request was sent; a non-idempotent request is not repeated")
+		return errkind.UnknownOutcome.New("the attempt failed after the request was sent; a non-idempotent request is not repeated")
 	case ctx.Err() != nil && p.sent:
 		return deadlineError(ctx)
 	case ctx.Err() != nil:
