--- a/internal/request/allowance/allowance_test.go
+++ b/internal/request/allowance/allowance_test.go
@@ -18,7 +18,7 @@
 	allReachable = map[string]bool{"a": true, "b": true, "c": true}
 )
 
-// preferredView is what the preferredView owner knows when all is well.
+// preferredView is what the preferred owner knows when all data centres are reachable.
 var preferredView = FleetView{Preferred: true, Nodes: threeDCs, Reachable: allReachable}
 
 // settled returns the Buckets of a node that has run for longer than a window.
--- a/internal/request/allowance/portion.go
+++ b/internal/request/allowance/portion.go
@@ -36,7 +36,8 @@
 }
 
 // lendablePortion returns the part of the allowance that this node lends. An owner lends all
-// of it while every data centre is reachable.
+// of it while every data centre is reachable, unless it is isolated or stands in for a
+// preferred owner that is reachable.
 func (b *bucket) lendablePortion(now time.Time, view FleetView) float64 {
 	switch {
 	case len(view.Nodes) == 0:
@@ -59,8 +60,8 @@
 
 // demandShare returns the share of a data centre in the demand. The preferred owner has
 // observed it. A fallback owner sees only one side of a partition, and uses the shares that
-// the preferred owner reported to borrowers; a data centre without a reported share had no
-// demand.
+// the preferred owner reported to borrowers, if any: a data centre that is not among them
+// had no demand.
 func (b *bucket) demandShare(now time.Time, dc string, view FleetView) float64 {
 	if len(b.reportedShares) > 0 && !view.Preferred {
 		return b.reportedShares[dc]
--- a/internal/request/allowance/purse.go
+++ b/internal/request/allowance/purse.go
@@ -59,7 +59,8 @@
 // NewBalances returns empty Balances.
 func NewBalances() *Balances { return &Balances{byWorkspace: map[string]*balance{}} }
 
-// Arrived records the arrival of a request of a workspace. It is called before Take.
+// Arrived records the arrival of a request of a workspace. It is called before the
+// first Take for the request.
 func (bs *Balances) Arrived(now time.Time, name string) {
 	bs.dropIdle(now)
 	bs.balance(name).arrivals.add(now, 1, arrivalTimeConstant)
