--- a/internal/request/quarantine/doc.go
+++ b/internal/request/quarantine/doc.go
@@ -34,8 +34,8 @@
 //
 // # Expiry
 //
-// All nodes drop a crash when it reaches the age Config.Retention. Work that was refused is
-// then one crash short of being refused again once its oldest crash is dropped. Memory is
+// All nodes drop a crash when it reaches the age Config.Retention. Once its oldest
+// crash is dropped, work that was refused is one crash short of being refused again. Memory is
 // bounded: beyond maxCrashes the oldest crash that causes no refusal is dropped first, so
 // work that crashed targets once or twice among many other crashes may crash as many again.
 package quarantine
--- a/internal/request/quarantine/verdict.go
+++ b/internal/request/quarantine/verdict.go
@@ -137,10 +137,10 @@
 }
 
 // killedTogether reports whether the target of a crash was killed together with others by
-// something else than work. Crashes near it of which work is a suspect do not count, since
-// work that is retried at once can crash several targets one after the other within a moment.
-// Nor do crashes that other suspected or refused work explains, since several crashing
-// requests may arrive in step.
+// something other than the given work. Crashes near it of which the work is a suspect do not
+// count, since work that is retried at once can crash several targets one after the other
+// within a moment. Nor do crashes that other suspected or refused work explains, since
+// several crashing requests may arrive in step.
 func (e *evaluation) killedTogether(c *crash, work fingerprint.ID, near []*crash) bool {
 	ended := 1
 	for _, other := range near {
