--- a/internal/request/fingerprint/fingerprint.go
+++ b/internal/request/fingerprint/fingerprint.go
@@ -10,8 +10,8 @@
 	"sync"
 )
 
-// size is the length of an ID in bytes: half a SHA-256 digest, so that no one can make a
-// request with the fingerprint of another one.
+// size is the length of an ID in bytes: half a SHA-256 digest is long enough that no one
+// can make a request with the fingerprint of another one.
 const size = 16
 
 // ID is the fingerprint of work.
