--- a/internal/request/job/checkpoint.go
+++ b/internal/request/job/checkpoint.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// keeperUsable reports whether a node may be chosen as a keeper: it has not failed
-// recently. The caller holds m.mu.
+// keeperUsable reports whether a node may be chosen as a keeper: it is not avoided because
+// of failed saves. The caller holds m.mu.
 func (m *Manager) keeperUsable(address string) bool {
 	return !time.Now().Before(m.keeperStates[address].avoidUntil)
 }
--- a/internal/request/job/handover.go
+++ b/internal/request/job/handover.go
@@ -53,7 +53,7 @@
 	return true
 }
 
-// handOver releases the jobs in the object store and asks other nodes to adopt them.
+// handOver relinquishes the jobs and asks other nodes to adopt them.
 func (m *Manager) handOver(ctx context.Context, jobs []*heldJob) {
 	var relinquished []string
 	for _, h := range jobs {
--- a/internal/request/job/heads_test.go
+++ b/internal/request/job/heads_test.go
@@ -237,7 +237,7 @@
 	for i := range jobs {
 		is.NoErr(nodes[5].Submit(ctx, submission(fmt.Sprintf("job-%d", i))))
 	}
-	for _, h := range nodes[5].held { // released by a leaving node
+	for _, h := range nodes[5].held { // relinquished by a leaving node
 		is.True(nodes[5].relinquish(ctx, h))
 	}
 	nodes[5].draining = true
--- a/internal/request/job/idle_test.go
+++ b/internal/request/job/idle_test.go
@@ -28,13 +28,13 @@
 // stop, however often the counts of other nodes change.
 func TestNodeWithoutJobsLooksForNothing(t *testing.T) {
 	is := is.New(t)
-	var shares atomic.Int32
+	var allotments atomic.Int32
 	pool := &countingPool{}
 	m := newTestManager("n", newMemoryStore())
 	m.cfg.SweepInterval, m.cfg.CheckpointInterval = time.Hour, time.Hour
 	m.Pool = pool
 	m.Allotments = func() func(choose.Target) int {
-		shares.Add(1)
+		allotments.Add(1)
 		return func(choose.Target) int { return 0 }
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*scheduleInterval)
@@ -48,7 +48,7 @@
 		m.PreemptItems()
 	}
 	<-done
-	is.Equal(shares.Load(), int32(0))
+	is.Equal(allotments.Load(), int32(0))
 	is.Equal(pool.excess.Load(), int32(0))
 }
 
--- a/internal/request/job/record.go
+++ b/internal/request/job/record.go
@@ -21,7 +21,7 @@
 	"github.com/marblepond/marblepond/internal/version/route"
 )
 
-// Kinds of objects in the store.
+// Kinds of objects in the object store.
 const (
 	KindHeads   = "marblepond-jobs"    // one Head per job
 	KindItems   = "marblepond-items"   // submitted items, in one or more objects per job
--- a/internal/request/job/run.go
+++ b/internal/request/job/run.go
@@ -182,10 +182,10 @@
 }
 
 // run makes one attempt at an item and records its end. Once the item is removed from
-// h.stops, it can no longer be stopped for an online request. Only then is the pool told of
-// the end, so that EndBatch and Yielding agree on whether the item was stopped: otherwise
-// the pool's count of yielding items would stay too high, and no other item would be
-// stopped.
+// h.stops, it can no longer be stopped for an online request. Only then does EndBatch
+// report the end, so that it agrees with MarkYielding on whether the item was stopped:
+// otherwise the pool's count of yielding items would stay too high, and no other item would
+// be stopped.
 func (m *Manager) run(ctx context.Context, cancel context.CancelCauseFunc, h *heldJob, i int, t choose.Target, r *route.Route) {
 	defer cancel(nil)
 	liveness := &target.Liveness{}
--- a/internal/request/job/submit.go
+++ b/internal/request/job/submit.go
@@ -120,7 +120,7 @@
 	case headErr == nil:
 		return func() {}, nil // accepted before; the write of the head will find it
 	case !errors.Is(headErr, objects.ErrNotFound):
-		return nil, errkind.PlatformUnavailable.New("too many tokens wait to accept the job, and whether it was accepted before is not known")
+		return nil, errkind.PlatformUnavailable.New("the job cannot be accepted now, and whether it was accepted before is not known")
 	}
 	return nil, err
 }
