--- a/internal/request/batch/closer.go
+++ b/internal/request/batch/closer.go
@@ -88,8 +88,9 @@
 }
 
 // shouldClose reports whether this node checks the job for its end now. One
-// node of each data centre is responsible; the others check after
-// fallbackCloseAfter, in case the responsible one makes no progress.
+// node of each data centre is responsible. Another one that has read the job's
+// chunks before checks after fallbackCloseAfter, in case the responsible one makes
+// no progress.
 func (w *Worker) shouldClose(v *jobView) bool {
 	job, _ := v.current()
 	members := w.members()
--- a/internal/request/batch/item.go
+++ b/internal/request/batch/item.go
@@ -128,7 +128,8 @@
 	w.signal()
 }
 
-// afterFailure requeues a failed item or ends it with an error.
+// afterFailure requeues a failed item or ends it with an error. If its lease has
+// ended, it leaves an idempotent item to the chunk's next holder.
 func (w *Worker) afterFailure(it *item, err, cause error) {
 	notSent := errors.Is(err, engine.ErrNotSent) || (errors.Is(err, engine.ErrBusy) && it.service.Kind == fleet.KindModel)
 	switch {
--- a/internal/request/batch/view.go
+++ b/internal/request/batch/view.go
@@ -91,14 +91,14 @@
 }
 
 // leasable returns the chunks that may be leased: open ones, and leased ones for
-// which expired returns true.
-func (v *jobView) leasable(expired func(observedChunk) bool) []int {
+// which canTakeOver returns true.
+func (v *jobView) leasable(canTakeOver func(observedChunk) bool) []int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var out []int
 	for n := range v.job.Chunks() {
 		o, known := v.chunks[n]
-		if !known || o.state.Phase == record.ChunkOpen || (o.state.Phase == record.ChunkLeased && expired(o)) {
+		if !known || o.state.Phase == record.ChunkOpen || (o.state.Phase == record.ChunkLeased && canTakeOver(o)) {
 			out = append(out, n)
 		}
 	}
--- a/internal/request/batch/worker.go
+++ b/internal/request/batch/worker.go
@@ -178,8 +178,8 @@
 }
 
 // preemptExcess cancels the most recently started items of targets that run more
-// batch items than allowed, and requeues them. Non-idempotent items are not
-// preempted. The caller holds w.mu.
+// batch items than allowed; they are requeued when their attempts end.
+// Non-idempotent items are not preempted. The caller holds w.mu.
 func (w *Worker) preemptExcess(now time.Time) {
 	for _, excess := range w.pacer.Excess(now) {
 		list := w.running[excess.Target]
@@ -320,8 +320,8 @@
 	return l.job.NonIdempotent && !l.stopped && len(l.items) > 0 && w.queuedItems(l) == 0
 }
 
-// acquireMore leases one chunk for a service in w.wanted, of the job that is due
-// first.
+// acquireMore leases one chunk for a service in w.wanted. It tries the jobs in the
+// order of their due times.
 func (w *Worker) acquireMore(ctx context.Context) {
 	defer func() {
 		w.mu.Lock()
