--- a/internal/request/serve/complete.go
+++ b/internal/request/serve/complete.go
@@ -64,7 +64,7 @@
 		joined, err := s.reserve(r.Context(), e)
 		if err != nil || joined != nil {
 			release()
-			s.Allowances.Return(c.workspace) // the joined request has taken a token itself
+			s.Allowances.Return(c.workspace) // it did not run; a joined request has taken its own token
 		}
 		if err != nil {
 			return err
--- a/internal/request/serve/join.go
+++ b/internal/request/serve/join.go
@@ -21,8 +21,8 @@
 )
 
 // retryJoin retries a request with a key if the request that it joined ended
-// without a result: that one was refused before anything was sent, or it was
-// dropped because another request holds the key's claim.
+// without a result: that one was refused or failed before it was accepted, or it
+// was dropped because another request holds the key's claim.
 func (s *Server) retryJoin(attempt func() error) error {
 	var err error
 	for range maxJoinAttempts {
@@ -53,7 +53,7 @@
 	s.Recorder.Record(timeline.RequestJoined, first.RequestID, e.request.Service, "resend "+e.request.ID)
 	w.Header().Set(openai.HeaderRequestID, first.RequestID)
 	answer := first
-	var findErr error // a node or store that may have the answer did not respond
+	var findErr error // a node, or the platform, that may have the answer did not respond
 	for answer.State == hold.Running {
 		wait := min(maxJoinWait, time.Until(e.request.Deadline))
 		if wait <= 0 || r.Context().Err() != nil {
--- a/internal/request/serve/plain.go
+++ b/internal/request/serve/plain.go
@@ -55,7 +55,7 @@
 	}
 	joined, err := s.reserve(r.Context(), e)
 	if err != nil || joined != nil {
-		s.Allowances.Return(c.workspace) // the request that it joins has its own
+		s.Allowances.Return(c.workspace) // it did not run; a joined request has taken its own token
 	}
 	if err != nil {
 		return err
--- a/internal/request/serve/serve.go
+++ b/internal/request/serve/serve.go
@@ -146,7 +146,7 @@
 	c := &session{config: s.Config()}
 	if key := r.Header.Get(openai.HeaderForwarded); key != "" {
 		if subtle.ConstantTimeCompare([]byte(key), []byte(s.PeerKey)) != 1 {
-			return nil, errkind.Unauthenticated.New("the key is not that of this fleet's nodes")
+			return nil, errkind.Unauthenticated.New("the key is not the peer key of this fleet")
 		}
 		c.forwarded = true
 		c.workspace = c.config.Workspaces.ByName(r.Header.Get(openai.HeaderWorkspace))
