--- a/internal/request/hold/hold.go
+++ b/internal/request/hold/hold.go
@@ -199,8 +199,8 @@
 	return true
 }
 
-// Drop removes a request that was refused before anything was sent to a target,
-// so that a resend of its key is run as a new request.
+// Drop removes a request that has ended without a result, so that a resend of its
+// key is run as a new request.
 func (t *Table) Drop(requestID string) {
 	if e := t.byID[requestID]; e != nil && e.result == nil {
 		for _, w := range e.waiters {
