--- a/internal/request/homes/durable.go
+++ b/internal/request/homes/durable.go
@@ -249,8 +249,8 @@
 	// this as "unknown request" told callers that a result they had already received does
 	// not exist.
 	errNoResponse = errors.New("a node that may know the request does not respond")
-	// errNotDiscovered means that such a node may exist and that this node, since its
-	// start, has not discovered it yet.
+	// errNotDiscovered means that such a node may exist without having been discovered
+	// since this node's start.
 	errNotDiscovered = errors.New("a node that may know the request has not been discovered yet")
 )
 
--- a/internal/request/homes/find_test.go
+++ b/internal/request/homes/find_test.go
@@ -65,10 +65,10 @@
 	unknownAddr, doneAddr, unsureAddr := startFakePeer(t, unknown), startFakePeer(t, done), startFakePeer(t, unsureResponse)
 	here := member.Info{ID: "n0", DataCentre: "here"}
 	var many []member.Member
-	duty := []string{"n0"}
+	activeIDs := []string{"n0"}
 	for n := range 8 {
 		many = append(many, node(fmt.Sprint("m", n), "here", unknownAddr, member.Alive))
-		duty = append(duty, fmt.Sprint("m", n))
+		activeIDs = append(activeIDs, fmt.Sprint("m", n))
 	}
 	for _, c := range []struct {
 		name string
@@ -77,17 +77,17 @@
 		want hold.State
 		sure bool
 	}{
-		{"a data centre that does not exist", member.View{Self: here, ActiveIDs: duty[:1]}, NewID("there", "", now, "w", ""), hold.Unknown, true},
-		{"a data centre that may not be discovered yet", member.View{Self: here, ActiveIDs: duty[:1], SeedsPending: true}, NewID("there", "", now, "w", ""), hold.Unknown, false},
-		{"nodes of this data centre that are not listed yet", member.View{Self: here, ActiveIDs: duty[:1], MemberListPending: true}, NewID("here", "", now, "w", ""), hold.Unknown, false},
-		{"a listed node that is suspect", member.View{Self: here, ActiveIDs: duty[:1], Members: []member.Member{node("m0", "here", doneAddr, member.Suspect)}}, NewID("here", "", now, "w", ""), hold.Done, true},
-		{"a listed node that does not respond", member.View{Self: here, ActiveIDs: duty[:1], Members: []member.Member{node("m0", "here", "127.0.0.1:1", member.Suspect)}}, NewID("here", "", now, "w", ""), hold.Unknown, false},
-		{"many nodes that started after the registration", member.View{Self: here, ActiveIDs: duty, Members: append([]member.Member{node("k", "here", doneAddr, member.Alive)}, many...)}, NewID("here", "", now, "w", ""), hold.Done, true},
-		{"many nodes, none of which knows the request", member.View{Self: here, ActiveIDs: duty, Members: many}, NewID("here", "", now, "w", ""), hold.Unknown, true},
-		{"an unsure contact before one that knows the result", member.View{Self: here, ActiveIDs: duty[:1],
+		{"a data centre that does not exist", member.View{Self: here, ActiveIDs: activeIDs[:1]}, NewID("there", "", now, "w", ""), hold.Unknown, true},
+		{"a data centre that may not be discovered yet", member.View{Self: here, ActiveIDs: activeIDs[:1], SeedsPending: true}, NewID("there", "", now, "w", ""), hold.Unknown, false},
+		{"nodes of this data centre that are not listed yet", member.View{Self: here, ActiveIDs: activeIDs[:1], MemberListPending: true}, NewID("here", "", now, "w", ""), hold.Unknown, false},
+		{"a listed node that is suspect", member.View{Self: here, ActiveIDs: activeIDs[:1], Members: []member.Member{node("m0", "here", doneAddr, member.Suspect)}}, NewID("here", "", now, "w", ""), hold.Done, true},
+		{"a listed node that does not respond", member.View{Self: here, ActiveIDs: activeIDs[:1], Members: []member.Member{node("m0", "here", "127.0.0.1:1", member.Suspect)}}, NewID("here", "", now, "w", ""), hold.Unknown, false},
+		{"many nodes that started after the registration", member.View{Self: here, ActiveIDs: activeIDs, Members: append([]member.Member{node("k", "here", doneAddr, member.Alive)}, many...)}, NewID("here", "", now, "w", ""), hold.Done, true},
+		{"many nodes, none of which knows the request", member.View{Self: here, ActiveIDs: activeIDs, Members: many}, NewID("here", "", now, "w", ""), hold.Unknown, true},
+		{"an unsure contact before one that knows the result", member.View{Self: here, ActiveIDs: activeIDs[:1],
 			Contacts: []member.Member{node("t0", "there", unsureAddr, member.Alive), node("t1", "there", doneAddr, member.Alive)}}, NewID("there", "", now, "w", ""), hold.Done, true},
-		{"an unsure contact alone", member.View{Self: here, ActiveIDs: duty[:1], Contacts: []member.Member{node("t0", "there", unsureAddr, member.Alive)}}, NewID("there", "", now, "w", ""), hold.Unknown, false},
-		{"an old request is looked up at its replicas only", member.View{Self: here, ActiveIDs: duty[:1], MemberListPending: true}, NewID("here", "", now-3600, "w", ""), hold.Unknown, true},
+		{"an unsure contact alone", member.View{Self: here, ActiveIDs: activeIDs[:1], Contacts: []member.Member{node("t0", "there", unsureAddr, member.Alive)}}, NewID("there", "", now, "w", ""), hold.Unknown, false},
+		{"an old request is looked up at its replicas only", member.View{Self: here, ActiveIDs: activeIDs[:1], MemberListPending: true}, NewID("here", "", now-3600, "w", ""), hold.Unknown, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/request/homes/homes.go
+++ b/internal/request/homes/homes.go
@@ -192,8 +192,9 @@
 	return rp.table.Finish(r, durable)
 }
 
-// Drop removes a request from its replicas. It was refused before anything was
-// sent to a target, and a resend of its key is to be run as a new request.
+// Drop removes a request from its replicas that was refused or failed before it
+// was accepted, or that another request with its key replaces. A resend of its
+// key is then run as a new request.
 func (rp *Replicator) Drop(ctx context.Context, requestID string) {
 	rp.callEach(requestID, maxCandidates, func(c peerClient, relay bool) error { return rp.dropAt(ctx, c, relay, requestID) })
 }
--- a/internal/request/homes/watch.go
+++ b/internal/request/homes/watch.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// isFirstReplica reports whether this node is the first replica of a request, or
-// all nodes of its data centre are leaving.
+// isFirstReplica reports whether this node is the first replica of a request in
+// this data centre, or all nodes of the data centre are leaving.
 func (rp *Replicator) isFirstReplica(requestID string, view *member.View) bool {
 	id, _ := ParseID(requestID)
 	return rendezvous.First(id.Placement, view.ActiveIDs) == view.Self.ID || len(view.ActiveIDs) == 0
