--- a/internal/request/checkpoint/checkpoint.go
+++ b/internal/request/checkpoint/checkpoint.go
@@ -50,14 +50,14 @@
 	return &Store{limits: limits, now: now, jobs: map[string]*jobState{}}
 }
 
-// Save stores the progress that the holder of jobs sends and removes the finished
-// jobs. It returns the jobs of which the text before a sent offset is missing:
-// their holder has to send the whole text.
-func (s *Store) Save(jobs []*v1.JobCheckpoint, finished []string) (incomplete []string) {
+// Save stores the progress that the holder of jobs sends, and removes the jobs that
+// need no checkpoint any more. It returns the jobs of which the text before a sent
+// offset is missing: their holder has to send the whole text.
+func (s *Store) Save(jobs []*v1.JobCheckpoint, toRemove []string) (incomplete []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.changed = s.changed || len(jobs)+len(finished) > 0
-	for _, id := range finished {
+	s.changed = s.changed || len(jobs)+len(toRemove) > 0
+	for _, id := range toRemove {
 		s.drop(id)
 	}
 	for _, saved := range jobs {
