--- a/internal/request/serve/plain.go
+++ b/internal/request/serve/plain.go
@@ -63,7 +63,7 @@
 	if joined != nil {
 		return s.join(w, r, c, e, *joined)
 	}
-	return s.plainDurable(w, r, e)
+	return s.plainReplicated(w, r, e)
 }
 
 // forwardHeaders returns the headers that are forwarded.
@@ -88,9 +88,9 @@
 	return nil
 }
 
-// plainDurable runs a call with a key or a claim to its end, even if the caller
+// plainReplicated runs a call with a key or a claim to its end, even if the caller
 // disconnects, and stores the answer at the replicas.
-func (s *Server) plainDurable(w http.ResponseWriter, r *http.Request, e *execution) error {
+func (s *Server) plainReplicated(w http.ResponseWriter, r *http.Request, e *execution) error {
 	var answer engine.PlainAnswer
 	var err error
 	done := make(chan struct{})
