--- a/internal/request/homes/durable.go
+++ b/internal/request/homes/durable.go
@@ -249,8 +249,8 @@
 	// this as "unknown request" told callers that a result they had already received does
 	// not exist.
 	errNoResponse = errors.New("a node that may know the request does not respond")
-	// errNotDiscovered means that such a node may exist and that this node, since its
-	// start, has not discovered it yet.
+	// errNotDiscovered means that such a node may exist without having been discovered
+	// since this node's start.
 	errNotDiscovered = errors.New("a node that may know the request has not been discovered yet")
 )
 
@@ -349,16 +349,16 @@
 	case err != nil:
 		return unknown, nil // it has left; the next node in rendezvous order has its requests
 	case !local:
-		return lookupRemote(ctx, client, requestID, workspace, wait, false)
+		return lookupPeer(ctx, client, requestID, workspace, wait, false)
 	case rp.Workspace(requestID) != workspace:
 		return unknown, nil
 	}
 	return rp.LookupLocal(ctx, requestID, wait), nil
 }
 
-// lookupRemote asks another node. Errors: those of the call, and errNoResponse if the
+// lookupPeer asks another node. Errors: those of the call, and errNoResponse if the
 // node could not get a response of all nodes that may know the request.
-func lookupRemote(ctx context.Context, client peerClient, requestID, workspace string, wait time.Duration, relay bool) (hold.Answer, error) {
+func lookupPeer(ctx context.Context, client peerClient, requestID, workspace string, wait time.Duration, relay bool) (hold.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	resp, err := client.Lookup(ctx, &v1.LookupRequest{RequestId: requestID, Workspace: workspace, WaitMs: uint32(wait.Milliseconds()), Relay: relay})
@@ -376,7 +376,7 @@
 // one gives a definite answer. Errors: errNoResponse if none does.
 func (rp *Replicator) lookupInRemoteCentre(ctx context.Context, dataCentre, requestID, workspace string, wait time.Duration) (hold.Answer, error) {
 	for _, addr := range rp.contactAddrs(dataCentre) {
-		answer, err := lookupRemote(ctx, rp.pool.Client(addr), requestID, workspace, wait, true)
+		answer, err := lookupPeer(ctx, rp.pool.Client(addr), requestID, workspace, wait, true)
 		switch {
 		case err == nil:
 			return answer, nil
