--- a/cmd/marblepond/main.go
+++ b/cmd/marblepond/main.go
@@ -54,7 +54,7 @@
 }
 
 // runNode runs a node with the settings s, read from path, until ctx ends. A hosted node
-// reads them again upon SIGHUP.
+// reloads them on SIGHUP and when the file changes.
 func runNode(ctx context.Context, path string, s *settings.Settings) error {
 	log := logwriter.New(os.Stdout)
 	defer log.Close()
--- a/cmd/marblepond/operators.go
+++ b/cmd/marblepond/operators.go
@@ -49,7 +49,7 @@
 	return []*cli.Command{
 		operatorCommand("plan", "show what an intent would change", []cli.Flag{file}, plan),
 		operatorCommand("apply", "confirm a plan", []cli.Flag{file, base}, apply),
-		operatorCommand("evacuate", "stop new work at all targets of a data centre: evacuate DATA_CENTRE", []cli.Flag{end, confirmed}, evacuate),
+		operatorCommand("evacuate", "send no new work to the targets of a data centre: evacuate DATA_CENTRE", []cli.Flag{end, confirmed}, evacuate),
 		operatorCommand("status", "show nodes, data centres and the configuration in force", nil, status),
 		operatorCommand("targets", "show the targets of the node's data centre", nil, targets),
 		operatorCommand("workspaces", "show each workspace's use of its rate limit, the node that lends it and the last refusal", nil, workspaces),
