--- a/internal/connection/beacon/beacon.go
+++ b/internal/connection/beacon/beacon.go
@@ -170,7 +170,7 @@
 	groupCount       int                  // number of groups when the reports were received
 	suspendedTotal   time.Duration        // suspensions of the VM that were noticed
 	resumedAt        time.Time            // when the last of them was noticed
-	nodes            map[string]nodeState // reachable nodes, until removeUnreachable removes them
+	nodes            map[string]nodeState // without those that removeUnreachable found unreachable
 	unreachableSince map[string]time.Time // unreachable nodes, and when each was last received
 	groupsReceived   map[string]time.Time // other groups: when a report on the group was last received
 	centresReceived  map[string]time.Time // other data centres: when a datagram from one of its nodes was last received
--- a/internal/connection/lending/lenders.go
+++ b/internal/connection/lending/lenders.go
@@ -11,8 +11,8 @@
 	Node       string
 	DataCentre string
 	Address    net.Addr // where it receives datagrams; nil: it receives none
-	// ForCentre: the owner is another node of its data centre, which is not known here;
-	// this node forwards borrow requests to it.
+	// ForCentre: this node stands for the owner in its data centre, which is not known
+	// here; it answers a borrow request if it is the owner, and else forwards it.
 	ForCentre bool
 }
 
--- a/internal/connection/lending/lending.go
+++ b/internal/connection/lending/lending.go
@@ -249,9 +249,9 @@
 	return view
 }
 
-// isResponsive reports whether a node counts as responsive, and probes it. It does until it
-// has had time to answer, and longer while no datagram from its data centre arrives either.
-// The caller holds x.mu.
+// isResponsive probes a node and reports whether it counts as responsive. A node does until
+// it has had time to answer, and longer while no datagram from its data centre arrives
+// either. The caller holds x.mu.
 func (x *Exchange) isResponsive(owner Lender) bool {
 	reference := x.Now()
 	if owner.DataCentre != x.DataCentre {
--- a/internal/connection/objects/health.go
+++ b/internal/connection/objects/health.go
@@ -62,16 +62,16 @@
 
 // RecordOutcome records whether the store served a call: it responded and did not refuse
 // the call as overloaded.
-func (h *Health) RecordOutcome(answered bool) {
+func (h *Health) RecordOutcome(served bool) {
 	h.mu.Lock()
 	now := h.now()
-	changed := h.up != answered
+	changed := h.up != served
 	lasted := now.Sub(h.stateSince)
 	if changed {
-		h.up, h.stateSince = answered, now
+		h.up, h.stateSince = served, now
 	}
 	h.mu.Unlock()
 	if changed {
-		h.onChange(answered, lasted)
+		h.onChange(served, lasted)
 	}
 }
