--- a/internal/process/crashes/watch_test.go
+++ b/internal/process/crashes/watch_test.go
@@ -221,8 +221,9 @@
 // third, which had been killed with them and had restarted. The earlier end of that target
 // was attributed to the stream too. With its three "crashes", only two of the five ends of
 // that moment were left as a sign of targets killed together, so that all nodes refused it.
-// Its sign in a log: target_crashed of a target, here 0.42 s, before the
-// request_dispatched to it that the verdict counts against the work.
+// Its sign in the log of a failing TestTargetsKilledTogetherRefuseNoRequest (lab/hosted):
+// target_crashed of a target, here 0.42 s, before the request_dispatched to it that the
+// verdict counts against the work.
 func TestLaterAttemptIsNotSuspected(t *testing.T) {
 	is := is.New(t)
 	fleet := newFakeFleet()
--- a/internal/process/hosted/backlogs.go
+++ b/internal/process/hosted/backlogs.go
@@ -70,7 +70,7 @@
 			granted()
 			return nil
 		case answer.Verdict == v1.ReserveResponse_FULL:
-			return errkind.RateLimited.New("%d tokens would wait on route %s and %d may", answer.Waiting, key.Route, limit)
+			return errkind.RateLimited.New("%d tokens would wait on route %s; the limit is %d", answer.Waiting, key.Route, limit)
 		}
 		wait.For(ctx, reserveRetryInterval) // the loop checks ctx
 	}
@@ -78,7 +78,7 @@
 }
 
 func errUnknownBacklog(key backlog.Key) error {
-	return errkind.PlatformUnavailable.New("how much waits on route %s is not known now", key.Route)
+	return errkind.PlatformUnavailable.New("the number of waiting tokens on route %s is not known now", key.Route)
 }
 
 // reserveLock returns the lock that is held during a reservation of a backlog.
--- a/internal/process/hosted/changes.go
+++ b/internal/process/hosted/changes.go
@@ -163,7 +163,7 @@
 }
 
 // StoreChangeRecorder returns a function that records that the object store stopped or
-// resumed responding.
+// resumed serving this node.
 func StoreChangeRecorder(r *timeline.Recorder) func(up bool, after time.Duration) {
 	return func(up bool, after time.Duration) {
 		code := timeline.StoreLost
--- a/internal/process/hosted/evacuation.go
+++ b/internal/process/hosted/evacuation.go
@@ -29,8 +29,8 @@
 	n.metrics.Gauge("data_centres_evacuated").Update(float64(len(evacuated)))
 }
 
-// knowsEvacuations reports whether this node knows which data centres are evacuated, or
-// evacuations are not followed.
+// knowsEvacuations reports whether this node knows which data centres are evacuated. It is
+// true if evacuations are not followed.
 func (n *Node) knowsEvacuations() bool {
 	return n.settings.EvacuatedWithin == 0 || n.cache.CompleteRevision(n.adapter.Kinds.Evacuations) > 0
 }
--- a/internal/process/hosted/hosted.go
+++ b/internal/process/hosted/hosted.go
@@ -195,7 +195,7 @@
 }
 
 // storeLatency returns how long the object store takes to answer, 0 while that is
-// unknown or it does not answer.
+// unknown or the store does not serve this node.
 func (n *Node) storeLatency() time.Duration {
 	if !n.adapter.Health.Up() {
 		return 0
--- a/internal/process/hosted/reload.go
+++ b/internal/process/hosted/reload.go
@@ -14,10 +14,10 @@
 // may change without a SIGHUP.
 const settingsPollInterval = 2 * time.Second
 
-// WatchSettings reloads the settings file on each SIGHUP, received from hangups, and when
+// WatchSettings reloads the settings file on each SIGHUP, received from sighups, and when
 // the file has changed, until ctx ends. Changed seeds take effect at once; any other change
 // needs a restart. An invalid file is ignored.
-func (n *Node) WatchSettings(ctx context.Context, path string, hangups <-chan os.Signal) {
+func (n *Node) WatchSettings(ctx context.Context, path string, sighups <-chan os.Signal) {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	lastModified := modified(path)
@@ -26,7 +26,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
+		case <-sighups:
 			hangup = true
 		case <-ticker.C:
 		}
--- a/internal/process/timeline/timeline.go
+++ b/internal/process/timeline/timeline.go
@@ -15,8 +15,7 @@
 // hlcLogicalBits is the number of low bits of an HLC that hold the logical counter.
 const hlcLogicalBits = 16
 
-// HLC is a hybrid logical time: Unix milliseconds shifted left by the width of a 16-bit
-// logical counter, plus that counter.
+// HLC is a hybrid logical time: Unix milliseconds above a 16-bit logical counter.
 type HLC int64
 
 // Time returns the physical part of h.
