--- a/internal/process/hosted/allowances.go
+++ b/internal/process/hosted/allowances.go
@@ -35,8 +35,8 @@
 	return w.Allowance, true
 }
 
-// lendersOf returns the nodes that serve callers. This node is among them even if its
-// registration is not listed yet.
+// lendersOf returns the nodes that serve callers and receive borrow requests. This node, if
+// it serves callers, is among them even if its registration is not listed yet.
 func (n *Node) lendersOf(nodes map[string]nodeRecord) *lending.Lenders {
 	var list []lending.Lender
 	if n.settings.CallerListen != "" {
--- a/internal/process/hosted/batchwork.go
+++ b/internal/process/hosted/batchwork.go
@@ -42,11 +42,11 @@
 	return beacon.BatchReport{Claim: w.ownClaim()}
 }
 
-// ownClaim returns the batch work of this data centre.
+// ownClaim returns the demand of this data centre, and the part beyond its capacity.
 func (w *batchWork) ownClaim() choose.Claim {
 	demand := total(w.demandByGroup())
-	room := w.node.pool.BatchCapacity(w.node.settings.DataCentre)
-	return choose.Claim{Demand: demand, Overflow: max(0, demand-room)}
+	capacity := w.node.pool.BatchCapacity(w.node.settings.DataCentre)
+	return choose.Claim{Demand: demand, Overflow: max(0, demand-capacity)}
 }
 
 func total(demands map[string]int) int {
