--- a/api/marblepond/v1/marblepondv1connect/peer.connect.go
+++ b/api/marblepond/v1/marblepondv1connect/peer.connect.go
@@ -80,7 +80,7 @@
 	// OfferConfig sends a configuration version to a peer before the sender puts it in
 	// force, so that it survives a restart of either during an outage of the platform.
 	OfferConfig(context.Context, *v1.OfferConfigRequest) (*v1.OfferConfigResponse, error)
-	// Events returns the recent events of the node's time line.
+	// Events returns the recent events of the node's timeline.
 	Events(context.Context, *v1.EventsRequest) (*v1.EventsResponse, error)
 }
 
@@ -286,7 +286,7 @@
 	// OfferConfig sends a configuration version to a peer before the sender puts it in
 	// force, so that it survives a restart of either during an outage of the platform.
 	OfferConfig(context.Context, *v1.OfferConfigRequest) (*v1.OfferConfigResponse, error)
-	// Events returns the recent events of the node's time line.
+	// Events returns the recent events of the node's timeline.
 	Events(context.Context, *v1.EventsRequest) (*v1.EventsResponse, error)
 }
 
