--- a/internal/version/config/config.go
+++ b/internal/version/config/config.go
@@ -90,7 +90,7 @@
 	if state.HeadVersion > m.Current().Version {
 		select {
 		case m.newerVersions <- newerVersion{from.PeerAddr, state.HeadVersion}:
-		default: // fetches are in progress; the next heartbeat announces the version again
+		default: // the queue is full; the next heartbeat announces the version again
 		}
 	}
 }
--- a/internal/version/follow/greet.go
+++ b/internal/version/follow/greet.go
@@ -16,7 +16,7 @@
 	// 150 targets, sent to 85 nodes at once over the seed's link in the largest deployment.
 	seedTimeout = time.Second
 	// seedStartWait is how long a starting node retries while no seed answers: nodes that
-	// start together do so within 0.3 s.
+	// start together all answer within 0.3 s.
 	seedStartWait = 600 * time.Millisecond
 	// seedRetryInterval is the mean time between two rounds of calls to the seeds.
 	seedRetryInterval = 100 * time.Millisecond
--- a/internal/version/follow/refresh.go
+++ b/internal/version/follow/refresh.go
@@ -92,7 +92,7 @@
 func (r *Refresher) Run(ctx context.Context) {
 	retryDelay := minRetryDelay
 	for ctx.Err() == nil {
-		if wait := r.untilDue(); wait > 0 && !r.waitForTrigger(ctx, wait) {
+		if due := r.untilDue(); due > 0 && !r.waitForTrigger(ctx, due) {
 			continue
 		}
 		if err := r.refresh(ctx); err != nil {
@@ -133,7 +133,7 @@
 
 // rank returns this node's place in the order of nodes that may query the store, 0 being
 // the first: the rank of its data centre plus its rank within the data centre. Nodes agree
-// on the order also where the fleet is too large for each to reach every other.
+// on the order also where the fleet is too large for each to receive datagrams of all others.
 func (r *Refresher) rank() int {
 	centre := rendezvous.Place(r.Kind, r.DataCentre, r.OtherDataCentres(), maxRank)
 	return min(maxRank, centre+rendezvous.Place(r.Kind, r.Self, r.PeersInDataCentre(), maxRank))
--- a/internal/version/route/route.go
+++ b/internal/version/route/route.go
@@ -70,7 +70,7 @@
 	Limits  Limits
 	// Workspaces are the workspaces whose requests are served; nil: callers need no key.
 	Workspaces *workspace.Index
-	// WarmUps holds the slow start of targets, by service.
+	// WarmUps holds the slow-start settings of targets, by service.
 	WarmUps map[string]warmup.Rate
 	// Faults describes the parts of the version that could not be read and are left out.
 	Faults []string
