--- a/lab/hosted/crash_test.go
+++ b/lab/hosted/crash_test.go
@@ -179,14 +179,14 @@
 			late := f.repeatCrasher(c.path+"x", "one", 100*time.Millisecond, 6*time.Second)
 			t.Logf("%d crashes, %d arrivals", f.crashCount(), f.crasherArrivals())
 			is.True(f.crashCount() >= 3)
-			is.True(f.crashCount() <= 8) // three, and what was sent before all knew
+			is.True(f.crashCount() <= 8) // three, and those of requests sent before all nodes refused it
 			is.True(len(late) > 10)
 			before := f.crasherArrivals()
 			for n := range f.Nodes {
 				asked := time.Now()
 				reply := Call(context.Background(), http.MethodPost, f.Nodes[n].CallerAddress(), c.path+"x", fmt.Sprint(badPrefix, "last-", n), nil, []byte("one"))
 				is.True(isCrashRefusal(reply))
-				is.Equal(reply.Header.Get("Retry-After"), "") // coming back does not help
+				is.Equal(reply.Header.Get("Retry-After"), "") // a retry does not help
 				is.True(time.Since(asked) < 100*time.Millisecond)
 			}
 			is.Equal(f.crasherArrivals(), before)
--- a/lab/hosted/fleet.go
+++ b/lab/hosted/fleet.go
@@ -156,7 +156,7 @@
 	panic("every network of the loopback range is taken")
 })
 
-// keepListening closes every accepted connection until the listener fails.
+// keepListening keeps a listener open until the process ends, and closes all connections to it.
 func keepListening(l net.Listener) {
 	for {
 		conn, err := l.Accept()
--- a/lab/hosted/jobs_test.go
+++ b/lab/hosted/jobs_test.go
@@ -177,7 +177,7 @@
 			}
 		}
 	}
-	is.True(resumed > 0) // some item made room and went on
+	is.True(resumed > 0) // some item yielded and was resumed
 }
 
 // TestHolderLost: jobs of a lost node are taken over, and results that were readable keep
--- a/lab/hosted/workspaces_test.go
+++ b/lab/hosted/workspaces_test.go
@@ -230,16 +230,16 @@
 
 // sendAtRate sends requests of a workspace to all nodes in turn at a rate and returns how many
 // were sent and refused.
-func (f *Fleet) sendAtRate(prefix, key string, perSecond int, during time.Duration) (asked, refused int) {
+func (f *Fleet) sendAtRate(prefix, key string, perSecond int, during time.Duration) (sent, refused int) {
 	var wg sync.WaitGroup
 	var over atomic.Int64
 	nodes := f.callers()
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer ticker.Stop()
 	for until := time.Now().Add(during); time.Now().Before(until); <-ticker.C {
-		id := fmt.Sprint(prefix, "-", asked)
-		at := nodes[asked%len(nodes)]
-		asked++
+		id := fmt.Sprint(prefix, "-", sent)
+		at := nodes[sent%len(nodes)]
+		sent++
 		wg.Go(func() {
 			if reply := SendRequestWithKey(at, StreamPath, id, key); reply.Status == http.StatusTooManyRequests {
 				over.Add(1)
@@ -247,7 +247,7 @@
 		})
 	}
 	wg.Wait()
-	return asked, int(over.Load())
+	return sent, int(over.Load())
 }
 
 // maxInWindow returns the most requests with a prefix that started to run within any window.
