--- a/lab/hostedsoak/fleet.go
+++ b/lab/hostedsoak/fleet.go
@@ -20,7 +20,7 @@
 	dataCentreCount      = 2
 	nodesPerDataCentre   = 3 // nodes that serve callers
 	runnersPerDataCentre = 3
-	runnerSlots          = 8
+	slotsPerRunner       = 8
 	answerEvents         = 30
 	eventGap             = 15 * time.Millisecond
 	nodeCount            = dataCentreCount * nodesPerDataCentre
@@ -121,7 +121,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.started++
-	s.runner = hosted.NewRunner(fmt.Sprintf("i-%d-%d", index, s.started), hosted.Service, runnerSlots, answerEvents, eventGap)
+	s.runner = hosted.NewRunner(fmt.Sprintf("i-%d-%d", index, s.started), hosted.Service, slotsPerRunner, answerEvents, eventGap)
 	s.proxy.Retarget(s.runner.Address())
 	f.mu.Lock()
 	f.runners = append(f.runners, s.runner)
--- a/lab/hostedsoak/history.go
+++ b/lab/hostedsoak/history.go
@@ -104,7 +104,7 @@
 // inForceWithin is the time in which a change of the configuration must take effect.
 const inForceWithin = 2 * time.Second
 
-// checkVersion checks the configuration version that a node applies now.
+// checkVersion checks the configuration version that a node has in force now.
 func (h *history) checkVersion(name string, version int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/lab/hostedsoak/load.go
+++ b/lab/hostedsoak/load.go
@@ -189,7 +189,7 @@
 // submitJob submits a job until a node accepts it. A job that was refused as not
 // run at every attempt must never run.
 func (l *load) submitJob(id string) bool {
-	neverRan := true
+	allRefused := true
 	for range jobTries {
 		reply := hosted.SubmitJobWithKey(l.pickNode().callers.Address(), id, steadyKey, hosted.Items(id, jobItems))
 		switch {
@@ -197,11 +197,11 @@
 			return true
 		case reply.Err == nil && (reply.Status == http.StatusServiceUnavailable || reply.Status == http.StatusTooManyRequests):
 		default:
-			neverRan = false
+			allRefused = false
 		}
 		time.Sleep(jobPause)
 	}
-	if neverRan {
+	if allRefused {
 		for _, item := range hosted.Items(id, jobItems) {
 			l.history.recordRefusal(item.ID, "its job was refused at every attempt")
 		}
--- a/lab/hostedsoak/soak.go
+++ b/lab/hostedsoak/soak.go
@@ -154,7 +154,7 @@
 
 var errNoVersion = errors.New("the metrics have no configuration version")
 
-// version returns the configuration version that the node applies.
+// version returns the configuration version that the node has in force.
 func (n *node) version() (int, bool) {
 	resp, err := probeClient.Get("http://" + n.host + ":7074/metrics")
 	if err != nil {
