--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -30,7 +30,7 @@
 	workspaces             = 5700
 	leavingPerDC           = 10 // VMs marked as leaving at a time
 	heartbeatInterval      = 500 * time.Millisecond
-	heartbeatsPerFullState = 16 // one of so many heartbeats carries the complete state
+	heartbeatsPerFullState = 16 // one in this many heartbeats carries the complete state
 	modelsPerTarget        = 2
 )
 
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -33,7 +33,7 @@
 	callerKey    = "demo-key"
 	onlineRate   = 20 // requests a second
 	onlineTime   = 12 * time.Second
-	answerTokens = 24 // tokens
+	answerTokens = 24
 	timeout      = 50 * time.Second
 	// progressInterval is the time between updates of the progress line.
 	progressInterval = 500 * time.Millisecond
--- a/lab/model/engine.go
+++ b/lab/model/engine.go
@@ -85,8 +85,8 @@
 }
 
 // step starts queued calls for which there are free slots and memory, reads prompts, and
-// produces an event of each running call whose prompt has been read, after the time of
-// TokensPerEvent decoding steps.
+// produces an event of each running call whose prompt has been read, after the time of this
+// reading and of TokensPerEvent decoding steps.
 func (e *engine) step() {
 	e.stepping = false
 	if e.down {
