--- a/internal/process/settings/keys.go
+++ b/internal/process/settings/keys.go
@@ -43,7 +43,7 @@
 	{"platform", "write_rate", "20", "calls/s", "Writes that this node may make; leases and commits have priority over status.", count(func(s *Settings) *int { return &s.PlatformWriteRate }, 1, 1000)},
 	{"platform", "read_rate", "60", "calls/s", "Reads that this node may make.", count(func(s *Settings) *int { return &s.PlatformReadRate }, 1, 5000)},
 	{"platform", "vm_list_interval", "1s", "duration", "Time between reads of the VM list.", duration(func(s *Settings) *time.Duration { return &s.VMListInterval }, 50*time.Millisecond, time.Minute)},
-	{"platform", "watch_timeout", "10s", "duration", "Timeout of one watch call.", duration(func(s *Settings) *time.Duration { return &s.WatchTimeout }, 100*time.Millisecond, time.Minute)},
+	{"platform", "watch_timeout", "10s", "duration", "How long one watch call waits for a change; the timeout of the call is longer by the timeout of one call to the platform.", duration(func(s *Settings) *time.Duration { return &s.WatchTimeout }, 100*time.Millisecond, time.Minute)},
 
 	{"security", "peer_key", "", "text", "Shared secret of the nodes.", text(func(s *Settings) *string { return &s.PeerKey }, false)},
 	{"security", "operator_key", "", "text", "Secret that operators present.", text(func(s *Settings) *string { return &s.OperatorKey }, false)},
